--- a/crates/coordination/tests/outer_encodings/main.rs
+++ b/crates/coordination/tests/outer_encodings/main.rs
@@ -11,6 +11,7 @@
 )]
 
 mod agreement;
+mod evidence;
 mod replicated;
 mod samples;
 mod shown;
