--- /dev/null
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -0,0 +1,176 @@
+//! What hosts tell each other: leases, addresses, loads and streams.
+
+use std::time::Duration;
+
+use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
+use pollendrift_coordination::following::QuestionNumber;
+use pollendrift_coordination::hosts::{HostNote, HostReach};
+use pollendrift_coordination::leases::{
+    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, HeardLease, HeardLeases, LeaseBatch,
+    LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, ServerAnnounce, ServerState, WorkerLayers,
+    WorkerOffer,
+};
+use pollendrift_coordination::ledger::GeneratedToken;
+use pollendrift_coordination::routing::{EngineLoad, EngineNote};
+use pollendrift_coordination::streams::{StreamNote, StreamRecord};
+
+use crate::samples::layers;
+use crate::shown::{cbor, json};
+
+const LOAD: AnnouncedLoad = AnnouncedLoad {
+    running: 2,
+    queued: 3,
+    prefill_tokens: 400,
+    kv_used_tokens: 5_000,
+};
+
+pub(crate) fn offer() -> WorkerOffer {
+    WorkerOffer {
+        service: "drafts".into(),
+        slots: 4,
+        cold: true,
+        kind: "big".to_owned(),
+        layers: Some(WorkerLayers {
+            range: layers(0, 8),
+            version: "v1".into(),
+        }),
+    }
+}
+
+pub(crate) fn announce(state: ServerState) -> ServerAnnounce {
+    ServerAnnounce {
+        server: "b1".into(),
+        incarnation: Incarnation(6),
+        sequence: 17.into(),
+        address: "127.0.0.1:9000".into(),
+        data_centre: "north".into(),
+        state,
+        checks_fencing: true,
+        offer: json(&offer()).into(),
+        load: LOAD,
+    }
+}
+
+fn full(state: ServerState) -> LeaseDelta {
+    LeaseDelta::Full(FullLease {
+        announce: announce(state),
+        age: Duration::from_millis(1_250),
+    })
+}
+
+fn renewal(load: Option<AnnouncedLoad>) -> LeaseDelta {
+    LeaseDelta::Renewal(LeaseRenewal {
+        server: "b1".into(),
+        incarnation: Incarnation(6),
+        sequence: 18.into(),
+        digest: ContentDigest::of(&announce(ServerState::Serving)),
+        age: Duration::from_millis(30),
+        load,
+    })
+}
+
+fn batch() -> LeaseBatch {
+    let heard = [(3, 0), (200, 1_250)].map(|(number, millis)| HeardLease {
+        number: LeaseNumber(number),
+        age: Duration::from_millis(millis),
+    });
+    let deltas = [
+        full(ServerState::Serving),
+        full(ServerState::Leaving),
+        renewal(Some(LOAD)),
+        renewal(None),
+    ];
+    let named = |(number, delta)| NamedLease {
+        number: LeaseNumber(number),
+        delta,
+    };
+    LeaseBatch {
+        table: Incarnation(5),
+        named: (1..).zip(deltas).map(named).collect(),
+        heard: HeardLeases::pack(heard.into()),
+    }
+}
+
+/// A renamed field would make hosts of two builds lose each other's backend servers.
+#[test]
+fn lease_updates_keep_their_encoding() {
+    let cursor = DeltaCursor {
+        complete: 41,
+        reached: 42,
+    };
+    insta::assert_snapshot!([cbor(&batch()), cbor(&cursor)].join("\n"));
+}
+
+/// A changed digest would make each renewal from another build count as one of unknown content.
+#[test]
+fn offers_of_workers_keep_their_text() {
+    let digests = [ServerState::Serving, ServerState::Leaving]
+        .map(|state| json(&ContentDigest::of(&announce(state))));
+    insta::assert_snapshot!([json(&offer()), digests.join(" ")].join("\n"));
+}
+
+/// A renamed field would make hosts of two builds unable to find each other.
+#[test]
+fn notes_of_hosts_keep_their_encoding() {
+    let note = HostNote {
+        host: "h1".into(),
+        reach: HostReach {
+            address: ([127, 0, 0, 1], 7_000).into(),
+            keeper: true,
+            data_centre: Some("north".into()),
+            heartbeats: Some(([127, 0, 0, 1], 7_001).into()),
+        },
+        age: Duration::from_millis(900),
+    };
+    insta::assert_snapshot!([cbor(&note), json(&note)].join("\n"));
+}
+
+/// A renamed field would make hosts of two builds route by no load but their own.
+#[test]
+fn notes_of_engines_keep_their_encoding() {
+    let note = EngineNote {
+        server: "b1".into(),
+        incarnation: Incarnation(6),
+        load: Some(EngineLoad {
+            running: 2,
+            waiting: 3,
+            kv_tokens: 5_000,
+            slowness: 7,
+        }),
+        age: Duration::from_millis(900),
+    };
+    insta::assert_snapshot!([cbor(&note), cbor(&QuestionNumber(8))].join("\n"));
+}
+
+fn tokens() -> Vec<GeneratedToken> {
+    vec![GeneratedToken {
+        id: 31,
+        text: "clause".into(),
+    }]
+}
+
+/// A renamed field would make a stream that breaks off during an upgrade impossible to resume.
+#[test]
+fn streams_keep_their_encoding() {
+    let note = StreamNote {
+        request: "r1".into(),
+        customer: "ponant".into(),
+        digest: [0x77; 32],
+        version: "v1".into(),
+        model_layers: 8,
+        attempt: AttemptNumber(2),
+        first: TokenPosition(5),
+        tokens: tokens(),
+        finish: Some("stop".to_owned()),
+    };
+    let record = StreamRecord {
+        customer: "ponant".into(),
+        digest: [0x77; 32],
+        version: "v1".into(),
+        model_layers: 8,
+        attempt: AttemptNumber(2),
+        tokens: tokens(),
+        finish: Some("stop".to_owned()),
+    };
+    insta::assert_snapshot!([cbor(&note), cbor(&record)].join("\n"));
+}
--- a/crates/coordination/tests/outer_encodings/main.rs
+++ b/crates/coordination/tests/outer_encodings/main.rs
@@ -13,7 +13,9 @@
 mod agreement;
 mod configuration;
 mod evidence;
+mod hosts;
 mod replicated;
 mod samples;
 mod shown;
 mod snapshot;
+mod status;
