--- a/crates/coordination/tests/outer_encodings/main.rs
+++ b/crates/coordination/tests/outer_encodings/main.rs
@@ -19,3 +19,4 @@
 mod shown;
 mod snapshot;
 mod status;
+mod texts;
