--- a/crates/store/tests/store/main.rs
+++ b/crates/store/tests/store/main.rs
@@ -13,4 +13,5 @@
 mod frames;
 mod identity;
 mod orders;
+mod outer_files;
 mod workload;
