--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -43,11 +43,11 @@
 
 /// How a receiver is told of leases for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FirstTelling {
+pub enum InitialSync {
     /// With their contents: it holds none.
-    Contents,
+    Full,
     /// By name: another host told it the contents, and it asks for what it lacks.
-    Names,
+    NamesOnly,
 }
 
 /// A lease by name, and its number from now on.
@@ -107,13 +107,13 @@
         cursor: DeltaCursor,
         limit: usize,
         scope: LeaseScope,
-        first: FirstTelling,
+        first: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         let mut named = Vec::new();
         let mut heard = Vec::new();
         let mut reached = cursor.reached;
         let mut complete = cursor.complete;
-        let is_first = first == FirstTelling::Names && cursor.complete == 0;
+        let is_first = first == InitialSync::NamesOnly && cursor.complete == 0;
         let mut leases = self.by_version.range(reached.saturating_add(1)..);
         loop {
             let Some((version, key)) = leases.next() else {
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -9,7 +9,7 @@
 };
 use pollendrift_coordination::leases::{
     AnnouncedLoad, AssignmentSettings, AssignmentTable, BackendLeaseSettings, DeltaCursor,
-    FirstTelling, HeardFrom, HeardLease, HeardLeases, HeartbeatHost, LeaseBatch, LeaseNumber,
+    HeardFrom, HeardLease, HeardLeases, HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber,
     LeaseScope, LeaseTable, MergeVerdict, ServerAnnounce, ServerState,
 };
 use proptest::prelude::{any, prop, proptest};
@@ -43,7 +43,7 @@
     table: LeaseTable,
     cursors: BTreeMap<HostName, DeltaCursor>,
     /// How it tells hosts that it has not told anything.
-    first: FirstTelling,
+    first: InitialSync,
 }
 
 impl LeaseHost {
@@ -56,7 +56,7 @@
             name: name.into(),
             table: LeaseTable::numbered(settings, Incarnation(7)),
             cursors: BTreeMap::new(),
-            first: FirstTelling::Contents,
+            first: InitialSync::Full,
         }
     }
 
@@ -192,7 +192,7 @@
     const SERVERS: usize = 600;
     let mut first = LeaseHost::new("keeper-1");
     let mut second = LeaseHost::new("keeper-2");
-    second.first = FirstTelling::Names;
+    second.first = InitialSync::NamesOnly;
     let mut follower = LeaseHost::new("entry-1");
     let mut bytes = Vec::new();
     for beat in 0..8 {
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -17,7 +17,7 @@
 };
 use pollendrift_coordination::configuration::ServerFacts;
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, FirstTelling, HeardFrom,
+    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, HeardFrom, InitialSync,
     LeaseBatch, LeaseNews, LeaseNumber, LeaseScope, LeaseTable, MergeVerdict, NamedLease,
     ServerAnnounce, ServerLease, ServerState,
 };
@@ -151,7 +151,7 @@
         cursor: DeltaCursor,
         limit: usize,
         scope: LeaseScope,
-        first: FirstTelling,
+        first: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         self.lock().leases.batch(now, cursor, limit, scope, first)
     }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -18,7 +18,7 @@
 
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_coordination::leases::{
-    DeltaCursor, FirstTelling, HeardLeases, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope,
+    DeltaCursor, HeardLeases, InitialSync, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope,
     NamedLease,
 };
 use pollendrift_coordination::routing::EngineNote;
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ToldHost {
     scope: LeaseScope,
-    first: FirstTelling,
+    first: InitialSync,
     cursor: DeltaCursor,
 }
 
@@ -155,15 +155,15 @@
 
     /// How `host` is told of leases for the first time: one that was linked long before it is to be told
     /// turns to this keeper from another one.
-    fn first_telling(&self, now: MonotonicTime, host: &HostName) -> FirstTelling {
+    fn first_telling(&self, now: MonotonicTime, host: &HostName) -> InitialSync {
         let linked = self.linked.lock().unwrap_or_else(PoisonError::into_inner);
         let is_new = linked
             .get(host)
             .is_none_or(|at| now.since(*at) < NEW_LINK_TIME);
         if is_new {
-            FirstTelling::Contents
+            InitialSync::Full
         } else {
-            FirstTelling::Names
+            InitialSync::NamesOnly
         }
     }
 
--- a/crates/standins/benches/capacity.rs
+++ b/crates/standins/benches/capacity.rs
@@ -10,7 +10,7 @@
     AttemptNumber, Incarnation, LayerRange, SequenceNumber, TokenPosition,
 };
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, BackendLeaseSettings, FirstTelling, LeaseBatch, LeaseScope, LeaseTable,
+    AnnouncedLoad, BackendLeaseSettings, InitialSync, LeaseBatch, LeaseScope, LeaseTable,
     ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::ledger::{
@@ -80,7 +80,7 @@
     let now = pollendrift_coordination::base::MonotonicTime::START;
     let mut cursor = Default::default();
     let mut batch = table
-        .batch(now, cursor, 1, LeaseScope::Own, FirstTelling::Contents)
+        .batch(now, cursor, 1, LeaseScope::Own, InitialSync::Full)
         .0;
     for sequence in 1..=2 {
         for index in 0..RENEWALS {
@@ -99,13 +99,8 @@
         }
         let limit = usize::try_from(RENEWALS).unwrap_or(usize::MAX);
         let now = now.after(Duration::from_secs(2));
-        let (told, reached) = table.batch(
-            now,
-            cursor,
-            limit + 1,
-            LeaseScope::Own,
-            FirstTelling::Contents,
-        );
+        let (told, reached) =
+            table.batch(now, cursor, limit + 1, LeaseScope::Own, InitialSync::Full);
         (batch, cursor) = (told, reached);
     }
     batch
--- a/crates/standins/examples/experiment/spreading.rs
+++ b/crates/standins/examples/experiment/spreading.rs
@@ -6,7 +6,7 @@
 use pollendrift::peers::{PeerFrame, decode_frame, encode_frame};
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_coordination::leases::{
-    BackendLeaseSettings, DeltaCursor, FirstTelling, HeardFrom, LeaseBatch, LeaseDelta, LeaseScope,
+    BackendLeaseSettings, DeltaCursor, HeardFrom, InitialSync, LeaseBatch, LeaseDelta, LeaseScope,
     NamedLease, SubsetHost, SubsetSettings, entries_of,
 };
 use pollendrift_coordination::routing::RoutingSettings;
@@ -47,7 +47,7 @@
             cursor,
             FRAME_LEASES,
             LeaseScope::Own,
-            FirstTelling::Contents,
+            InitialSync::Full,
         );
         if batch.is_empty() {
             return (frames, reached);
