--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DeltaCursor, HeardFault, HeardFrom, HeardLease, HeardLeases, LeaseDelta, LeaseKey, LeaseNumber,
-    LeaseTable, MergeVerdict, ServerLease, ServerState,
+    DeltaCursor, HeardFrom, LeaseDelta, LeaseKey, LeaseNumber, LeaseTable, MergeVerdict,
+    NumberedRenewal, PackedRenewals, RenewalDecodeError, ServerLease, ServerState,
 };
 use crate::base::{HostName, Incarnation, MonotonicTime, ServerName};
 
@@ -67,7 +67,7 @@
     /// Leases that are new to the receiver or changed.
     pub named: Vec<NamedLease>,
     /// Heartbeats of leases that were named before.
-    pub heard: HeardLeases,
+    pub heard: PackedRenewals,
 }
 
 impl LeaseBatch {
@@ -87,7 +87,7 @@
     /// Numbers that must be asked for.
     pub unnamed: Vec<LeaseNumber>,
     /// Why heartbeats by number were not taken.
-    pub fault: Option<HeardFault>,
+    pub fault: Option<RenewalDecodeError>,
 }
 
 /// Numbers that one sender gave to leases.
@@ -131,7 +131,7 @@
                 continue;
             }
             if !is_first && lease.is_told_by_number(cursor) {
-                heard.push(lease.heard(now));
+                heard.push(lease.numbered_renewal(now));
                 continue;
             }
             named.push(NamedLease {
@@ -146,7 +146,7 @@
         let batch = LeaseBatch {
             table: self.table,
             named,
-            heard: HeardLeases::pack(heard),
+            heard: PackedRenewals::pack(heard),
         };
         (batch, DeltaCursor { complete, reached })
     }
@@ -213,23 +213,23 @@
             outcome.taken.push((server, verdict));
         }
         match batch.heard.unpack() {
-            Ok(heard) => self.take_heard(now, &map, heard, from, transit, &mut outcome),
+            Ok(heard) => self.merge_numbered(now, &map, heard, from, transit, &mut outcome),
             Err(fault) => outcome.fault = Some(fault),
         }
         self.numbers.insert(host.clone(), map);
         outcome
     }
 
-    fn take_heard(
+    fn merge_numbered(
         &mut self,
         now: MonotonicTime,
         map: &NumberMap,
-        heard: Vec<HeardLease>,
+        heard: Vec<NumberedRenewal>,
         from: HeardFrom,
         transit: Duration,
         outcome: &mut BatchOutcome,
     ) {
-        for HeardLease { number, age } in heard {
+        for NumberedRenewal { number, age } in heard {
             let Some((key, incarnation)) = map.leases.get(&number).copied() else {
                 outcome.unnamed.push(number);
                 continue;
@@ -271,8 +271,8 @@
         named_at <= cursor.complete && !self.tells_load(cursor)
     }
 
-    fn heard(&self, now: MonotonicTime) -> HeardLease {
-        HeardLease {
+    fn numbered_renewal(&self, now: MonotonicTime) -> NumberedRenewal {
+        NumberedRenewal {
             number: self.number,
             age: now.since(self.heard_at),
         }
--- a/crates/coordination/src/leases/heard.rs
+++ b/crates/coordination/src/leases/packed.rs
@@ -25,7 +25,7 @@
 
 /// One lease that was heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HeardLease {
+pub struct NumberedRenewal {
     /// Its number at the sender.
     pub number: LeaseNumber,
     /// Time since its server was heard by any host; travels rounded up to 10 ms.
@@ -35,20 +35,20 @@
 /// Packed bytes are no list of leases.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("renewals by number can't be read")]
-pub struct HeardFault;
+pub struct RenewalDecodeError;
 
 /// Leases that were heard of, packed: the step from the number before and the age, each in groups of
 /// seven bits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct HeardLeases {
+pub struct PackedRenewals {
     #[serde(with = "serde_bytes")]
     bytes: Vec<u8>,
 }
 
-impl HeardLeases {
+impl PackedRenewals {
     /// Packs `leases`; of one number the youngest counts.
-    pub fn pack(mut leases: Vec<HeardLease>) -> Self {
+    pub fn pack(mut leases: Vec<NumberedRenewal>) -> Self {
         leases.sort_unstable();
         leases.dedup_by_key(|lease| lease.number);
         let mut bytes = Vec::with_capacity(leases.len() * 3);
@@ -66,15 +66,15 @@
     ///
     /// # Errors
     /// The bytes are no such list; any bytes are safe.
-    pub fn unpack(&self) -> Result<Vec<HeardLease>, HeardFault> {
+    pub fn unpack(&self) -> Result<Vec<NumberedRenewal>, RenewalDecodeError> {
         let mut rest = self.bytes.as_slice();
         let mut leases = Vec::with_capacity(rest.len() / 2);
         let mut last = 0_u32;
         while !rest.is_empty() {
             let step = take_number(&mut rest)?;
             let units = take_number(&mut rest)?;
-            last = last.checked_add(step).ok_or(HeardFault)?;
-            leases.push(HeardLease {
+            last = last.checked_add(step).ok_or(RenewalDecodeError)?;
+            leases.push(NumberedRenewal {
                 number: LeaseNumber(last),
                 age: AGE_UNIT.saturating_mul(units),
             });
@@ -96,15 +96,15 @@
     bytes.push(number as u8);
 }
 
-fn take_number(rest: &mut &[u8]) -> Result<u32, HeardFault> {
+fn take_number(rest: &mut &[u8]) -> Result<u32, RenewalDecodeError> {
     let mut number = 0_u64;
     for group in 0..MAX_GROUPS {
-        let (byte, tail) = rest.split_first().ok_or(HeardFault)?;
+        let (byte, tail) = rest.split_first().ok_or(RenewalDecodeError)?;
         *rest = tail;
         number |= u64::from(byte & 0x7f) << (GROUP_BITS * group);
         if byte & 0x80 == 0 {
-            return u32::try_from(number).map_err(|_| HeardFault);
+            return u32::try_from(number).map_err(|_| RenewalDecodeError);
         }
     }
-    Err(HeardFault)
+    Err(RenewalDecodeError)
 }
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -9,8 +9,8 @@
 };
 use pollendrift_coordination::leases::{
     AnnouncedLoad, AssignmentSettings, AssignmentTable, BackendLeaseSettings, DeltaCursor,
-    HeardFrom, HeardLease, HeardLeases, HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber,
-    LeaseScope, LeaseTable, MergeVerdict, ServerAnnounce, ServerState,
+    HeardFrom, HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber, LeaseScope, LeaseTable,
+    MergeVerdict, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
 };
 use proptest::prelude::{any, prop, proptest};
 
@@ -91,7 +91,7 @@
                     batches.push(LeaseBatch {
                         table: self.table.table_number(),
                         named,
-                        heard: HeardLeases::default(),
+                        heard: PackedRenewals::default(),
                     });
                 }
             }
@@ -233,7 +233,7 @@
     let batch = LeaseBatch {
         table: keeper.table.table_number(),
         named: left,
-        heard: HeardLeases::default(),
+        heard: PackedRenewals::default(),
     };
     let sender = (&keeper.name, HeardFrom::Keeper);
     stranger.table.take_batch(at(400), sender, batch, TRANSIT);
@@ -251,7 +251,7 @@
     let batch = LeaseBatch {
         table: Incarnation(8),
         named: Vec::new(),
-        heard: HeardLeases::pack(vec![HeardLease {
+        heard: PackedRenewals::pack(vec![NumberedRenewal {
             number: LeaseNumber(1),
             age: Duration::ZERO,
         }]),
@@ -310,11 +310,11 @@
     // Guards against a packed list that loses a heartbeat, or makes one younger than it was.
     #[test]
     fn heartbeats_survive_packing(heard in prop::collection::btree_map(any::<u32>(), 0_u64..10_000, 0..64)) {
-        let leases = heard.iter().map(|(number, age)| HeardLease {
+        let leases = heard.iter().map(|(number, age)| NumberedRenewal {
             number: LeaseNumber(*number),
             age: Duration::from_millis(*age),
         });
-        let unpacked = HeardLeases::pack(leases.clone().collect()).unpack().expect("its own bytes");
+        let unpacked = PackedRenewals::pack(leases.clone().collect()).unpack().expect("its own bytes");
         assert_eq!(unpacked.len(), heard.len());
         for (lease, unpacked) in leases.zip(unpacked) {
             assert_eq!(lease.number, unpacked.number);
@@ -327,7 +327,7 @@
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut encoded = Vec::new();
         ciborium::into_writer(&ciborium::Value::Bytes(bytes), &mut encoded).expect("bytes");
-        let leases: HeardLeases = ciborium::from_reader(encoded.as_slice()).expect("a byte string");
+        let leases: PackedRenewals = ciborium::from_reader(encoded.as_slice()).expect("a byte string");
         let _ = leases.unpack();
     }
 }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -18,8 +18,8 @@
 
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_coordination::leases::{
-    DeltaCursor, HeardLeases, InitialSync, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope,
-    NamedLease,
+    DeltaCursor, InitialSync, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope, NamedLease,
+    PackedRenewals,
 };
 use pollendrift_coordination::routing::EngineNote;
 
@@ -277,7 +277,7 @@
         let batch = LeaseBatch {
             table: self.fleet.table_number(),
             named,
-            heard: HeardLeases::default(),
+            heard: PackedRenewals::default(),
         };
         hub.send_to(hosts, &PeerFrame::Leases(batch));
     }
