--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -27,13 +27,13 @@
 pub use digest::ContentDigest;
 pub use load::AnnouncedLoad;
 pub use packed::{LeaseNumber, NumberedRenewal, PackedRenewals, RenewalDecodeError};
-pub use record::{HeardFrom, LeaseNews, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
+pub use record::{LeaseNews, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
 pub use settings::BackendLeaseSettings;
 pub use subset::{SubsetHost, SubsetSettings, entries_of, works_with};
 pub use worker::{WorkerLayers, WorkerOffer};
 
 use batch::NumberMap;
-use record::Hearing;
+use record::AnnounceReceipt;
 
 use crate::base::{HostName, Incarnation, MonotonicTime, ServerName};
 
@@ -85,20 +85,20 @@
 
     /// Takes an announcement that came to this host.
     pub fn merge(&mut self, now: MonotonicTime, announce: ServerAnnounce) -> MergeVerdict {
-        self.merge_heard(now, announce, Duration::ZERO, HeardFrom::Server)
+        self.merge_announce(now, announce, Duration::ZERO, LeaseSource::Server)
     }
 
-    fn merge_heard(
+    fn merge_announce(
         &mut self,
         now: MonotonicTime,
         announce: ServerAnnounce,
         age: Duration,
-        from: HeardFrom,
+        from: LeaseSource,
     ) -> MergeVerdict {
         if age >= self.settings.lease {
             return MergeVerdict::Stale;
         }
-        let hearing = Hearing {
+        let receipt = AnnounceReceipt {
             heard_at: now.before(age),
             // Not counted from `heard_at`, which is held at the start of this process: a delta
             // that outlived a restart of its receiver would then renew for a whole lease.
@@ -106,8 +106,8 @@
             from,
         };
         match self.by_name.get(&announce.server).copied() {
-            Some(key) => self.merge_known(key, hearing, announce),
-            None => self.merge_new(hearing, announce),
+            Some(key) => self.merge_known(key, receipt, announce),
+            None => self.merge_new(receipt, announce),
         }
     }
 
@@ -166,13 +166,13 @@
         self.by_expiry.first().map(|(deadline, _)| *deadline)
     }
 
-    fn merge_new(&mut self, hearing: Hearing, announce: ServerAnnounce) -> MergeVerdict {
+    fn merge_new(&mut self, receipt: AnnounceReceipt, announce: ServerAnnounce) -> MergeVerdict {
         if self.leases.len() >= self.settings.max_servers {
             return MergeVerdict::Full;
         }
         let name = announce.server.clone();
         self.last_number = LeaseNumber(self.last_number.0.saturating_add(1));
-        let lease = ServerLease::new(announce, hearing, self.last_number);
+        let lease = ServerLease::new(announce, receipt, self.last_number);
         let deadline = lease.deadline;
         let key = self.leases.insert(lease);
         self.by_name.insert(name, key);
@@ -184,13 +184,13 @@
     fn merge_known(
         &mut self,
         key: LeaseKey,
-        hearing: Hearing,
+        receipt: AnnounceReceipt,
         announce: ServerAnnounce,
     ) -> MergeVerdict {
         let Some(lease) = self.leases.get_mut(key) else {
             return MergeVerdict::Stale;
         };
-        if !lease.is_outranked_by(announce.incarnation, announce.sequence) {
+        if !lease.is_older_than(announce.incarnation, announce.sequence) {
             return MergeVerdict::Stale;
         }
         // A heartbeat sent before the leave can arrive after it with a higher sequence when the
@@ -203,17 +203,17 @@
             return MergeVerdict::Left;
         }
         let changed = lease.differs_from(&announce);
-        self.renew(key, announce, hearing, changed)
+        self.renew(key, announce, receipt, changed)
     }
 
     /// The server of a lease was heard again, by a host that says no more than that.
-    fn hear_again(
+    fn renew_unchanged(
         &mut self,
         now: MonotonicTime,
         key: LeaseKey,
         incarnation: Incarnation,
         age: Duration,
-        from: HeardFrom,
+        from: LeaseSource,
     ) -> Option<MergeVerdict> {
         let lease = self.leases.get(key)?;
         let heard_at = now.before(age);
@@ -221,27 +221,27 @@
         if is_known || age >= self.settings.lease || lease.announce.incarnation != incarnation {
             return None;
         }
-        let hearing = Hearing {
+        let receipt = AnnounceReceipt {
             heard_at,
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
         let (announce, ended) = (lease.announce.clone(), lease.ended);
-        Some(self.renew(key, announce, hearing, ended))
+        Some(self.renew(key, announce, receipt, ended))
     }
 
     fn renew(
         &mut self,
         key: LeaseKey,
         announce: ServerAnnounce,
-        hearing: Hearing,
+        receipt: AnnounceReceipt,
         is_changed: bool,
     ) -> MergeVerdict {
         let Some(lease) = self.leases.get_mut(key) else {
             return MergeVerdict::Stale;
         };
         let old_deadline = lease.deadline;
-        lease.renew(announce, hearing);
+        lease.renew(announce, receipt);
         let deadline = lease.deadline;
         self.by_expiry.remove(&(old_deadline, key));
         self.by_expiry.insert((deadline, key));
--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DeltaCursor, HeardFrom, LeaseDelta, LeaseKey, LeaseNumber, LeaseTable, MergeVerdict,
+    DeltaCursor, LeaseDelta, LeaseKey, LeaseNumber, LeaseSource, LeaseTable, MergeVerdict,
     NumberedRenewal, PackedRenewals, RenewalDecodeError, ServerLease, ServerState,
 };
 use crate::base::{HostName, Incarnation, MonotonicTime, ServerName};
@@ -32,10 +32,10 @@
 
 impl LeaseScope {
     /// Whether leases heard `from` there are in it.
-    pub fn holds(self, from: HeardFrom) -> bool {
+    pub fn holds(self, from: LeaseSource) -> bool {
         match self {
-            Self::Own => from == HeardFrom::Server,
-            Self::Area => from != HeardFrom::Keeper,
+            Self::Own => from == LeaseSource::Server,
+            Self::Area => from != LeaseSource::Keeper,
             Self::All => true,
         }
     }
@@ -192,7 +192,7 @@
     pub fn take_batch(
         &mut self,
         now: MonotonicTime,
-        sender: (&HostName, HeardFrom),
+        sender: (&HostName, LeaseSource),
         batch: LeaseBatch,
         transit: Duration,
     ) -> BatchOutcome {
@@ -225,7 +225,7 @@
         now: MonotonicTime,
         map: &NumberMap,
         heard: Vec<NumberedRenewal>,
-        from: HeardFrom,
+        from: LeaseSource,
         transit: Duration,
         outcome: &mut BatchOutcome,
     ) {
@@ -235,7 +235,7 @@
                 continue;
             };
             let age = age.saturating_add(transit);
-            let verdict = self.hear_again(now, key, incarnation, age, from);
+            let verdict = self.renew_unchanged(now, key, incarnation, age, from);
             if let (Some(verdict), Some(lease)) = (verdict, self.leases.get(key)) {
                 let server = lease.announce.server.clone();
                 outcome.taken.push((server, verdict));
@@ -268,7 +268,7 @@
     /// Whether the receiver was told name and content, and neither content nor load changed since.
     fn is_told_by_number(&self, cursor: DeltaCursor) -> bool {
         let named_at = self.content_version.max(self.from_version);
-        named_at <= cursor.complete && !self.tells_load(cursor)
+        named_at <= cursor.complete && !self.includes_load(cursor)
     }
 
     fn numbered_renewal(&self, now: MonotonicTime) -> NumberedRenewal {
--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    AnnouncedLoad, ContentDigest, HeardFrom, LeaseTable, MergeVerdict, ServerAnnounce, ServerLease,
-    ServerState,
+    AnnouncedLoad, ContentDigest, LeaseSource, LeaseTable, MergeVerdict, ServerAnnounce,
+    ServerLease, ServerState,
 };
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
@@ -176,7 +176,7 @@
         delta: LeaseDelta,
         transit: Duration,
     ) -> MergeVerdict {
-        self.merge_delta_from(now, delta, transit, HeardFrom::Peer)
+        self.merge_delta_from(now, delta, transit, LeaseSource::Peer)
     }
 
     /// Takes a delta from another host, which is `from` as this one sees it.
@@ -185,12 +185,12 @@
         now: MonotonicTime,
         delta: LeaseDelta,
         transit: Duration,
-        from: HeardFrom,
+        from: LeaseSource,
     ) -> MergeVerdict {
         match delta {
             LeaseDelta::Full(full) => {
                 let age = full.age.saturating_add(transit);
-                self.merge_heard(now, full.announce, age, from)
+                self.merge_announce(now, full.announce, age, from)
             }
             LeaseDelta::Renewal(renewal) => self.merge_renewal(now, renewal, transit, from),
         }
@@ -201,7 +201,7 @@
         now: MonotonicTime,
         renewal: LeaseRenewal,
         transit: Duration,
-        from: HeardFrom,
+        from: LeaseSource,
     ) -> MergeVerdict {
         let age = renewal.age.saturating_add(transit);
         if age >= self.settings.lease {
@@ -217,10 +217,10 @@
         if held == (renewal.incarnation, renewal.sequence) && lease.digest == renewal.digest {
             // The same announcement, of a server that was heard since: the numbers of heartbeats are
             // not passed on.
-            let heard = self.hear_again(now, key, renewal.incarnation, age, from);
+            let heard = self.renew_unchanged(now, key, renewal.incarnation, age, from);
             return heard.unwrap_or(MergeVerdict::Stale);
         }
-        if !lease.is_outranked_by(renewal.incarnation, renewal.sequence) {
+        if !lease.is_older_than(renewal.incarnation, renewal.sequence) {
             return MergeVerdict::Stale;
         }
         let held = &lease.announce;
@@ -235,13 +235,13 @@
             load: renewal.load.unwrap_or(held.load),
             ..held.clone()
         };
-        self.merge_heard(now, announce, age, from)
+        self.merge_announce(now, announce, age, from)
     }
 }
 
 impl ServerLease {
     fn is_own(&self) -> bool {
-        !self.ended && self.from == HeardFrom::Server
+        !self.ended && self.from == LeaseSource::Server
     }
 
     pub(super) fn full_delta(&self, now: MonotonicTime) -> LeaseDelta {
@@ -255,25 +255,25 @@
         if self.content_version > cursor.complete {
             return self.full_delta(now);
         }
-        self.renewal(now, self.tells_load(cursor))
+        self.renewal(now, self.includes_load(cursor))
     }
 
     /// Whether a receiver that was told up to `cursor` is to be told the load.
-    pub(super) fn tells_load(&self, cursor: DeltaCursor) -> bool {
+    pub(super) fn includes_load(&self, cursor: DeltaCursor) -> bool {
         // Only who hears the server itself knows the numbers of its heartbeats.
-        let is_heard = self.from == HeardFrom::Server && self.has_load;
+        let is_heard = self.from == LeaseSource::Server && self.has_load;
         let is_due = is_heard && self.announce.sequence.0.is_multiple_of(LOAD_PERIOD);
         is_due || self.load_version > cursor.complete
     }
 
-    pub(super) fn renewal(&self, now: MonotonicTime, tells_load: bool) -> LeaseDelta {
+    pub(super) fn renewal(&self, now: MonotonicTime, includes_load: bool) -> LeaseDelta {
         LeaseDelta::Renewal(LeaseRenewal {
             server: self.announce.server.clone(),
             incarnation: self.announce.incarnation,
             sequence: self.announce.sequence,
             digest: self.digest,
             age: now.since(self.heard_at),
-            load: tells_load.then_some(self.told_load),
+            load: includes_load.then_some(self.sent_load),
         })
     }
 }
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -47,7 +47,7 @@
 ///
 /// Invariants: (incarnation, sequence) of `announce` never falls; `ended` is false only while the
 /// lease runs; `version` is unique in the table, and none of `content_version`, `from_version` and
-/// `load_version` is above it; `digest` is that of `announce`; `told_load` is within a step of `announce.load`.
+/// `load_version` is above it; `digest` is that of `announce`; `sent_load` is within a step of `announce.load`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerLease {
     /// Number by which other hosts are told of heartbeats.
@@ -61,7 +61,7 @@
     /// End of the lease; once ended, the time at which the server is forgotten.
     pub deadline: MonotonicTime,
     /// Whom the announcement was heard from.
-    pub from: HeardFrom,
+    pub from: LeaseSource,
     /// Whether the lease ran out.
     pub ended: bool,
     /// Version of the table at the last renewal or change; orders deltas.
@@ -69,36 +69,41 @@
     /// Version of the table when `digest` last changed.
     pub content_version: u64,
     /// Ways in which the server was heard of so far.
-    pub heard_from: BTreeSet<HeardFrom>,
+    pub heard_from: BTreeSet<LeaseSource>,
     /// Version of the table when `heard_from` last grew: who was told of the lease depends on it. A server
     /// whose heartbeats go now here, now there is not named anew each time.
     pub from_version: u64,
-    /// Version of the table when `told_load` last changed.
+    /// Version of the table when `sent_load` last changed.
     pub load_version: u64,
     /// Digest of the announcement's content.
     pub digest: ContentDigest,
     /// Load that peers are told.
-    pub told_load: AnnouncedLoad,
+    #[serde(rename = "told_load")]
+    pub sent_load: AnnouncedLoad,
     /// Whether the server ever told a load.
     pub has_load: bool,
 }
 
 impl ServerLease {
-    pub(super) fn new(announce: ServerAnnounce, hearing: Hearing, number: LeaseNumber) -> Self {
+    pub(super) fn new(
+        announce: ServerAnnounce,
+        receipt: AnnounceReceipt,
+        number: LeaseNumber,
+    ) -> Self {
         Self {
             number,
-            heard_at: hearing.heard_at,
-            since: hearing.heard_at,
-            deadline: hearing.deadline,
-            from: hearing.from,
+            heard_at: receipt.heard_at,
+            since: receipt.heard_at,
+            deadline: receipt.deadline,
+            from: receipt.from,
             ended: false,
             version: 0,
             content_version: 0,
-            heard_from: BTreeSet::from([hearing.from]),
+            heard_from: BTreeSet::from([receipt.from]),
             from_version: 0,
             load_version: 0,
             digest: ContentDigest::of(&announce),
-            told_load: announce.load,
+            sent_load: announce.load,
             has_load: announce.load != AnnouncedLoad::default(),
             announce,
         }
@@ -109,11 +114,7 @@
         !self.ended && now < self.deadline && self.announce.state == ServerState::Serving
     }
 
-    pub(super) fn is_outranked_by(
-        &self,
-        incarnation: Incarnation,
-        sequence: SequenceNumber,
-    ) -> bool {
+    pub(super) fn is_older_than(&self, incarnation: Incarnation, sequence: SequenceNumber) -> bool {
         (incarnation, sequence) > (self.announce.incarnation, self.announce.sequence)
     }
 
@@ -138,25 +139,25 @@
             self.digest = ContentDigest::of(&self.announce);
             self.content_version = version;
         }
-        if is_changed || self.announce.load.is_beyond_step(&self.told_load) {
-            self.told_load = self.announce.load;
+        if is_changed || self.announce.load.is_beyond_step(&self.sent_load) {
+            self.sent_load = self.announce.load;
             self.load_version = version;
         }
     }
 
-    pub(super) fn renew(&mut self, announce: ServerAnnounce, hearing: Hearing) {
+    pub(super) fn renew(&mut self, announce: ServerAnnounce, receipt: AnnounceReceipt) {
         if self.ended || self.announce.incarnation != announce.incarnation {
-            self.since = hearing.heard_at;
+            self.since = receipt.heard_at;
         }
         self.has_load |= announce.load != AnnouncedLoad::default();
         self.announce = announce;
-        self.heard_at = hearing.heard_at;
-        self.from = hearing.from;
+        self.heard_at = receipt.heard_at;
+        self.from = receipt.from;
         // A later announcement that travelled longer must not shorten the lease of an earlier one.
         self.deadline = if self.ended {
-            hearing.deadline
+            receipt.deadline
         } else {
-            self.deadline.max(hearing.deadline)
+            self.deadline.max(receipt.deadline)
         };
         self.ended = false;
     }
@@ -165,7 +166,7 @@
 /// Whom an announcement was heard from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum HeardFrom {
+pub enum LeaseSource {
     /// The backend server itself.
     Server,
     /// Another host, which heard the server itself.
@@ -176,10 +177,10 @@
 
 /// When an announcement was heard, and how long it holds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Hearing {
+pub(super) struct AnnounceReceipt {
     pub(super) heard_at: MonotonicTime,
     pub(super) deadline: MonotonicTime,
-    pub(super) from: HeardFrom,
+    pub(super) from: LeaseSource,
 }
 
 /// What became of an announcement.
--- a/crates/coordination/src/routing/engine.rs
+++ b/crates/coordination/src/routing/engine.rs
@@ -107,7 +107,7 @@
     }
 
     /// Whether `other` is newer, by incarnation and then by sequence.
-    pub fn is_outranked_by(&self, other: &Self) -> bool {
+    pub fn is_older_than(&self, other: &Self) -> bool {
         (self.incarnation, self.sequence) < (other.incarnation, other.sequence)
     }
 
--- a/crates/coordination/src/routing/fleet.rs
+++ b/crates/coordination/src/routing/fleet.rs
@@ -211,7 +211,7 @@
             return UpsertOutcome::Ignored;
         };
         let current = &record.announcement;
-        if !current.is_outranked_by(&announcement) {
+        if !current.is_older_than(&announcement) {
             return UpsertOutcome::Ignored;
         }
         let restarted = current.incarnation != announcement.incarnation;
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -9,7 +9,7 @@
 };
 use pollendrift_coordination::leases::{
     AnnouncedLoad, AssignmentSettings, AssignmentTable, BackendLeaseSettings, DeltaCursor,
-    HeardFrom, HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber, LeaseScope, LeaseTable,
+    HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber, LeaseScope, LeaseSource, LeaseTable,
     MergeVerdict, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
 };
 use proptest::prelude::{any, prop, proptest};
@@ -77,7 +77,7 @@
     }
 
     /// Tells `other` what is new, and answers what it asks for in return; returns the encoded bytes.
-    fn tell(&mut self, now: u64, other: &mut Self, scope: LeaseScope, from: HeardFrom) -> usize {
+    fn tell(&mut self, now: u64, other: &mut Self, scope: LeaseScope, from: LeaseSource) -> usize {
         let mut batches = self.batches(now, &other.name, scope);
         let mut bytes = 0;
         while let Some(batch) = batches.pop() {
@@ -124,14 +124,14 @@
     for server in 0..SERVERS {
         near.table.merge(at(0), announce(server, 1));
     }
-    near.tell(100, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-    far.tell(200, &mut entry, LeaseScope::All, HeardFrom::Keeper);
-    far.tell(200, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+    near.tell(100, &mut far, LeaseScope::Area, LeaseSource::Keeper);
+    far.tell(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+    far.tell(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
     // The entry's servers are named to its keeper once.
     for server in (0..SERVERS).step_by(100) {
         entry.table.merge(at(600), announce(server, 2));
     }
-    entry.tell(700, &mut far, LeaseScope::Own, HeardFrom::Peer);
+    entry.tell(700, &mut far, LeaseScope::Own, LeaseSource::Peer);
     let mut bytes = (0, 0);
     for beat in 1..=10 {
         let now = 1_200 * beat;
@@ -145,9 +145,14 @@
             let verdict = hearer.table.merge(at(now), announce(server, 2 + beat));
             assert_eq!(verdict, MergeVerdict::Renewed);
         }
-        bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, HeardFrom::Peer);
-        near.tell(now + 100, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-        bytes.1 += far.tell(now + 300, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
+        near.tell(now + 100, &mut far, LeaseScope::Area, LeaseSource::Keeper);
+        bytes.1 += far.tell(
+            now + 300,
+            &mut follower,
+            LeaseScope::All,
+            LeaseSource::Keeper,
+        );
     }
     assert_eq!(follower.serving(12_300), SERVERS);
     let (up, down) = (bytes.0 / 10, bytes.1 / 10);
@@ -164,14 +169,14 @@
     let mut follower = LeaseHost::new("entry-2");
     near.table.merge(at(0), announce(1, 1));
     for now in (200..12_000).step_by(200) {
-        near.tell(now, &mut entry, LeaseScope::All, HeardFrom::Keeper);
+        near.tell(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
         if now == 1_200 {
             entry.table.merge(at(now), announce(1, 2));
         }
-        entry.tell(now, &mut near, LeaseScope::Own, HeardFrom::Peer);
-        near.tell(now, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-        far.tell(now, &mut near, LeaseScope::Area, HeardFrom::Keeper);
-        far.tell(now, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        entry.tell(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
+        near.tell(now, &mut far, LeaseScope::Area, LeaseSource::Keeper);
+        far.tell(now, &mut near, LeaseScope::Area, LeaseSource::Keeper);
+        far.tell(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
         let hosts = [&entry, &near, &far, &follower];
         let serving: Vec<usize> = hosts.map(|host| host.serving(now)).to_vec();
         if now < 5_000 {
@@ -200,9 +205,19 @@
         for server in 0..SERVERS {
             first.table.merge(at(now), announce(server, 1 + beat));
         }
-        first.tell(now + 100, &mut second, LeaseScope::Area, HeardFrom::Keeper);
+        first.tell(
+            now + 100,
+            &mut second,
+            LeaseScope::Area,
+            LeaseSource::Keeper,
+        );
         let followed = if beat < 4 { &mut first } else { &mut second };
-        let told = followed.tell(now + 200, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        let told = followed.tell(
+            now + 200,
+            &mut follower,
+            LeaseScope::All,
+            LeaseSource::Keeper,
+        );
         bytes.push(told);
         assert_eq!(follower.serving(now + 1_199), SERVERS, "beat {beat}");
     }
@@ -235,7 +250,7 @@
         named: left,
         heard: PackedRenewals::default(),
     };
-    let sender = (&keeper.name, HeardFrom::Keeper);
+    let sender = (&keeper.name, LeaseSource::Keeper);
     stranger.table.take_batch(at(400), sender, batch, TRANSIT);
     assert_eq!(stranger.serving(400), 0);
     assert_eq!(keeper.table.left_since(at(500), version).0, []);
@@ -247,7 +262,7 @@
     let mut sender = LeaseHost::new("keeper-1");
     let mut receiver = LeaseHost::new("entry-1");
     sender.table.merge(at(0), announce(1, 1));
-    sender.tell(100, &mut receiver, LeaseScope::Own, HeardFrom::Keeper);
+    sender.tell(100, &mut receiver, LeaseScope::Own, LeaseSource::Keeper);
     let batch = LeaseBatch {
         table: Incarnation(8),
         named: Vec::new(),
@@ -256,7 +271,7 @@
             age: Duration::ZERO,
         }]),
     };
-    let from = (&sender.name, HeardFrom::Keeper);
+    let from = (&sender.name, LeaseSource::Keeper);
     let outcome = receiver.table.take_batch(at(4_000), from, batch, TRANSIT);
     assert_eq!(outcome.taken, []);
     assert_eq!(outcome.unnamed, [LeaseNumber(1)]);
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -17,8 +17,8 @@
 };
 use pollendrift_coordination::configuration::ServerFacts;
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, HeardFrom, InitialSync,
-    LeaseBatch, LeaseNews, LeaseNumber, LeaseScope, LeaseTable, MergeVerdict, NamedLease,
+    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, InitialSync, LeaseBatch,
+    LeaseNews, LeaseNumber, LeaseScope, LeaseSource, LeaseTable, MergeVerdict, NamedLease,
     ServerAnnounce, ServerLease, ServerState,
 };
 use pollendrift_coordination::routing::{
@@ -132,7 +132,7 @@
     pub fn take_batch(
         &self,
         now: MonotonicTime,
-        sender: (&HostName, HeardFrom),
+        sender: (&HostName, LeaseSource),
         batch: LeaseBatch,
         transit: Duration,
     ) -> BatchOutcome {
--- a/crates/daemon/src/spread/audience.rs
+++ b/crates/daemon/src/spread/audience.rs
@@ -5,7 +5,7 @@
 
 use pollendrift_coordination::base::{HostName, MonotonicTime};
 use pollendrift_coordination::following::FollowerTable;
-use pollendrift_coordination::leases::{HeardFrom, LeaseScope};
+use pollendrift_coordination::leases::{LeaseScope, LeaseSource};
 
 use crate::feed::ConfigurationFeed;
 use crate::keeper::KeeperList;
@@ -36,10 +36,10 @@
     }
 
     /// What `host` is to the leases that it tells of.
-    pub(super) fn kind_of(&self, host: &HostName) -> HeardFrom {
+    pub(super) fn kind_of(&self, host: &HostName) -> LeaseSource {
         match &self.keepers {
-            KeeperList::Found(discovery) if discovery.is_keeper(host) => HeardFrom::Keeper,
-            _ => HeardFrom::Peer,
+            KeeperList::Found(discovery) if discovery.is_keeper(host) => LeaseSource::Keeper,
+            _ => LeaseSource::Peer,
         }
     }
 
@@ -51,7 +51,7 @@
     /// Hosts that follow this keeper and are no keepers themselves.
     pub(super) fn followers(&self, now: MonotonicTime) -> Vec<HostName> {
         let mut hosts = self.table().hosts(now);
-        hosts.retain(|host| self.kind_of(host) != HeardFrom::Keeper);
+        hosts.retain(|host| self.kind_of(host) != LeaseSource::Keeper);
         hosts
     }
 
--- a/crates/standins/examples/experiment/spreading.rs
+++ b/crates/standins/examples/experiment/spreading.rs
@@ -6,8 +6,8 @@
 use pollendrift::peers::{PeerFrame, decode_frame, encode_frame};
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_coordination::leases::{
-    BackendLeaseSettings, DeltaCursor, HeardFrom, InitialSync, LeaseBatch, LeaseDelta, LeaseScope,
-    NamedLease, SubsetHost, SubsetSettings, entries_of,
+    BackendLeaseSettings, DeltaCursor, InitialSync, LeaseBatch, LeaseDelta, LeaseScope,
+    LeaseSource, NamedLease, SubsetHost, SubsetSettings, entries_of,
 };
 use pollendrift_coordination::routing::RoutingSettings;
 
@@ -87,7 +87,7 @@
             loads += frames
                 .iter()
                 .flat_map(|batch| &batch.named)
-                .filter(|named| tells_load(named))
+                .filter(|named| includes_load(named))
                 .count();
             last = frames;
         }
@@ -99,7 +99,7 @@
     vec![full, renewed, told, encode]
 }
 
-fn tells_load(named: &NamedLease) -> bool {
+fn includes_load(named: &NamedLease) -> bool {
     match &named.delta {
         LeaseDelta::Full(_) => true,
         LeaseDelta::Renewal(renewal) => renewal.load.is_some(),
@@ -182,7 +182,7 @@
         let Ok(PeerFrame::Leases(batch)) = decode_frame(bytes) else {
             fail("an encoded frame can't be read");
         };
-        fleet.take_batch(now, (&sender, HeardFrom::Peer), batch, Duration::ZERO);
+        fleet.take_batch(now, (&sender, LeaseSource::Peer), batch, Duration::ZERO);
     }
 }
 
