--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -27,7 +27,7 @@
 pub use digest::ContentDigest;
 pub use load::AnnouncedLoad;
 pub use packed::{LeaseNumber, NumberedRenewal, PackedRenewals, RenewalDecodeError};
-pub use record::{LeaseNews, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
+pub use record::{LeaseEvent, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
 pub use settings::BackendLeaseSettings;
 pub use subset::{SubsetHost, SubsetSettings, entries_of, works_with};
 pub use worker::{WorkerLayers, WorkerOffer};
@@ -112,7 +112,7 @@
     }
 
     /// Ends the leases that ran out and forgets servers after the retention; call it every tick.
-    pub fn tick(&mut self, now: MonotonicTime) -> Vec<LeaseNews> {
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<LeaseEvent> {
         let mut news = Vec::new();
         while let Some((deadline, key)) = self.by_expiry.first().copied() {
             if deadline > now {
@@ -253,18 +253,18 @@
         }
     }
 
-    fn expire(&mut self, now: MonotonicTime, key: LeaseKey) -> Option<LeaseNews> {
+    fn expire(&mut self, now: MonotonicTime, key: LeaseKey) -> Option<LeaseEvent> {
         let retention = self.settings.retention;
         let lease = self.leases.get_mut(key)?;
         let server = lease.announce.server.clone();
         if lease.ended {
             self.forget(key);
-            return Some(LeaseNews::Forgotten { server });
+            return Some(LeaseEvent::Forgotten { server });
         }
         lease.ended = true;
         lease.deadline = now.after(retention);
         self.by_expiry.insert((lease.deadline, key));
-        Some(LeaseNews::Ended { server })
+        Some(LeaseEvent::Ended { server })
     }
 
     fn forget(&mut self, key: LeaseKey) {
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -204,7 +204,7 @@
 /// What a tick decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum LeaseNews {
+pub enum LeaseEvent {
     /// The lease ran out: no new work.
     Ended {
         /// The server.
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -18,7 +18,7 @@
 use pollendrift_coordination::configuration::ServerFacts;
 use pollendrift_coordination::leases::{
     AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, InitialSync, LeaseBatch,
-    LeaseNews, LeaseNumber, LeaseScope, LeaseSource, LeaseTable, MergeVerdict, NamedLease,
+    LeaseEvent, LeaseNumber, LeaseScope, LeaseSource, LeaseTable, MergeVerdict, NamedLease,
     ServerAnnounce, ServerLease, ServerState,
 };
 use pollendrift_coordination::routing::{
@@ -185,7 +185,7 @@
     }
 
     /// Ends leases that ran out.
-    pub fn tick(&self, now: MonotonicTime) -> Vec<LeaseNews> {
+    pub fn tick(&self, now: MonotonicTime) -> Vec<LeaseEvent> {
         let mut state = self.lock();
         let news = state.leases.tick(now);
         for item in &news {
@@ -360,12 +360,12 @@
         self.planner.remove(server);
     }
 
-    fn end(&mut self, news: &LeaseNews) {
+    fn end(&mut self, news: &LeaseEvent) {
         match news {
-            LeaseNews::Ended { server } => {
+            LeaseEvent::Ended { server } => {
                 self.planner.remove(server);
             }
-            LeaseNews::Forgotten { server } => self.drop_view(server),
+            LeaseEvent::Forgotten { server } => self.drop_view(server),
         }
     }
 }
