--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -65,11 +65,11 @@
 impl LeaseTable {
     /// An empty table.
     pub fn new(settings: BackendLeaseSettings) -> Self {
-        Self::numbered(settings, Incarnation(0))
+        Self::with_incarnation(settings, Incarnation(0))
     }
 
     /// An empty table whose numbers are told from those of others of the host by `table`.
-    pub fn numbered(settings: BackendLeaseSettings, table: Incarnation) -> Self {
+    pub fn with_incarnation(settings: BackendLeaseSettings, table: Incarnation) -> Self {
         Self {
             settings,
             table,
--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -25,17 +25,17 @@
     /// Those of servers that this host heard itself.
     Own,
     /// Those, and what hosts that follow this keeper heard.
-    Area,
+    OwnAndFollowers,
     /// All.
     All,
 }
 
 impl LeaseScope {
     /// Whether leases heard `from` there are in it.
-    pub fn holds(self, from: LeaseSource) -> bool {
+    pub fn includes(self, from: LeaseSource) -> bool {
         match self {
             Self::Own => from == LeaseSource::Server,
-            Self::Area => from != LeaseSource::Keeper,
+            Self::OwnAndFollowers => from != LeaseSource::Keeper,
             Self::All => true,
         }
     }
@@ -83,9 +83,9 @@
     /// Servers whose leases changed or were renewed.
     pub taken: Vec<(ServerName, MergeVerdict)>,
     /// Servers whose announcements must be asked for.
-    pub unknown: Vec<ServerName>,
+    pub unknown_servers: Vec<ServerName>,
     /// Numbers that must be asked for.
-    pub unnamed: Vec<LeaseNumber>,
+    pub unknown_numbers: Vec<LeaseNumber>,
     /// Why heartbeats by number were not taken.
     pub fault: Option<RenewalDecodeError>,
 }
@@ -127,7 +127,7 @@
             let Some(lease) = self.leases.get(*key) else {
                 continue;
             };
-            if lease.ended || !scope.holds(lease.from) {
+            if lease.ended || !scope.includes(lease.from) {
                 continue;
             }
             if !is_first && lease.is_told_by_number(cursor) {
@@ -153,27 +153,27 @@
 
     /// Servers that said since `version` of this table that they leave, to this host or to one that follows
     /// it, and the present version.
-    pub fn left_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
+    pub fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
         let leases = self.by_version.range(version.saturating_add(1)..);
         let leases = leases.filter_map(|(_, key)| self.leases.get(*key));
         let left = leases.filter(|lease| {
             lease.content_version > version
                 && lease.announce.state == ServerState::Leaving
-                && LeaseScope::Area.holds(lease.from)
+                && LeaseScope::OwnAndFollowers.includes(lease.from)
         });
-        let named = left.map(|lease| lease.named_in_full(now));
+        let named = left.map(|lease| lease.named_lease(now));
         (named.collect(), self.version)
     }
 
     /// Full announcements of `servers`, as far as they are held.
-    pub fn named_in_full(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<NamedLease> {
+    pub fn full_leases(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<NamedLease> {
         let leases = servers.iter().filter_map(|server| self.get(server));
         let held = leases.filter(|lease| !lease.ended);
-        held.map(|lease| lease.named_in_full(now)).collect()
+        held.map(|lease| lease.named_lease(now)).collect()
     }
 
     /// Names of `numbers`, as far as they are held.
-    pub fn named_by_number(&self, now: MonotonicTime, numbers: &[LeaseNumber]) -> Vec<NamedLease> {
+    pub fn leases_by_number(&self, now: MonotonicTime, numbers: &[LeaseNumber]) -> Vec<NamedLease> {
         let is_asked = |lease: &&ServerLease| numbers.binary_search(&lease.number).is_ok();
         let leases = self.leases.values().filter(|lease| !lease.ended);
         let named = leases.filter(is_asked).map(|lease| NamedLease {
@@ -184,12 +184,12 @@
     }
 
     /// Number of this table, which its batches carry.
-    pub fn table_number(&self) -> Incarnation {
+    pub fn table_incarnation(&self) -> Incarnation {
         self.table
     }
 
     /// Takes a batch of `sender`; `transit` is the longest time that it may have travelled.
-    pub fn take_batch(
+    pub fn merge_batch(
         &mut self,
         now: MonotonicTime,
         sender: (&HostName, LeaseSource),
@@ -204,7 +204,7 @@
             let incarnation = named.delta.incarnation();
             let verdict = self.merge_delta_from(now, named.delta, transit, from);
             if verdict == MergeVerdict::Unknown {
-                outcome.unknown.push(server);
+                outcome.unknown_servers.push(server);
                 continue;
             }
             if let Some(key) = self.by_name.get(&server) {
@@ -231,7 +231,7 @@
     ) {
         for NumberedRenewal { number, age } in heard {
             let Some((key, incarnation)) = map.leases.get(&number).copied() else {
-                outcome.unnamed.push(number);
+                outcome.unknown_numbers.push(number);
                 continue;
             };
             let age = age.saturating_add(transit);
@@ -278,7 +278,7 @@
         }
     }
 
-    fn named_in_full(&self, now: MonotonicTime) -> NamedLease {
+    fn named_lease(&self, now: MonotonicTime) -> NamedLease {
         NamedLease {
             number: self.number,
             delta: self.full_delta(now),
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -54,7 +54,7 @@
         };
         Self {
             name: name.into(),
-            table: LeaseTable::numbered(settings, Incarnation(7)),
+            table: LeaseTable::with_incarnation(settings, Incarnation(7)),
             cursors: BTreeMap::new(),
             first: InitialSync::Full,
         }
@@ -83,13 +83,15 @@
         while let Some(batch) = batches.pop() {
             bytes += encoded(&batch);
             let sender = (&self.name, from);
-            let outcome = other.table.take_batch(at(now), sender, batch, TRANSIT);
-            let named = self.table.named_in_full(at(now), &outcome.unknown);
-            let numbered = self.table.named_by_number(at(now), &outcome.unnamed);
+            let outcome = other.table.merge_batch(at(now), sender, batch, TRANSIT);
+            let named = self.table.full_leases(at(now), &outcome.unknown_servers);
+            let numbered = self
+                .table
+                .leases_by_number(at(now), &outcome.unknown_numbers);
             for named in [named, numbered] {
                 if !named.is_empty() {
                     batches.push(LeaseBatch {
-                        table: self.table.table_number(),
+                        table: self.table.table_incarnation(),
                         named,
                         heard: PackedRenewals::default(),
                     });
@@ -124,7 +126,12 @@
     for server in 0..SERVERS {
         near.table.merge(at(0), announce(server, 1));
     }
-    near.tell(100, &mut far, LeaseScope::Area, LeaseSource::Keeper);
+    near.tell(
+        100,
+        &mut far,
+        LeaseScope::OwnAndFollowers,
+        LeaseSource::Keeper,
+    );
     far.tell(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
     far.tell(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
     // The entry's servers are named to its keeper once.
@@ -146,7 +153,12 @@
             assert_eq!(verdict, MergeVerdict::Renewed);
         }
         bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
-        near.tell(now + 100, &mut far, LeaseScope::Area, LeaseSource::Keeper);
+        near.tell(
+            now + 100,
+            &mut far,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
         bytes.1 += far.tell(
             now + 300,
             &mut follower,
@@ -174,8 +186,18 @@
             entry.table.merge(at(now), announce(1, 2));
         }
         entry.tell(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
-        near.tell(now, &mut far, LeaseScope::Area, LeaseSource::Keeper);
-        far.tell(now, &mut near, LeaseScope::Area, LeaseSource::Keeper);
+        near.tell(
+            now,
+            &mut far,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
+        far.tell(
+            now,
+            &mut near,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
         far.tell(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
         let hosts = [&entry, &near, &far, &follower];
         let serving: Vec<usize> = hosts.map(|host| host.serving(now)).to_vec();
@@ -208,7 +230,7 @@
         first.tell(
             now + 100,
             &mut second,
-            LeaseScope::Area,
+            LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
         let followed = if beat < 4 { &mut first } else { &mut second };
@@ -233,27 +255,27 @@
     for server in 0..3 {
         keeper.table.merge(at(0), announce(server, 1));
     }
-    let (left, version) = keeper.table.left_since(at(100), 0);
+    let (left, version) = keeper.table.leaving_since(at(100), 0);
     assert_eq!(left, []);
     let leaving = ServerAnnounce {
         state: ServerState::Leaving,
         ..announce(1, 2)
     };
     keeper.table.merge(at(200), leaving);
-    let (left, version) = keeper.table.left_since(at(300), version);
+    let (left, version) = keeper.table.leaving_since(at(300), version);
     let servers: Vec<&ServerName> = left.iter().map(|named| named.delta.server()).collect();
     assert_eq!(servers, [&ServerName::from("engine-0001")]);
     let mut stranger = LeaseHost::new("entry-1");
     stranger.table.merge(at(0), announce(1, 1));
     let batch = LeaseBatch {
-        table: keeper.table.table_number(),
+        table: keeper.table.table_incarnation(),
         named: left,
         heard: PackedRenewals::default(),
     };
     let sender = (&keeper.name, LeaseSource::Keeper);
-    stranger.table.take_batch(at(400), sender, batch, TRANSIT);
+    stranger.table.merge_batch(at(400), sender, batch, TRANSIT);
     assert_eq!(stranger.serving(400), 0);
-    assert_eq!(keeper.table.left_since(at(500), version).0, []);
+    assert_eq!(keeper.table.leaving_since(at(500), version).0, []);
 }
 
 // Guards against numbers of an earlier process: they name other leases than those of the present one.
@@ -272,9 +294,9 @@
         }]),
     };
     let from = (&sender.name, LeaseSource::Keeper);
-    let outcome = receiver.table.take_batch(at(4_000), from, batch, TRANSIT);
+    let outcome = receiver.table.merge_batch(at(4_000), from, batch, TRANSIT);
     assert_eq!(outcome.taken, []);
-    assert_eq!(outcome.unnamed, [LeaseNumber(1)]);
+    assert_eq!(outcome.unknown_numbers, [LeaseNumber(1)]);
     assert_eq!(receiver.serving(5_500), 0);
 }
 
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -99,7 +99,7 @@
     /// An empty fleet.
     pub fn new(settings: BackendLeaseSettings, routing: RoutingSettings, seed: u64) -> Self {
         let inner = FleetState {
-            leases: LeaseTable::numbered(settings, Incarnation(seed)),
+            leases: LeaseTable::with_incarnation(settings, Incarnation(seed)),
             views: BTreeMap::new(),
             workers: BTreeMap::new(),
             survey: SurveyBoard::default(),
@@ -129,7 +129,7 @@
     }
 
     /// Takes what another host told of leases.
-    pub fn take_batch(
+    pub fn merge_batch(
         &self,
         now: MonotonicTime,
         sender: (&HostName, LeaseSource),
@@ -137,7 +137,7 @@
         transit: Duration,
     ) -> BatchOutcome {
         let mut state = self.lock();
-        let outcome = state.leases.take_batch(now, sender, batch, transit);
+        let outcome = state.leases.merge_batch(now, sender, batch, transit);
         for (server, verdict) in &outcome.taken {
             state.follow(now, server, *verdict);
         }
@@ -157,31 +157,31 @@
     }
 
     /// Servers that said since `version` of the lease table that they leave, and the present version.
-    pub(crate) fn left_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
-        self.lock().leases.left_since(now, version)
+    pub(crate) fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
+        self.lock().leases.leaving_since(now, version)
     }
 
     /// Full announcements of those of `servers` that are held.
-    pub(crate) fn named_in_full(
+    pub(crate) fn full_leases(
         &self,
         now: MonotonicTime,
         servers: &[ServerName],
     ) -> Vec<NamedLease> {
-        self.lock().leases.named_in_full(now, servers)
+        self.lock().leases.full_leases(now, servers)
     }
 
     /// Names of the leases with `numbers`, which rise.
-    pub(crate) fn named_by_number(
+    pub(crate) fn leases_by_number(
         &self,
         now: MonotonicTime,
         numbers: &[LeaseNumber],
     ) -> Vec<NamedLease> {
-        self.lock().leases.named_by_number(now, numbers)
+        self.lock().leases.leases_by_number(now, numbers)
     }
 
     /// Number of the lease table, which batches of it carry.
-    pub(crate) fn table_number(&self) -> Incarnation {
-        self.lock().leases.table_number()
+    pub(crate) fn table_incarnation(&self) -> Incarnation {
+        self.lock().leases.table_incarnation()
     }
 
     /// Ends leases that ran out.
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -116,7 +116,7 @@
         let state = self.lock();
         let is_in_area = |worker: &&Arc<WorkerView>| {
             let lease = state.leases.get(&worker.server);
-            lease.is_some_and(|lease| LeaseScope::Area.holds(lease.from))
+            lease.is_some_and(|lease| LeaseScope::OwnAndFollowers.includes(lease.from))
         };
         workers.iter().filter(is_in_area).cloned().collect()
     }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -94,15 +94,17 @@
     pub fn take(&self, hub: &PeerHub, from: &HostName, batch: LeaseBatch) {
         let now = self.clock.now();
         let sender = (from, self.audience.kind_of(from));
-        let outcome = self.fleet.take_batch(now, sender, batch, TRANSIT_ALLOWANCE);
+        let outcome = self
+            .fleet
+            .merge_batch(now, sender, batch, TRANSIT_ALLOWANCE);
         if let Some(fault) = outcome.fault {
             log::warn!(host:% = from, reason:% = fault; "renewals not taken");
         }
-        if !outcome.unknown.is_empty() {
-            let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown));
+        if !outcome.unknown_servers.is_empty() {
+            let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown_servers));
         }
-        if !outcome.unnamed.is_empty() {
-            let _ = hub.send(from, &PeerFrame::LeaseNumbers(outcome.unnamed));
+        if !outcome.unknown_numbers.is_empty() {
+            let _ = hub.send(from, &PeerFrame::LeaseNumbers(outcome.unknown_numbers));
         }
     }
 
@@ -132,7 +134,7 @@
     pub fn answer(&self, hub: &PeerHub, from: &HostName, servers: &[ServerName]) {
         let now = self.clock.now();
         for servers in servers.chunks(FRAME_LEASES) {
-            let named = self.fleet.named_in_full(now, servers);
+            let named = self.fleet.full_leases(now, servers);
             self.tell_named(hub, std::slice::from_ref(from), named);
         }
     }
@@ -140,7 +142,7 @@
     /// Answers a peer's question for the names of leases that it was told by number.
     pub fn answer_numbers(&self, hub: &PeerHub, from: &HostName, numbers: &[LeaseNumber]) {
         let now = self.clock.now();
-        let named = self.fleet.named_by_number(now, numbers);
+        let named = self.fleet.leases_by_number(now, numbers);
         for named in named.chunks(FRAME_LEASES) {
             self.tell_named(hub, std::slice::from_ref(from), named.to_vec());
         }
@@ -261,7 +263,7 @@
                 .left_told
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let (left, version) = self.fleet.left_since(now, *told);
+            let (left, version) = self.fleet.leaving_since(now, *told);
             *told = version;
             left
         };
@@ -275,7 +277,7 @@
             return;
         }
         let batch = LeaseBatch {
-            table: self.fleet.table_number(),
+            table: self.fleet.table_incarnation(),
             named,
             heard: PackedRenewals::default(),
         };
--- a/crates/daemon/src/spread/audience.rs
+++ b/crates/daemon/src/spread/audience.rs
@@ -83,7 +83,7 @@
         let mut hosts: BTreeMap<HostName, LeaseScope> =
             followers.map(|host| (host, LeaseScope::All)).collect();
         let keepers = self.other_keepers(hub).into_iter();
-        hosts.extend(keepers.map(|host| (host, LeaseScope::Area)));
+        hosts.extend(keepers.map(|host| (host, LeaseScope::OwnAndFollowers)));
         hosts
     }
 
--- a/crates/standins/examples/experiment/spreading.rs
+++ b/crates/standins/examples/experiment/spreading.rs
@@ -182,7 +182,7 @@
         let Ok(PeerFrame::Leases(batch)) = decode_frame(bytes) else {
             fail("an encoded frame can't be read");
         };
-        fleet.take_batch(now, (&sender, LeaseSource::Peer), batch, Duration::ZERO);
+        fleet.merge_batch(now, (&sender, LeaseSource::Peer), batch, Duration::ZERO);
     }
 }
 
