--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -7,17 +7,17 @@
 mod balance;
 mod coverage;
 mod engine;
+mod extend;
 mod layout;
+mod memory;
 mod order;
 mod restore;
-mod roomy;
 mod settings;
 mod spares;
-mod stretch;
 mod table;
 
 pub use engine::{EngineObservation, HeldWeights, PlacementTarget, WeightsId};
 pub use layout::{DraftLoad, EngineMemory};
-pub use order::{GivenUpWork, LoadOrder, PlacementReport, PlacementRight, PlacementWait};
+pub use order::{LoadOrder, PlacementReport, PlacementRight, PlacementWait, UnloadPolicy};
 pub use settings::PlacementSettings;
 pub use table::PlacementTable;
--- a/crates/coordination/src/placement/balance.rs
+++ b/crates/coordination/src/placement/balance.rs
@@ -34,7 +34,7 @@
     /// Layers at which ranges begin or end.
     pub(crate) cuts: &'a [u32],
     /// Request memory that the engine keeps, in tokens.
-    pub(crate) kept_tokens: u64,
+    pub(crate) reserved_tokens: u64,
     /// The usual draft, where it is known.
     pub(crate) load: Option<DraftLoad>,
 }
@@ -44,7 +44,9 @@
     /// so that pipelines keep few cuts.
     pub(crate) fn find(&self, engine: &PlacedEngine) -> Option<RangeChoice> {
         let (slowest, _) = self.coverage.slowest();
-        let longest = engine.most_layers(self.kept_tokens).min(self.layers);
+        let longest = engine
+            .max_layers_beside(self.reserved_tokens)
+            .min(self.layers);
         let mut best: Option<RangeChoice> = None;
         for first in starts(self.cuts, slowest, longest, self.layers) {
             for end in ends(self.cuts, first, longest, self.layers) {
--- a/crates/coordination/src/placement/coverage.rs
+++ b/crates/coordination/src/placement/coverage.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether every layer is held, so that a pipeline is whole.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.first_missing(0).is_none()
     }
 
--- a/crates/coordination/src/placement/engine.rs
+++ b/crates/coordination/src/placement/engine.rs
@@ -72,7 +72,7 @@
     /// Load ordered by this process and not yet seen; it counts as planned.
     pub(crate) ordered: Option<PendingLoad>,
     /// Until when the engine is left out, because a load was not seen in time.
-    pub(crate) left_out_until: Option<MonotonicTime>,
+    pub(crate) excluded_until: Option<MonotonicTime>,
 }
 
 /// A load that was ordered.
@@ -97,15 +97,18 @@
     }
 
     /// Most layers that leave `tokens` of request memory, where it tells its memory.
-    pub(crate) fn most_layers(&self, tokens: u64) -> u32 {
+    pub(crate) fn max_layers_beside(&self, tokens: u64) -> u32 {
         let most = self.seen.max_layers;
-        let by_memory = self.seen.memory.map(|memory| memory.most_layers(tokens));
+        let by_memory = self
+            .seen
+            .memory
+            .map(|memory| memory.max_layers_beside(tokens));
         by_memory.map_or(most, |layers| layers.min(most))
     }
 
     /// Whether it may be ordered to load something else now.
     pub(crate) fn can_be_ordered(&self, now: MonotonicTime) -> bool {
-        let is_left_out = self.left_out_until.is_some_and(|until| until > now);
+        let is_left_out = self.excluded_until.is_some_and(|until| until > now);
         !self.is_loading() && !is_left_out && self.seen.max_layers > 0
     }
 
@@ -117,7 +120,7 @@
     pub(crate) fn rate_over(&self, layers: LayerRange, load: Option<DraftLoad>) -> f64 {
         let layer_rate = f64::from(self.seen.layer_rate);
         if let (Some(memory), Some(load)) = (self.seen.memory, load) {
-            return load.pass_rate(memory.tokens(layers.len()), 1.0 / layer_rate.max(1.0));
+            return load.draft_throughput(memory.tokens(layers.len()), 1.0 / layer_rate.max(1.0));
         }
         layer_rate / f64::from(layers.len().max(1))
     }
--- a/crates/coordination/src/placement/stretch.rs
+++ b/crates/coordination/src/placement/extend.rs
@@ -12,7 +12,7 @@
 
 /// An engine that could hold more than it does.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StretchEngine {
+pub(crate) struct ExtendableEngine {
     pub(crate) key: PlacedKey,
     pub(crate) held: LayerRange,
     /// Layers that it could take on beside what it holds.
@@ -20,10 +20,10 @@
 }
 
 /// Loads that close all gaps of `coverage`; `None` if one of them can't be closed so.
-pub(crate) fn find_stretches(
+pub(crate) fn find_extensions(
     coverage: &LayerCoverage,
     layers: u32,
-    engines: &[StretchEngine],
+    engines: &[ExtendableEngine],
 ) -> Option<Vec<PlannedLoad>> {
     let mut engines = engines.to_vec();
     let mut loads = Vec::new();
@@ -38,10 +38,10 @@
 }
 
 /// Stretches the roomiest engine before the gap and the roomiest after it, each by its part.
-fn close_gap(gap: LayerRange, engines: &mut Vec<StretchEngine>) -> Option<Vec<PlannedLoad>> {
+fn close_gap(gap: LayerRange, engines: &mut Vec<ExtendableEngine>) -> Option<Vec<PlannedLoad>> {
     let before = find_roomiest(engines, |held| held.end == gap.first);
     let after = find_roomiest(engines, |held| held.first == gap.end);
-    let room = |found: Option<StretchEngine>| found.map_or(0, |engine| engine.spare_layers);
+    let room = |found: Option<ExtendableEngine>| found.map_or(0, |engine| engine.spare_layers);
     let (left, right) = (room(before), room(after));
     if left.saturating_add(right) < gap.len() {
         return None;
@@ -50,16 +50,16 @@
     let cut = gap.first + share.max(gap.len().saturating_sub(right));
     let mut loads = Vec::new();
     if let Some(engine) = before.filter(|_| cut > gap.first) {
-        loads.push(stretch(engine, engine.held.first, cut));
+        loads.push(extend(engine, engine.held.first, cut));
     }
     if let Some(engine) = after.filter(|_| cut < gap.end) {
-        loads.push(stretch(engine, cut, engine.held.end));
+        loads.push(extend(engine, cut, engine.held.end));
     }
     engines.retain(|engine| loads.iter().all(|load| load.key != engine.key));
     Some(loads)
 }
 
-fn find_roomiest<F>(engines: &[StretchEngine], touches: F) -> Option<StretchEngine>
+fn find_roomiest<F>(engines: &[ExtendableEngine], touches: F) -> Option<ExtendableEngine>
 where
     F: Fn(LayerRange) -> bool,
 {
@@ -67,7 +67,7 @@
     beside.max_by_key(|engine| engine.spare_layers).copied()
 }
 
-fn stretch(engine: StretchEngine, first: u32, end: u32) -> PlannedLoad {
+fn extend(engine: ExtendableEngine, first: u32, end: u32) -> PlannedLoad {
     PlannedLoad {
         key: engine.key,
         layers: LayerRange { first, end },
--- a/crates/coordination/src/placement/layout.rs
+++ b/crates/coordination/src/placement/layout.rs
@@ -43,7 +43,7 @@
     }
 
     /// Most layers that leave `tokens` of request memory.
-    pub fn most_layers(self, tokens: u64) -> u32 {
+    pub fn max_layers_beside(self, tokens: u64) -> u32 {
         let each = self.layer.saturating_add(self.token.saturating_mul(tokens));
         u32::try_from(self.total / each.max(1)).unwrap_or(u32::MAX)
     }
@@ -69,7 +69,7 @@
     /// Drafts a second that pass where `tokens` of request memory are held, by Little's law: those that
     /// fit, over the time that each takes at `step` seconds a token. A step takes longer with each
     /// draft that is written beside others.
-    pub(crate) fn pass_rate(self, tokens: u64, step: f64) -> f64 {
+    pub(crate) fn draft_throughput(self, tokens: u64, step: f64) -> f64 {
         let drafts = tokens as f64 / self.held_tokens().max(1.0);
         let growth = f64::from(self.step_growth_ppm) / 1e6;
         let held = f64::from(self.answer.max(1)) * step * (1.0 + growth * drafts);
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct LayerLayout {
     pub(crate) ranges: BTreeMap<PlacedKey, LayerRange>,
-    pub(crate) kept_tokens: u64,
+    pub(crate) reserved_tokens: u64,
     /// Drafts a second that pass, less what is lost for want of second copies; by it layouts of the
     /// same engines compare.
     value: f64,
@@ -103,7 +103,7 @@
 /// The layout that passes most drafts; `None` where the engines can't hold all layers once.
 ///
 /// Engines that are not in the layout are left over, for second copies.
-pub(crate) fn lay_out(
+pub(crate) fn plan_layout(
     engines: &[LayoutEngine],
     layers: u32,
     load: DraftLoad,
@@ -135,7 +135,7 @@
     tokens: u64,
 ) -> Option<LayerLayout> {
     let mut layout = LayerLayout {
-        kept_tokens: tokens,
+        reserved_tokens: tokens,
         ..LayerLayout::default()
     };
     let mut rest = engines;
@@ -183,7 +183,10 @@
 }
 
 fn longest(engine: &LayoutEngine, tokens: u64) -> u32 {
-    engine.memory.most_layers(tokens).min(engine.max_layers)
+    engine
+        .memory
+        .max_layers_beside(tokens)
+        .min(engine.max_layers)
 }
 
 /// Drafts a second that pass the narrowest engine of a row, at the steps of all of its engines.
@@ -194,7 +197,7 @@
     let steps = row
         .iter()
         .map(|(engine, range)| f64::from(range.len()) / f64::from(engine.layer_rate.max(1)));
-    load.pass_rate(tokens.min().unwrap_or(0), steps.sum())
+    load.draft_throughput(tokens.min().unwrap_or(0), steps.sum())
 }
 
 /// Deals the ranges of each kind to those of its engines that hold most of them already.
--- a/crates/coordination/src/placement/roomy.rs
+++ b/crates/coordination/src/placement/memory.rs
@@ -1,10 +1,10 @@
 //! Layers restored where engines tell their memory: the quickest way to a whole chain with room.
 
 use super::engine::{PlacedEngine, PlacedKey, PlacementTarget};
-use super::layout::{DraftLoad, LayoutEngine, lay_out};
+use super::extend::{ExtendableEngine, find_extensions};
+use super::layout::{DraftLoad, LayoutEngine, plan_layout};
 use super::order::{PlacementReport, PlacementWait};
 use super::restore::{PlannedLoad, SpareEngine, find_loads};
-use super::stretch::{StretchEngine, find_stretches};
 use super::table::{HeldRight, PlacementTable, REFUSED_PAUSE};
 use crate::base::{LayerRange, MonotonicTime};
 
@@ -17,7 +17,7 @@
     /// Orders what makes a target whole again: loads on engines that can be spared; else layers more
     /// on engines beside the gap; else a new layout of all engines, since a data centre without a
     /// whole chain has nothing to lose by it.
-    pub(super) fn restore_by_room(
+    pub(super) fn restore_by_memory(
         &mut self,
         now: MonotonicTime,
         held: HeldRight,
@@ -29,7 +29,7 @@
         let is_empty = planned.slowest().1 <= 0.0 && self.hold_nothing(target);
         if !is_empty {
             for part in REPAIR_PARTS {
-                let kept = self.kept_tokens / part;
+                let kept = self.reserved_tokens / part;
                 if let Some(loads) = self.find_repair(now, held, target, kept, report) {
                     self.order_loads(now, held, target, &loads, report);
                     return;
@@ -37,16 +37,16 @@
             }
         }
         let engines = self.layout_engines(now, target);
-        let Some(layout) = lay_out(&engines, target.layers, load) else {
+        let Some(layout) = plan_layout(&engines, target.layers, load) else {
             report.waits.push(PlacementWait::Blocked {
                 weights: target.weights.clone(),
                 layer: planned.first_missing(0).unwrap_or(0),
             });
             return;
         };
-        self.kept_tokens = layout.kept_tokens;
-        self.laying = layout.ranges;
-        self.go_on_laying(now, held, report);
+        self.reserved_tokens = layout.reserved_tokens;
+        self.pending_layout = layout.ranges;
+        self.continue_layout(now, held, report);
     }
 
     /// Learns how much request memory engines are to keep, where this process has laid nothing out.
@@ -55,21 +55,21 @@
     /// places a new engine. Symptom: it knew of no memory to keep and gave one engine 38 layers where
     /// 30 leave it room; its data centre served half of what it did. Worked out from the engines that
     /// are there, the memory is what a layout made here would keep.
-    pub(super) fn learn_kept_tokens(&mut self, now: MonotonicTime) {
+    pub(super) fn infer_reserved_tokens(&mut self, now: MonotonicTime) {
         let target = self.targets.first();
         let Some((target, load)) = target.and_then(|target| Some((target, target.load?))) else {
             return;
         };
-        if self.kept_tokens > 0 || self.hold_nothing(target) {
+        if self.reserved_tokens > 0 || self.hold_nothing(target) {
             return;
         }
         let engines = self.layout_engines(now, target);
-        let layout = lay_out(&engines, target.layers, load);
-        self.kept_tokens = layout.map_or(0, |layout| layout.kept_tokens);
+        let layout = plan_layout(&engines, target.layers, load);
+        self.reserved_tokens = layout.map_or(0, |layout| layout.reserved_tokens);
     }
 
     /// Orders what is left of a layout, as many loads as the store serves; false if nothing is left.
-    pub(super) fn go_on_laying(
+    pub(super) fn continue_layout(
         &mut self,
         now: MonotonicTime,
         held: HeldRight,
@@ -80,25 +80,25 @@
             let later = now.after(REFUSED_PAUSE);
             engine.is_none_or(|engine| !engine.is_loading() && !engine.can_be_ordered(later))
         };
-        if self.laying.keys().any(is_lost) {
+        if self.pending_layout.keys().any(is_lost) {
             // Without it the rest of the layout would leave a gap.
-            self.laying.clear();
+            self.pending_layout.clear();
         }
         let Some(target) = self.targets.first().cloned() else {
             return false;
         };
         let engines = &self.engines;
-        self.laying.retain(|key, range| {
+        self.pending_layout.retain(|key, range| {
             let planned = engines.get(*key).and_then(PlacedEngine::planned);
             planned.is_none_or(|planned| planned.layers != *range)
         });
-        for (key, layers) in self.laying.clone() {
+        for (key, layers) in self.pending_layout.clone() {
             let can_be_ordered = |engine: &PlacedEngine| engine.can_be_ordered(now);
             if self.engines.get(key).is_some_and(can_be_ordered) {
                 self.order(now, held, key, &target.weights, layers, report);
             }
         }
-        !self.laying.is_empty()
+        !self.pending_layout.is_empty()
     }
 
     /// Loads that close all gaps, on engines that can be spared or else beside the gaps, each of which
@@ -112,12 +112,12 @@
         report: &mut PlacementReport,
     ) -> Option<Vec<PlannedLoad>> {
         let planned = self.cover(target, PlacedEngine::planned);
-        let spares = self.find_roomy_spares(now, held, kept, report);
+        let spares = self.find_spares_with_memory(now, held, kept, report);
         if let Ok(loads) = find_loads(&planned, target.layers, &spares) {
             return Some(loads);
         }
-        let engines = self.find_stretchable(now, target, kept);
-        find_stretches(&planned, target.layers, &engines)
+        let engines = self.find_extendable(now, target, kept);
+        find_extensions(&planned, target.layers, &engines)
     }
 
     fn order_loads(
@@ -138,7 +138,7 @@
         planned.all(|held| held.weights != target.weights)
     }
 
-    fn find_roomy_spares(
+    fn find_spares_with_memory(
         &self,
         now: MonotonicTime,
         held: HeldRight,
@@ -147,7 +147,7 @@
     ) -> Vec<SpareEngine> {
         let spares = self.find_spares(now, held, report).into_iter();
         let limited = spares.filter_map(|spare| {
-            let max_layers = self.engines.get(spare.key)?.most_layers(kept);
+            let max_layers = self.engines.get(spare.key)?.max_layers_beside(kept);
             Some(SpareEngine {
                 max_layers,
                 ..spare
@@ -156,22 +156,22 @@
         limited.filter(|spare| spare.max_layers > 0).collect()
     }
 
-    fn find_stretchable(
+    fn find_extendable(
         &self,
         now: MonotonicTime,
         target: &PlacementTarget,
         kept: u64,
-    ) -> Vec<StretchEngine> {
+    ) -> Vec<ExtendableEngine> {
         let engines = self
             .engines
             .iter()
             .filter(|(_, engine)| engine.can_be_ordered(now));
         let engines = engines.filter_map(|(key, engine)| {
             let held = held_of(engine, target)?;
-            Some(StretchEngine {
+            Some(ExtendableEngine {
                 key,
                 held,
-                spare_layers: engine.most_layers(kept).saturating_sub(held.len()),
+                spare_layers: engine.max_layers_beside(kept).saturating_sub(held.len()),
             })
         });
         engines.collect()
--- a/crates/coordination/src/placement/order.rs
+++ b/crates/coordination/src/placement/order.rs
@@ -22,7 +22,7 @@
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
-pub enum GivenUpWork {
+pub enum UnloadPolicy {
     /// They are finished first; the load waits for them.
     #[default]
     #[display("finish")]
@@ -50,7 +50,7 @@
     /// What to load.
     pub load: HeldWeights,
     /// What becomes of requests on layers that are given up for it.
-    pub given_up: GivenUpWork,
+    pub given_up: UnloadPolicy,
 }
 
 /// Why something was not ordered.
--- a/crates/coordination/src/placement/spares.rs
+++ b/crates/coordination/src/placement/spares.rs
@@ -75,11 +75,11 @@
             }
             coverage
         });
-        if coverage.is_whole() && !coverage.is_redundant(held.layers) {
+        if coverage.is_complete() && !coverage.is_redundant(held.layers) {
             return false;
         }
         // Without a whole pipeline there is none to break, but what the target wants stays.
-        if !coverage.is_whole() && is_target && !coverage.is_redundant(held.layers) {
+        if !coverage.is_complete() && is_target && !coverage.is_redundant(held.layers) {
             return false;
         }
         coverage.remove(held.layers, engine.rate_over(held.layers, None));
@@ -106,7 +106,7 @@
         }
         others.any(|target| {
             self.cover(target, |engine| engine.seen.held.as_ref())
-                .is_whole()
+                .is_complete()
         })
     }
 
--- a/crates/coordination/src/placement/table.rs
+++ b/crates/coordination/src/placement/table.rs
@@ -11,7 +11,7 @@
     EngineObservation, HeldWeights, PendingLoad, PlacedEngine, PlacedKey, PlacementTarget,
     WeightsId,
 };
-use super::order::{GivenUpWork, LoadOrder, PlacementReport, PlacementRight, PlacementWait};
+use super::order::{LoadOrder, PlacementReport, PlacementRight, PlacementWait, UnloadPolicy};
 use super::restore::{SpareEngine, find_loads};
 use super::settings::PlacementSettings;
 use crate::base::{FencingNumber, LayerRange, MonotonicTime, ServerName};
@@ -44,9 +44,9 @@
     pub(super) targets: Vec<PlacementTarget>,
     balanced: Option<MonotonicTime>,
     /// Ranges of a layout that are still to be ordered.
-    pub(super) laying: BTreeMap<PlacedKey, LayerRange>,
+    pub(super) pending_layout: BTreeMap<PlacedKey, LayerRange>,
     /// Request memory that the last layout leaves each engine, in tokens.
-    pub(super) kept_tokens: u64,
+    pub(super) reserved_tokens: u64,
 }
 
 impl PlacementTable {
@@ -60,8 +60,8 @@
             by_name: BTreeMap::new(),
             targets: Vec::new(),
             balanced: None,
-            laying: BTreeMap::new(),
-            kept_tokens: 0,
+            pending_layout: BTreeMap::new(),
+            reserved_tokens: 0,
         }
     }
 
@@ -101,7 +101,7 @@
         let ordered = engine.ordered.as_ref().map(|pending| &pending.load);
         if ordered.is_some() && ordered == seen.held.as_ref() {
             engine.ordered = None;
-            engine.left_out_until = None;
+            engine.excluded_until = None;
         }
         engine.seen = seen;
     }
@@ -118,7 +118,7 @@
         let key = self.by_name.get(server);
         if let Some(engine) = key.and_then(|key| self.engines.get_mut(*key)) {
             engine.ordered = None;
-            engine.left_out_until = Some(now.after(REFUSED_PAUSE));
+            engine.excluded_until = Some(now.after(REFUSED_PAUSE));
         }
     }
 
@@ -135,12 +135,12 @@
             report.waits.push(PlacementWait::Settling { until });
             return report;
         }
-        self.learn_kept_tokens(now);
-        if self.go_on_laying(now, held, &mut report) {
+        self.infer_reserved_tokens(now);
+        if self.continue_layout(now, held, &mut report) {
             return report;
         }
-        let is_whole = self.restore(now, held, &mut report);
-        if is_whole {
+        let is_complete = self.restore(now, held, &mut report);
+        if is_complete {
             self.balance(now, held, &mut report);
         }
         report
@@ -151,7 +151,7 @@
         let key = self.engines.insert(PlacedEngine {
             seen,
             ordered: None,
-            left_out_until: None,
+            excluded_until: None,
         });
         self.by_name.insert(server, key);
     }
@@ -165,7 +165,7 @@
             let is_late = |pending: &PendingLoad| now.since(pending.at) >= timeout;
             if engine.ordered.as_ref().is_some_and(is_late) {
                 engine.ordered = None;
-                engine.left_out_until = Some(now.after(timeout));
+                engine.excluded_until = Some(now.after(timeout));
             }
         }
     }
@@ -177,15 +177,15 @@
         held: HeldRight,
         report: &mut PlacementReport,
     ) -> bool {
-        let mut is_whole = true;
+        let mut is_complete = true;
         for target in self.targets.clone() {
             let planned = self.cover(&target, PlacedEngine::planned);
-            if planned.is_whole() {
+            if planned.is_complete() {
                 continue;
             }
-            is_whole = false;
+            is_complete = false;
             if let Some(load) = target.load {
-                self.restore_by_room(now, held, &target, load, report);
+                self.restore_by_memory(now, held, &target, load, report);
                 continue;
             }
             let spares = self.find_spares(now, held, report);
@@ -201,7 +201,7 @@
                 }),
             }
         }
-        is_whole
+        is_complete
     }
 
     /// Orders one load that raises the slowest layer of the target that is served least.
@@ -218,7 +218,7 @@
             coverage: &coverage,
             layers: target.layers,
             cuts: &cuts,
-            kept_tokens: self.kept_tokens,
+            reserved_tokens: self.reserved_tokens,
             load: target.load,
         };
         let choice = match free {
@@ -348,10 +348,10 @@
             load: load.clone(),
             at: now,
         });
-        let given_up = if self.laying.contains_key(&key) {
-            GivenUpWork::Cut
+        let given_up = if self.pending_layout.contains_key(&key) {
+            UnloadPolicy::Cut
         } else {
-            GivenUpWork::Finish
+            UnloadPolicy::Finish
         };
         report.orders.push(LoadOrder {
             server: engine.seen.server.clone(),
--- a/crates/coordination/tests/placement_layout.rs
+++ b/crates/coordination/tests/placement_layout.rs
@@ -6,8 +6,8 @@
 
 use pollendrift_coordination::base::{FencingNumber, LayerRange, MonotonicTime, ServerName};
 use pollendrift_coordination::placement::{
-    DraftLoad, EngineMemory, EngineObservation, GivenUpWork, PlacementRight, PlacementSettings,
-    PlacementTable, PlacementTarget, WeightsId,
+    DraftLoad, EngineMemory, EngineObservation, PlacementRight, PlacementSettings, PlacementTable,
+    PlacementTarget, UnloadPolicy, WeightsId,
 };
 
 const LAYERS: u32 = 40;
@@ -31,7 +31,7 @@
     };
     EngineObservation {
         server: ServerName::from(name),
-        max_layers: memory.most_layers(16_000).min(LAYERS),
+        max_layers: memory.max_layers_beside(16_000).min(LAYERS),
         layer_rate,
         memory: Some(memory),
         checks_fencing: true,
@@ -267,7 +267,7 @@
         centre.lose(lost);
         centre.now += 300;
         let report = centre.table.tick(at(centre.now));
-        let given_up: BTreeSet<GivenUpWork> =
+        let given_up: BTreeSet<UnloadPolicy> =
             report.orders.iter().map(|order| order.given_up).collect();
         let names: Vec<String> = given_up.iter().map(ToString::to_string).collect();
         let orders = report.orders.len();
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -377,7 +377,7 @@
     let memory = memory_of(spec, kind);
     EngineObservation {
         server: worker.server.clone(),
-        max_layers: most_layers(spec, memory),
+        max_layers: max_layers_beside(spec, memory),
         layer_rate: layer_rate(spec, kind),
         memory: Some(memory),
         checks_fencing: worker.checks_fencing,
@@ -410,9 +410,11 @@
 }
 
 /// Most layers that leave an engine request memory for [`LEAST_DRAFTS`].
-fn most_layers(spec: &EngineSpec, memory: EngineMemory) -> u32 {
+fn max_layers_beside(spec: &EngineSpec, memory: EngineMemory) -> u32 {
     let draft = u64::from(spec.usual_prompt) + u64::from(spec.usual_answer);
-    memory.most_layers(draft * LEAST_DRAFTS).min(spec.layers)
+    memory
+        .max_layers_beside(draft * LEAST_DRAFTS)
+        .min(spec.layers)
 }
 
 /// Steps a second over a single layer.
--- a/crates/dialect/src/servers.rs
+++ b/crates/dialect/src/servers.rs
@@ -8,7 +8,7 @@
 use pollendrift_coordination::base::{
     CustomerName, FencingNumber, LayerRange, RequestId, SequenceNumber, ServerName,
 };
-use pollendrift_coordination::placement::GivenUpWork;
+use pollendrift_coordination::placement::UnloadPolicy;
 use pollendrift_coordination::streams::EventId;
 
 /// One stage of a pipeline that its servers run themselves.
@@ -73,7 +73,7 @@
     /// Layers to hold.
     pub layers: LayerRange,
     /// What becomes of requests on layers that are given up.
-    pub given_up: GivenUpWork,
+    pub given_up: UnloadPolicy,
     /// Number of the right under which it is given.
     pub fencing: FencingNumber,
     /// Orders that the engine must have taken before; `None` to leave it unchecked.
