--- a/crates/coordination/src/routing/health.rs
+++ b/crates/coordination/src/routing/health.rs
@@ -51,7 +51,7 @@
     suspected_at: Option<MonotonicTime>,
     suspected_until: Option<MonotonicTime>,
     /// Whether another host's word has cleared it since this host last heard it.
-    is_vouched: bool,
+    is_cleared_by_peer: bool,
     /// Whether nobody listens at its address any more.
     gone: bool,
 }
@@ -64,7 +64,7 @@
     /// Whether one of them is gone for certain: the chain can send nothing more.
     pub is_dead: bool,
     /// Engines to ask now whether they are alive; each is named to one asker at a time.
-    pub ask: Vec<ServerName>,
+    pub probe: Vec<ServerName>,
 }
 
 /// Engines as the streams of one host see them.
@@ -112,7 +112,7 @@
             let is_suspected = engine.suspected_until.is_some_and(|until| until > now);
             // A clearing is remembered for as long as a second suspicion may follow from the same cause;
             // for good, engines that left long ago would fill the table.
-            let was_cleared = engine.is_vouched
+            let was_cleared = engine.is_cleared_by_peer
                 && engine
                     .suspected_at
                     .is_some_and(|at| now.since(at) < suspicion * 2);
@@ -123,12 +123,12 @@
     /// An engine answered a question of this host: it is alive, whoever holds up its streams.
     pub fn answered(&mut self, now: MonotonicTime, server: &ServerName) {
         let answers = self.find(server).answers.saturating_add(1);
-        self.heard(now, [server]);
+        self.mark_alive(now, [server]);
         self.find(server).answers = answers;
     }
 
     /// An event came over `chain`: all of it is alive.
-    pub fn heard<'a, C>(&mut self, now: MonotonicTime, chain: C)
+    pub fn mark_alive<'a, C>(&mut self, now: MonotonicTime, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
     {
@@ -138,7 +138,7 @@
             engine.answers = 0;
             engine.asked_until = None;
             engine.suspected_until = None;
-            engine.is_vouched = false;
+            engine.is_cleared_by_peer = false;
             engine.gone = false;
         }
     }
@@ -150,15 +150,15 @@
     /// engines that were all well. A later answer to another host
     /// clears a suspicion, but once only until this host hears the engine itself: where the path from
     /// here is what is broken, the engine stays left out.
-    pub fn vouched(&mut self, server: &ServerName, answered: MonotonicTime) {
+    pub fn cleared_by_peer(&mut self, server: &ServerName, answered: MonotonicTime) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
         let is_later = engine.suspected_at.is_some_and(|at| answered > at);
-        if !is_later || engine.gone || engine.is_vouched {
+        if !is_later || engine.gone || engine.is_cleared_by_peer {
             return;
         }
-        engine.is_vouched = true;
+        engine.is_cleared_by_peer = true;
         engine.suspected_until = None;
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Nobody listens at the address of an engine that was asked: it is left out from now on.
-    pub fn gone(&mut self, now: MonotonicTime, server: &ServerName) {
+    pub fn mark_unreachable(&mut self, now: MonotonicTime, server: &ServerName) {
         self.unanswered(now, server);
         self.find(server).gone = true;
     }
@@ -188,7 +188,7 @@
 
     /// Judges the chain of a stream that has been silent since `since`; `patience` is the silence
     /// that needs no explanation.
-    pub fn judge<'a, C>(
+    pub fn diagnose<'a, C>(
         &mut self,
         now: MonotonicTime,
         since: MonotonicTime,
@@ -218,7 +218,7 @@
             let is_asked = engine.asked_until.is_some_and(|until| until > now);
             if is_quiet && !is_asked {
                 engine.asked_until = Some(now.after(answer_time * 2));
-                verdict.ask.push(server.clone());
+                verdict.probe.push(server.clone());
             }
         }
         verdict
--- a/crates/coordination/tests/routing_health.rs
+++ b/crates/coordination/tests/routing_health.rs
@@ -20,7 +20,7 @@
         let names: Vec<&str> = servers.iter().map(ServerName::as_str).collect();
         names.join(" ")
     };
-    let (suspects, ask) = (names(&verdict.suspects), names(&verdict.ask));
+    let (suspects, ask) = (names(&verdict.suspects), names(&verdict.probe));
     format!("{now}: suspects [{suspects}], ask [{ask}]")
 }
 
@@ -35,26 +35,26 @@
         health.started(&dead);
         health.started(&other);
     }
-    health.heard(at(1_000), &dead);
+    health.mark_alive(at(1_000), &dead);
     let mut seen = Vec::new();
     for now in [1_050, 1_100, 1_110] {
-        health.heard(at(now), &other);
+        health.mark_alive(at(now), &other);
         seen.push(told(
             now,
-            &health.judge(at(now), at(1_000), PATIENCE, &dead),
+            &health.diagnose(at(now), at(1_000), PATIENCE, &dead),
         ));
     }
     health.unanswered(at(1_180), &ServerName::from("d"));
     seen.push(told(
         1_180,
-        &health.judge(at(1_180), at(1_000), PATIENCE, &dead),
+        &health.diagnose(at(1_180), at(1_000), PATIENCE, &dead),
     ));
     let left_out = ["a", "d", "e", "z"].map(|name| {
         let server = ServerName::from(name);
         format!("{name} {}", health.is_suspected(at(2_000), &server))
     });
     seen.push(left_out.join(", "));
-    health.heard(at(2_100), &dead);
+    health.mark_alive(at(2_100), &dead);
     let cleared = health.is_suspected(at(2_100), &ServerName::from("d"));
     seen.push(format!("after an event of d: {cleared}"));
     insta::assert_snapshot!(seen.join("\n"), @r"
@@ -77,10 +77,10 @@
     health.started(&engines);
     let (mut suspected, mut asked) = (0, 0);
     for now in (1_000..4_000).step_by(25) {
-        let verdict = health.judge(at(now), at(900), PATIENCE, &engines);
+        let verdict = health.diagnose(at(now), at(900), PATIENCE, &engines);
         suspected += verdict.suspects.len();
-        asked += verdict.ask.len();
-        health.heard(at(now + 5), &verdict.ask);
+        asked += verdict.probe.len();
+        health.mark_alive(at(now + 5), &verdict.probe);
     }
     assert_eq!(suspected, 0);
     assert!((10..80).contains(&asked), "asked {asked} times");
@@ -96,8 +96,8 @@
     health.started(&engines);
     let mut asked = Vec::new();
     for now in (1_000..4_000).step_by(25) {
-        let verdict = health.judge(at(now), at(900), PATIENCE, &engines);
-        for server in verdict.ask {
+        let verdict = health.diagnose(at(now), at(900), PATIENCE, &engines);
+        for server in verdict.probe {
             if server.as_str() == "a" {
                 asked.push(now);
             }
@@ -107,9 +107,9 @@
     let gaps: Vec<u64> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert_eq!(&gaps[..2], [225, 425]);
     assert!(gaps[2..].iter().all(|gap| *gap == 425), "{gaps:?}");
-    health.heard(at(4_000), &engines);
-    let verdict = health.judge(at(4_100), at(4_000), PATIENCE, &engines);
-    assert_eq!(verdict.ask, engines, "an event starts anew");
+    health.mark_alive(at(4_000), &engines);
+    let verdict = health.diagnose(at(4_100), at(4_000), PATIENCE, &engines);
+    assert_eq!(verdict.probe, engines, "an event starts anew");
 }
 
 /// The caller sees: a stream that is alone on its chain waits for an answer, not for a lease. An
@@ -119,8 +119,12 @@
     let mut health = ChainHealth::new(HealthSettings::default());
     let engines = chain(&["a"]);
     health.started(&engines);
-    let seen = [1_100, 1_200, 1_260]
-        .map(|now| told(now, &health.judge(at(now), at(1_000), PATIENCE, &engines)));
+    let seen = [1_100, 1_200, 1_260].map(|now| {
+        told(
+            now,
+            &health.diagnose(at(now), at(1_000), PATIENCE, &engines),
+        )
+    });
     insta::assert_snapshot!(seen.join("\n"), @r"
     1100: suspects [], ask [a]
     1200: suspects [], ask []
@@ -137,15 +141,15 @@
     health.started(&engines);
     let mut seen = Vec::new();
     let mut judge = |health: &mut ChainHealth, now: u64| {
-        let verdict = health.judge(at(now), at(900), PATIENCE, &engines);
+        let verdict = health.diagnose(at(now), at(900), PATIENCE, &engines);
         let is_dead = verdict.is_dead;
         seen.push(format!("{}, dead {is_dead}", told(now, &verdict)));
     };
     health.unanswered(at(1_000), &ServerName::from("a"));
     judge(&mut health, 1_010);
-    health.gone(at(1_020), &ServerName::from("b"));
+    health.mark_unreachable(at(1_020), &ServerName::from("b"));
     judge(&mut health, 1_030);
-    health.heard(at(1_040), &chain(&["a", "b"]));
+    health.mark_alive(at(1_040), &chain(&["a", "b"]));
     judge(&mut health, 1_200);
     insta::assert_snapshot!(seen.join("\n"), @"
     1010: suspects [a], ask [b], dead false
@@ -164,7 +168,7 @@
     health.started(&engines);
     let (a, b) = (ServerName::from("a"), ServerName::from("b"));
     health.unanswered(at(1_000), &a);
-    health.gone(at(1_000), &b);
+    health.mark_unreachable(at(1_000), &b);
     let mut seen = Vec::new();
     let mut note = |what: &str, health: &ChainHealth, now: u64| {
         let suspects = health.suspects(at(now));
@@ -176,14 +180,14 @@
         ("answered after", 1_300),
         ("answered again", 1_800),
     ] {
-        health.vouched(&a, at(answered));
-        health.vouched(&b, at(answered));
+        health.cleared_by_peer(&a, at(answered));
+        health.cleared_by_peer(&b, at(answered));
         note(what, &health, answered + 100);
         if answered == 1_300 {
             health.unanswered(at(1_500), &a);
         }
     }
-    health.heard(at(2_000), &engines);
+    health.mark_alive(at(2_000), &engines);
     note("heard here", &health, 2_010);
     insta::assert_snapshot!(seen.join("\n"), @r"
     answered before: a b
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -41,7 +41,7 @@
 
     /// Events came; `is_first` if none had before.
     pub(super) fn heard(&self, now: MonotonicTime, is_first: bool) {
-        self.context.health().heard(now, self.chain.servers());
+        self.context.health().mark_alive(now, self.chain.servers());
         if is_first {
             self.context.chains().first_event(now, self.chain.flight);
         }
--- a/crates/daemon/src/relay/watching.rs
+++ b/crates/daemon/src/relay/watching.rs
@@ -60,11 +60,14 @@
             sleep(WATCH_PERIOD).await;
             let now = self.context.clock.now();
             let judging = chain.servers();
-            let verdict = self.context.health().judge(now, since, patience, judging);
+            let verdict = self
+                .context
+                .health()
+                .diagnose(now, since, patience, judging);
             if !verdict.suspects.is_empty() {
                 return verdict;
             }
-            for server in verdict.ask {
+            for server in verdict.probe {
                 let address = chain.address_of(&server);
                 let context = Arc::clone(&self.context);
                 tokio::spawn(ask_alive(context, server, address));
@@ -98,7 +101,7 @@
     let mut health = context.health();
     match state {
         EngineState::Told(_) | EngineState::Unclear => health.answered(now, &server),
-        EngineState::Gone => health.gone(now, &server),
+        EngineState::Gone => health.mark_unreachable(now, &server),
         EngineState::Silent => health.unanswered(now, &server),
     }
     drop(health);
