--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -47,7 +47,7 @@
 pub use planner::{EngineDump, FleetPlanner, RoutePlanner, RoutingDump};
 pub use policy::PolicyKind;
 pub use prefix::{CacheChange, CacheEvent, CacheOutcome, PrefixDigest, PromptPrefix};
-pub use servers::{ServerCandidate, ServerLoads, ToldLoad};
+pub use servers::{ReportedLoad, ServerCandidate, ServerLoads};
 pub use settings::{ChainScope, RoutingSettings, WorkloadMix};
-pub use survey::{EngineLoad, EngineNote, SurveyBoard, SurveyedEngine};
+pub use survey::{EngineLoad, SurveyResult, SurveyTable, SurveyedEngine};
 pub use unit::{ByteRate, TokenCount, TokenRate};
--- a/crates/coordination/src/routing/servers.rs
+++ b/crates/coordination/src/routing/servers.rs
@@ -42,7 +42,7 @@
 
 /// Load that a server told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -122,7 +122,7 @@
     }
 
     /// `server` told its load in the answer to a request that still counts as its own.
-    pub fn told(&mut self, now: MonotonicTime, server: &ServerName, load: ToldLoad) {
+    pub fn reported(&mut self, now: MonotonicTime, server: &ServerName, load: ReportedLoad) {
         let record = self.find(server);
         let all = load.running.saturating_add(load.waiting);
         record.others = all.saturating_sub(record.own);
--- a/crates/coordination/src/routing/survey.rs
+++ b/crates/coordination/src/routing/survey.rs
@@ -29,7 +29,7 @@
 
 /// What a survey found of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineNote {
+pub struct SurveyResult {
     /// The engine.
     pub server: ServerName,
     /// Life of its process.
@@ -55,13 +55,13 @@
 
 /// Notes of the latest surveys.
 #[derive(Clone, Debug, Default)]
-pub struct SurveyBoard {
+pub struct SurveyTable {
     engines: BTreeMap<ServerName, SurveyedEngine>,
 }
 
-impl SurveyBoard {
+impl SurveyTable {
     /// Takes notes; one that is older than what is held changes nothing.
-    pub fn take(&mut self, now: MonotonicTime, notes: Vec<EngineNote>) {
+    pub fn take(&mut self, now: MonotonicTime, notes: Vec<SurveyResult>) {
         for note in notes {
             let taken = now.before(note.age);
             let held = self.engines.get(&note.server);
--- a/crates/coordination/tests/routing_servers.rs
+++ b/crates/coordination/tests/routing_servers.rs
@@ -5,7 +5,7 @@
 use pollendrift_coordination::base::{Incarnation, MonotonicTime, ServerName};
 use pollendrift_coordination::retries::OutlierSettings;
 use pollendrift_coordination::routing::{
-    EngineLoad, EngineNote, ServerCandidate, ServerLoads, SurveyBoard, ToldLoad,
+    EngineLoad, ReportedLoad, ServerCandidate, ServerLoads, SurveyResult, SurveyTable,
 };
 
 fn at(millis: u64) -> MonotonicTime {
@@ -46,11 +46,11 @@
         "one runs near: {}",
         chosen(&loads, at(0), &candidates)
     ));
-    let busy = ToldLoad {
+    let busy = ReportedLoad {
         running: 4,
         waiting: 3,
     };
-    loads.told(at(10), &name("far"), busy);
+    loads.reported(at(10), &name("far"), busy);
     lines.push(format!(
         "far told of seven: {}",
         chosen(&loads, at(10), &candidates)
@@ -97,8 +97,8 @@
     assert_eq!([during, alone, after], ["good", "bad", "bad"]);
 }
 
-fn engine_note(incarnation: u64, running: Option<u32>, age: u64) -> EngineNote {
-    EngineNote {
+fn engine_note(incarnation: u64, running: Option<u32>, age: u64) -> SurveyResult {
+    SurveyResult {
         server: name("e"),
         incarnation: Incarnation(incarnation),
         load: running.map(|running| EngineLoad {
@@ -115,7 +115,7 @@
 // note, one of a former life and one that is two seconds old tell nothing of the engine of now.
 #[test]
 fn only_fresh_notes_of_the_present_life_are_believed() {
-    let mut board = SurveyBoard::default();
+    let mut board = SurveyTable::default();
     let mut lines = Vec::new();
     let steps = [
         (1_000, engine_note(1, Some(5), 0)),
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -22,7 +22,7 @@
     ServerAnnounce, ServerLease, ServerState,
 };
 use pollendrift_coordination::routing::{
-    FleetPlanner, RoutePlanner, RoutingDump, RoutingSettings, SurveyBoard,
+    FleetPlanner, RoutePlanner, RoutingDump, RoutingSettings, SurveyTable,
 };
 
 pub use route::{DraftQuery, DraftRoute, PlannedStage};
@@ -88,7 +88,7 @@
     /// Servers in `leases` that serve a published service.
     workers: BTreeMap<ServerName, Arc<WorkerView>>,
     /// What surveys found of engines in `workers`.
-    survey: SurveyBoard,
+    survey: SurveyTable,
     /// Servers of `views` that offer a plain service, each once.
     services: ServiceIndex,
     /// Holds just the engines of `views` that may take work by the last tick.
@@ -102,7 +102,7 @@
             leases: LeaseTable::with_incarnation(settings, Incarnation(seed)),
             views: BTreeMap::new(),
             workers: BTreeMap::new(),
-            survey: SurveyBoard::default(),
+            survey: SurveyTable::default(),
             services: ServiceIndex::default(),
             planner: Box::new(FleetPlanner::new(routing, seed)),
         };
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -11,7 +11,7 @@
 use pollendrift_coordination::leases::{
     AnnouncedLoad, LeaseScope, MergeVerdict, ServerAnnounce, ServerState, WorkerOffer,
 };
-use pollendrift_coordination::routing::{EngineNote, SurveyedEngine};
+use pollendrift_coordination::routing::{SurveyResult, SurveyedEngine};
 use pollendrift_dialect::ServerNote;
 
 use super::{AnnounceError, BackendFleet, FleetState};
@@ -106,7 +106,7 @@
     }
 
     /// Takes what a survey of engines found.
-    pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<EngineNote>) {
+    pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
         self.lock().survey.take(now, notes);
     }
 
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -9,7 +9,7 @@
 use pollendrift_coordination::configuration::ConfigurationDelta;
 use pollendrift_coordination::hosts::{HostNote, HostReach};
 use pollendrift_coordination::leases::{LeaseBatch, LeaseNumber};
-use pollendrift_coordination::routing::EngineNote;
+use pollendrift_coordination::routing::SurveyResult;
 use pollendrift_coordination::streams::StreamNote;
 use pollendrift_store::JoinedGroup;
 use serde::de::Visitor;
@@ -250,7 +250,7 @@
     /// What a survey of engines found.
     Survey {
         /// What it found.
-        notes: Vec<EngineNote>,
+        notes: Vec<SurveyResult>,
         /// Whether the receiver passes it on to hosts that follow it.
         pass_on: bool,
     },
--- a/crates/daemon/src/relay/calls.rs
+++ b/crates/daemon/src/relay/calls.rs
@@ -5,7 +5,7 @@
 use http::Response;
 use pollendrift_coordination::base::{MonotonicTime, ServerName};
 use pollendrift_coordination::retries::{CallKind, RunProof, SendOutcome};
-use pollendrift_coordination::routing::{ServerCandidate, ToldLoad};
+use pollendrift_coordination::routing::{ReportedLoad, ServerCandidate};
 use pollendrift_dialect::RefusalKind;
 use pollendrift_http::ResponseBody;
 use tokio::time::{sleep, timeout};
@@ -138,13 +138,13 @@
     let result = match answered {
         Ok(answer) => {
             if let Some(load) = answer.told.load {
-                let told = ToldLoad {
+                let told = ReportedLoad {
                     running: load.running,
                     waiting: load.waiting,
                 };
                 context
                     .loads()
-                    .told(context.clock.now(), &worker.server, told);
+                    .reported(context.clock.now(), &worker.server, told);
             }
             let left = request.left(context.clock.now());
             timeout(left, answer.read()).await.unwrap_or_else(|_| {
--- a/crates/daemon/src/relay/survey.rs
+++ b/crates/daemon/src/relay/survey.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http_body_util::Full;
-use pollendrift_coordination::routing::{EngineLoad, EngineNote};
+use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
 use pollendrift_dialect::EngineReport;
 use pollendrift_http::{ClientError, ConnectionPool, read_bounded};
 use tokio::task::JoinSet;
@@ -36,7 +36,7 @@
     context: &Arc<RelayContext>,
     pool: &ConnectionPool,
     workers: &[Arc<WorkerView>],
-) -> Vec<EngineNote> {
+) -> Vec<SurveyResult> {
     let holding = workers
         .iter()
         .filter(|worker| worker.offer.layers.is_some());
@@ -53,7 +53,7 @@
     context: Arc<RelayContext>,
     pool: ConnectionPool,
     worker: Arc<WorkerView>,
-) -> Option<EngineNote> {
+) -> Option<SurveyResult> {
     let asked_at = context.clock.now();
     let state = ask_engine(&context, &pool, worker.address, ANSWER_TIME).await;
     let load = match state {
@@ -61,7 +61,7 @@
         EngineState::Gone | EngineState::Silent => None,
         EngineState::Unclear => return None,
     };
-    Some(EngineNote {
+    Some(SurveyResult {
         server: worker.server.clone(),
         incarnation: worker.incarnation,
         load,
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -21,7 +21,7 @@
     DeltaCursor, InitialSync, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope, NamedLease,
     PackedRenewals,
 };
-use pollendrift_coordination::routing::EngineNote;
+use pollendrift_coordination::routing::SurveyResult;
 
 use crate::clock::TimeSource;
 use crate::feed::ConfigurationFeed;
@@ -115,14 +115,14 @@
 
     /// Tells keepers what this one's survey of engines found; those that follow it hear it with the
     /// next tick.
-    pub fn spread_survey(&self, hub: &PeerHub, notes: &[EngineNote]) {
+    pub fn spread_survey(&self, hub: &PeerHub, notes: &[SurveyResult]) {
         let keepers = self.audience.other_keepers(hub);
         self.surveys.tell_keepers(hub, &keepers, notes);
         self.surveys.note(self.clock.now(), notes.to_vec());
     }
 
     /// Takes what another keeper's survey found, and passes it on with the next tick.
-    pub fn take_survey(&self, notes: Vec<EngineNote>, pass_on: bool) {
+    pub fn take_survey(&self, notes: Vec<SurveyResult>, pass_on: bool) {
         let now = self.clock.now();
         if pass_on {
             self.surveys.note(now, notes.clone());
--- a/crates/daemon/src/spread/surveys.rs
+++ b/crates/daemon/src/spread/surveys.rs
@@ -4,7 +4,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
-use pollendrift_coordination::routing::EngineNote;
+use pollendrift_coordination::routing::SurveyResult;
 
 use crate::peers::{PeerFrame, PeerHub};
 
@@ -15,17 +15,17 @@
 /// the other; passed on one by one, each would cost a frame to every host that follows.
 #[derive(Default)]
 pub(super) struct SurveyRelay {
-    waiting: Mutex<BTreeMap<ServerName, (MonotonicTime, EngineNote)>>,
+    waiting: Mutex<BTreeMap<ServerName, (MonotonicTime, SurveyResult)>>,
 }
 
 impl SurveyRelay {
     /// Tells keepers at once; they pass it on to the hosts that follow them.
-    pub(super) fn tell_keepers(&self, hub: &PeerHub, keepers: &[HostName], notes: &[EngineNote]) {
+    pub(super) fn tell_keepers(&self, hub: &PeerHub, keepers: &[HostName], notes: &[SurveyResult]) {
         tell(hub, keepers, notes, true);
     }
 
     /// Keeps notes for the next tick.
-    pub(super) fn note(&self, now: MonotonicTime, notes: Vec<EngineNote>) {
+    pub(super) fn note(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
         let mut waiting = self.lock();
         for note in notes {
             let taken = now.before(note.age);
@@ -40,20 +40,20 @@
     /// again with the next survey.
     pub(super) fn tell_followers(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
         let waiting = std::mem::take(&mut *self.lock());
-        let notes = waiting.into_values().map(|(taken, note)| EngineNote {
+        let notes = waiting.into_values().map(|(taken, note)| SurveyResult {
             age: now.since(taken),
             ..note
         });
-        let notes: Vec<EngineNote> = notes.collect();
+        let notes: Vec<SurveyResult> = notes.collect();
         tell(hub, hosts, &notes, false);
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerName, (MonotonicTime, EngineNote)>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerName, (MonotonicTime, SurveyResult)>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn tell(hub: &PeerHub, hosts: &[HostName], notes: &[EngineNote], pass_on: bool) {
+fn tell(hub: &PeerHub, hosts: &[HostName], notes: &[SurveyResult], pass_on: bool) {
     if hosts.is_empty() {
         return;
     }
