--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -5,7 +5,6 @@
 //! over the layer graph each tick, and picks the engine of each stage from a few samples, so the
 //! cost of a decision does not grow with the fleet.
 
-mod ahead;
 mod bound;
 mod capacity;
 mod choice;
@@ -23,6 +22,7 @@
 mod planner;
 mod policy;
 mod prefix;
+mod remaining;
 mod repair;
 mod search;
 mod servers;
@@ -42,7 +42,7 @@
 pub use load::{LoadFigures, LoadReport};
 pub use plan::{
     EngineFilter, NoRoute, NoRouteReason, PermitAll, RejectCounts, RejectReason, RoutePlan,
-    RoutePriority, RouteQuery, RouteStage, is_whole_chain,
+    RoutePriority, RouteQuery, RouteStage, is_complete_chain,
 };
 pub use planner::{EngineDump, FleetPlanner, RoutePlanner, RoutingDump};
 pub use policy::PolicyKind;
--- a/crates/coordination/src/routing/bound.rs
+++ b/crates/coordination/src/routing/bound.rs
@@ -97,7 +97,7 @@
 ) -> u64 {
     let mut flow = 0;
     for phase in RoutePhase::ALL {
-        if phase != RoutePhase::Whole && !graph.has_split_roles {
+        if phase != RoutePhase::Combined && !graph.has_split_roles {
             continue;
         }
         let mut built = build_network(fleet, graph, phase, mix, only);
@@ -116,7 +116,7 @@
         let mut built = build_network(fleet, graph, phase, mix, None);
         built.network.max_flow(built.source, built.sink) as f64 / MILLI
     };
-    let whole = flow_of(RoutePhase::Whole);
+    let whole = flow_of(RoutePhase::Combined);
     let split = if graph.has_split_roles {
         flow_of(RoutePhase::Prefill).min(flow_of(RoutePhase::Decode))
     } else {
--- a/crates/coordination/src/routing/choice.rs
+++ b/crates/coordination/src/routing/choice.rs
@@ -8,7 +8,7 @@
 use super::link::DataCentreIndex;
 use super::outliers::EngineOutliers;
 use super::plan::{NoRoute, NoRouteReason, RoutePlan, RouteQuery, RouteStage};
-use super::policy::{LongProbe, PROBES, RoutePolicy};
+use super::policy::{ExtendedSampling, MAX_SAMPLES, RoutePolicy};
 use super::prefix::PrefixIndex;
 use super::repair::repair_route;
 use super::search::{SearchOutcome, search, start_point};
@@ -45,7 +45,7 @@
             graph,
             query,
             within,
-            phase: RoutePhase::Whole,
+            phase: RoutePhase::Combined,
             with_ejected: false,
         }
     }
@@ -210,8 +210,8 @@
     }
     // With fewer engines the complete search is as quick, and finds the best.
     let mut boundaries = context.graph.boundaries.values();
-    if boundaries.any(|boundary| boundary.len() > PROBES)
-        && let Some(keys) = walk_by_policy(&context, &mut LongProbe, rng)
+    if boundaries.any(|boundary| boundary.len() > MAX_SAMPLES)
+        && let Some(keys) = walk_by_policy(&context, &mut ExtendedSampling, rng)
     {
         return Ok(finish_walk(&context, &keys));
     }
--- a/crates/coordination/src/routing/graph.rs
+++ b/crates/coordination/src/routing/graph.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RoutePhase {
     /// Prompt and tokens on the same engines.
-    Whole,
+    Combined,
     /// The prompt, on engines that hand over their KV cache.
     Prefill,
     /// The tokens, on engines that take the KV cache over.
@@ -46,7 +46,7 @@
 }
 
 impl RoutePhase {
-    pub(crate) const ALL: [Self; 3] = [Self::Whole, Self::Prefill, Self::Decode];
+    pub(crate) const ALL: [Self; 3] = [Self::Combined, Self::Prefill, Self::Decode];
 
     pub(crate) fn fits(self, role: EngineRole) -> bool {
         match role {
@@ -104,7 +104,7 @@
     /// Flow into each group by phase, from all data centres, as of the last tick.
     pub(crate) flows: BTreeMap<(RoutePhase, GroupKey), f64>,
     /// Mean time from here to the last layer by phase, as of the last tick.
-    pub(crate) ahead: BTreeMap<RoutePhase, StageTime>,
+    pub(crate) remaining_times: BTreeMap<RoutePhase, StageTime>,
 }
 
 impl LayerBoundary {
@@ -186,10 +186,10 @@
     }
 
     /// Mean time from a layer to the last one; nothing after the last, or before the first tick.
-    pub(crate) fn ahead(&self, phase: RoutePhase, layer: u32) -> StageTime {
+    pub(crate) fn remaining_time(&self, phase: RoutePhase, layer: u32) -> StageTime {
         let boundary = self.boundaries.get(&layer);
         boundary
-            .and_then(|boundary| boundary.ahead.get(&phase).copied())
+            .and_then(|boundary| boundary.remaining_times.get(&phase).copied())
             .unwrap_or_default()
     }
 
--- a/crates/coordination/src/routing/plan.rs
+++ b/crates/coordination/src/routing/plan.rs
@@ -131,7 +131,7 @@
 }
 
 /// Whether ranges, in their order, run each of so many layers once.
-pub fn is_whole_chain(ranges: &[LayerRange], layers: u32) -> bool {
+pub fn is_complete_chain(ranges: &[LayerRange], layers: u32) -> bool {
     let mut next = 0;
     for range in ranges {
         if range.first != next || range.is_empty() {
--- a/crates/coordination/src/routing/planner.rs
+++ b/crates/coordination/src/routing/planner.rs
@@ -4,7 +4,6 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-use super::ahead::refresh_ahead;
 use super::bound::{FlowBound, find_bound, refresh_flow};
 use super::choice::{ChoiceTables, choose_route, repair_in_tables};
 use super::engine::EngineAnnouncement;
@@ -17,6 +16,7 @@
 use super::plan::{NoRoute, RoutePlan, RouteQuery};
 use super::policy::RoutePolicy;
 use super::prefix::{CacheEvent, CacheOutcome, PrefixIndex};
+use super::remaining::refresh_remaining_times;
 use super::settings::RoutingSettings;
 use crate::base::{
     AdapterName, DataCentreName, FindingList, ModelName, MonotonicTime, ServerName, VersionName,
@@ -193,7 +193,7 @@
         if !graph.stale.is_empty() {
             refresh_flow(&self.fleet, &mut graph, &self.settings);
         }
-        refresh_ahead(&self.fleet, &mut graph, &self.settings);
+        refresh_remaining_times(&self.fleet, &mut graph, &self.settings);
         if let Some(slot) = self.fleet.graphs.get_mut(key) {
             *slot = graph;
         }
--- a/crates/coordination/src/routing/policy.rs
+++ b/crates/coordination/src/routing/policy.rs
@@ -1,8 +1,8 @@
 //! Policies that pick the engine of one stage. One file each; all see the same view.
 
+mod extended_sampling;
 mod flow_weighted;
 mod least_outstanding;
-mod long_probe;
 mod power_of_two;
 mod predicted_finish;
 mod round_robin;
@@ -12,7 +12,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-pub(super) use long_probe::{LongProbe, PROBES};
+pub(super) use extended_sampling::{ExtendedSampling, MAX_SAMPLES};
 
 use super::fleet::EngineKey;
 use super::view::StageView;
--- a/crates/coordination/src/routing/policy/long_probe.rs
+++ b/crates/coordination/src/routing/policy/extended_sampling.rs
@@ -10,20 +10,20 @@
 use crate::routing::view::StageView;
 
 /// Samples of one stage at most. If one engine of 14 is allowed, one stage of 13,000 finds none.
-pub(in crate::routing) const PROBES: u32 = 128;
+pub(in crate::routing) const MAX_SAMPLES: u32 = 128;
 /// Engines that are compared.
 const WANTED: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
-pub(in crate::routing) struct LongProbe;
+pub(in crate::routing) struct ExtendedSampling;
 
-impl RoutePolicy for LongProbe {
+impl RoutePolicy for ExtendedSampling {
     fn pick(&mut self, view: &mut StageView<'_>) -> Option<EngineKey> {
         let mut best: Option<(EngineKey, f64)> = None;
         let mut found = 0;
         // Not by flow: its weights are worked out for the whole fleet and may leave out just the
         // engines that are allowed.
-        for _ in 0..PROBES {
+        for _ in 0..MAX_SAMPLES {
             let sample = view.sample_uniform();
             let Some(key) = sample.filter(|key| view.accepts(*key)) else {
                 continue;
--- a/crates/coordination/src/routing/policy/predicted_finish.rs
+++ b/crates/coordination/src/routing/policy/predicted_finish.rs
@@ -46,7 +46,7 @@
                 compare(view, key);
             }
         }
-        if view.context.worked_prompt() > 0 {
+        if view.context.phase_prompt_tokens() > 0 {
             let prefixes = view.context.prefixes;
             let holders = prefixes.holders(view.context.query.prefixes);
             for key in holders.iter().take(MAX_HOLDERS) {
--- a/crates/coordination/src/routing/ahead.rs
+++ b/crates/coordination/src/routing/remaining.rs
@@ -12,7 +12,7 @@
 const SAMPLES: usize = 4;
 
 /// Refreshes the time ahead of each boundary, from the last one forwards.
-pub(crate) fn refresh_ahead(
+pub(crate) fn refresh_remaining_times(
     fleet: &FleetTable,
     graph: &mut LayerGraph,
     settings: &RoutingSettings,
@@ -20,15 +20,15 @@
     let layers: Vec<u32> = graph.boundaries.keys().rev().copied().collect();
     for phase in RoutePhase::ALL {
         for layer in &layers {
-            let ahead = find_ahead(fleet, graph, settings, phase, *layer);
+            let ahead = find_remaining_time(fleet, graph, settings, phase, *layer);
             if let Some(boundary) = graph.boundaries.get_mut(layer) {
-                boundary.ahead.insert(phase, ahead);
+                boundary.remaining_times.insert(phase, ahead);
             }
         }
     }
 }
 
-fn find_ahead(
+fn find_remaining_time(
     fleet: &FleetTable,
     graph: &LayerGraph,
     settings: &RoutingSettings,
@@ -50,7 +50,7 @@
             continue;
         };
         let own = mean_time(fleet, group, settings, layer);
-        let after = graph.ahead(phase, group.shape.layers.end);
+        let after = graph.remaining_time(phase, group.shape.layers.end);
         mean = mean.plus(own.plus(after).times(flow / total));
     }
     mean
--- a/crates/coordination/src/routing/view.rs
+++ b/crates/coordination/src/routing/view.rs
@@ -116,7 +116,7 @@
         point: &WalkPoint,
         cached: u32,
     ) -> StageTime {
-        let fresh = f64::from(self.worked_prompt().saturating_sub(cached));
+        let fresh = f64::from(self.phase_prompt_tokens().saturating_sub(cached));
         let own = engine_time(engine, fresh, point.layer);
         let (latency, per_token) = self.hop(engine, point);
         StageTime {
@@ -127,16 +127,16 @@
 
     /// Tokens of the prompt that an engine holds, where this phase works on the prompt.
     pub(crate) fn cached_tokens(&self, key: EngineKey) -> u32 {
-        if self.query.prefixes.is_empty() || self.worked_prompt() == 0 {
+        if self.query.prefixes.is_empty() || self.phase_prompt_tokens() == 0 {
             return 0;
         }
         self.prefixes.cached_tokens(key, self.query.prefixes)
     }
 
     /// Prompt tokens that this phase works through.
-    pub(crate) fn worked_prompt(&self) -> u32 {
+    pub(crate) fn phase_prompt_tokens(&self) -> u32 {
         match self.phase {
-            RoutePhase::Whole | RoutePhase::Prefill => self.query.prompt_tokens,
+            RoutePhase::Combined | RoutePhase::Prefill => self.query.prompt_tokens,
             RoutePhase::Decode => 0,
         }
     }
@@ -187,7 +187,7 @@
     pub(crate) fn kv_tokens(&self) -> u64 {
         let expected = match self.phase {
             RoutePhase::Prefill => 0,
-            RoutePhase::Whole | RoutePhase::Decode => self.query.expected_tokens,
+            RoutePhase::Combined | RoutePhase::Decode => self.query.expected_tokens,
         };
         u64::from(self.query.prompt_tokens) + u64::from(expected)
     }
@@ -329,7 +329,7 @@
         };
         let time = self.context.predict(key, engine, &self.point);
         let end = engine.announcement.layers.end;
-        let ahead = self.context.graph.ahead(self.context.phase, end);
+        let ahead = self.context.graph.remaining_time(self.context.phase, end);
         time.plus(ahead).finish(self.context.query.expected_tokens)
     }
 }
--- a/crates/coordination/tests/routing_chains.rs
+++ b/crates/coordination/tests/routing_chains.rs
@@ -1,7 +1,7 @@
 //! Chains that servers run themselves are proved whole before they are sent.
 
 use pollendrift_coordination::base::LayerRange;
-use pollendrift_coordination::routing::is_whole_chain;
+use pollendrift_coordination::routing::is_complete_chain;
 
 /// The caller sees words of a model that left layers out: an engine leaves while a chain is put
 /// together, its stage is dropped from the list, and nobody after that looks at the gap. No engine
@@ -27,7 +27,7 @@
                 end: *end,
             })
             .collect();
-        format!("{name}: {}", is_whole_chain(&ranges, layers))
+        format!("{name}: {}", is_complete_chain(&ranges, layers))
     });
     insta::assert_snapshot!(verdicts.join("\n"), @"
     whole: true
--- a/crates/coordination/tests/routing_repair.rs
+++ b/crates/coordination/tests/routing_repair.rs
@@ -8,7 +8,7 @@
 use pollendrift_coordination::base::{LayerRange, ModelName, MonotonicTime, ServerName};
 use pollendrift_coordination::routing::{
     ChainScope, EngineAnnouncement, FleetPlanner, PermitAll, RoutePlan, RoutePlanner,
-    RoutePriority, RouteQuery, RoutingSettings, is_whole_chain,
+    RoutePriority, RouteQuery, RoutingSettings, is_complete_chain,
 };
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{RngExt, SeedableRng};
@@ -63,7 +63,10 @@
 /// What must hold of a repaired pipeline beside the one before it.
 fn check(former: &RoutePlan, repaired: &RoutePlan, lost: &[ServerName], seed: u64) {
     let ranges: Vec<LayerRange> = repaired.stages.iter().map(|stage| stage.layers).collect();
-    assert!(is_whole_chain(&ranges, LAYERS), "seed {seed}: {ranges:?}");
+    assert!(
+        is_complete_chain(&ranges, LAYERS),
+        "seed {seed}: {ranges:?}"
+    );
     assert_eq!(
         former.stages[0].server, repaired.stages[0].server,
         "seed {seed}"
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -19,7 +19,7 @@
 use pollendrift_coordination::routing::{
     ByteRate, DegradedLinks, DegradedSettings, EngineFilter, EngineRecord, FleetPlanner, FlightKey,
     LinkFigures, LoadFigures, LoadReport, NoRoute, NoRouteReason, RoutePlan, RoutePlanner,
-    RoutePriority, RouteQuery, RoutingSettings, SurveyedEngine, TokenCount, is_whole_chain,
+    RoutePriority, RouteQuery, RoutingSettings, SurveyedEngine, TokenCount, is_complete_chain,
 };
 use pollendrift_dialect::StageHop;
 
@@ -325,7 +325,7 @@
         let hops: Vec<StageHop> = hops.collect();
         let ranges: Vec<LayerRange> = hops.iter().map(|hop| hop.layers).collect();
         let first = plan.stages.first().map(|stage| stage.server.clone());
-        let (Some(first), true) = (first, is_whole_chain(&ranges, layers)) else {
+        let (Some(first), true) = (first, is_complete_chain(&ranges, layers)) else {
             log::error!(stages:? = plan.stages; "chain with a gap was not sent");
             let reasons = vec![NoRouteReason::NotServed];
             return Err(NoRoute { reasons });
