--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchOutcome {
     /// Servers whose leases changed or were renewed.
-    pub taken: Vec<(ServerName, MergeVerdict)>,
+    pub merged: Vec<(ServerName, MergeVerdict)>,
     /// Servers whose announcements must be asked for.
     pub unknown_servers: Vec<ServerName>,
     /// Numbers that must be asked for.
@@ -210,7 +210,7 @@
             if let Some(key) = self.by_name.get(&server) {
                 map.leases.insert(named.number, (*key, incarnation));
             }
-            outcome.taken.push((server, verdict));
+            outcome.merged.push((server, verdict));
         }
         match batch.heard.unpack() {
             Ok(heard) => self.merge_numbered(now, &map, heard, from, transit, &mut outcome),
@@ -238,7 +238,7 @@
             let verdict = self.renew_unchanged(now, key, incarnation, age, from);
             if let (Some(verdict), Some(lease)) = (verdict, self.leases.get(key)) {
                 let server = lease.announce.server.clone();
-                outcome.taken.push((server, verdict));
+                outcome.merged.push((server, verdict));
             }
         }
     }
--- a/crates/coordination/src/routing/survey.rs
+++ b/crates/coordination/src/routing/survey.rs
@@ -61,7 +61,7 @@
 
 impl SurveyTable {
     /// Takes notes; one that is older than what is held changes nothing.
-    pub fn take(&mut self, now: MonotonicTime, notes: Vec<SurveyResult>) {
+    pub fn merge(&mut self, now: MonotonicTime, notes: Vec<SurveyResult>) {
         for note in notes {
             let taken = now.before(note.age);
             let held = self.engines.get(&note.server);
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -295,7 +295,7 @@
     };
     let from = (&sender.name, LeaseSource::Keeper);
     let outcome = receiver.table.merge_batch(at(4_000), from, batch, TRANSIT);
-    assert_eq!(outcome.taken, []);
+    assert_eq!(outcome.merged, []);
     assert_eq!(outcome.unknown_numbers, [LeaseNumber(1)]);
     assert_eq!(receiver.serving(5_500), 0);
 }
--- a/crates/coordination/tests/routing_servers.rs
+++ b/crates/coordination/tests/routing_servers.rs
@@ -124,7 +124,7 @@
         (1_300, engine_note(2, Some(1), 0)),
     ];
     for (millis, note) in steps {
-        board.take(at(millis), vec![note]);
+        board.merge(at(millis), vec![note]);
         let lives = [1, 2].map(|life| {
             let known = board.get(at(millis), &name("e"), Incarnation(life));
             let load = known.map(|known| known.load.map(|load| load.running));
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -138,7 +138,7 @@
     ) -> BatchOutcome {
         let mut state = self.lock();
         let outcome = state.leases.merge_batch(now, sender, batch, transit);
-        for (server, verdict) in &outcome.taken {
+        for (server, verdict) in &outcome.merged {
             state.follow(now, server, *verdict);
         }
         outcome
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -107,7 +107,7 @@
 
     /// Takes what a survey of engines found.
     pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
-        self.lock().survey.take(now, notes);
+        self.lock().survey.merge(now, notes);
     }
 
     /// Servers of `workers` that this host heard of first, itself or by a host that follows it: it asks them
