--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -7,15 +7,15 @@
 mod bucket;
 mod customer;
 mod offer;
-mod patience;
 mod settings;
+mod wait;
 
 pub use admission::AdmissionTable;
 pub use offer::{
     AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionVerdict, RefusalReason,
     RequestPriority, RequestRefusal, TicketKey,
 };
-pub use patience::PatienceSettings;
 pub use settings::{CustomerLimits, LimitSettings};
+pub use wait::WaitSettings;
 
 pub(crate) use bucket::TokenBucket;
--- a/crates/coordination/src/limits/admission.rs
+++ b/crates/coordination/src/limits/admission.rs
@@ -113,11 +113,11 @@
         let Some(key) = self.find_customer(now, name) else {
             return;
         };
-        self.unlist(key);
+        self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
             customer.set_limits(now, limits);
         }
-        self.list(key);
+        self.insert_ready(key);
     }
 
     /// Decides on a request at once. What is refused here or in a tick has not run.
@@ -173,11 +173,11 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_tokens = self.in_flight_tokens.saturating_sub(tokens);
         self.rate.count(now, tokens);
-        self.unlist(key);
+        self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
             customer.in_flight = customer.in_flight.saturating_sub(1);
         }
-        self.list(key);
+        self.insert_ready(key);
     }
 
     /// Requests that run.
@@ -265,7 +265,7 @@
             return Duration::ZERO;
         };
         let own = u64::from(customer.weight());
-        let weights = self.ready_weight + if customer.is_listed { 0 } else { own };
+        let weights = self.ready_weight + if customer.is_ready { 0 } else { own };
         let share = own as f64 / weights.max(1) as f64;
         let ahead = self.tokens_ahead(customer, offer.priority);
         let seconds = (ahead / share).min(self.queued_tokens as f64) / rate.max(f64::MIN_POSITIVE);
@@ -312,7 +312,7 @@
         }
         self.queued += 1;
         self.queued_tokens += tokens;
-        self.unlist(key);
+        self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
             // A customer that was away must not be owed the time in which it asked for nothing.
             if customer.queued() == 0 {
@@ -320,7 +320,7 @@
             }
             customer.push(priority, ticket, tokens);
         }
-        self.list(key);
+        self.insert_ready(key);
         ticket
     }
 
@@ -336,11 +336,11 @@
         }
         self.queued = self.queued.saturating_sub(1);
         self.queued_tokens = self.queued_tokens.saturating_sub(tokens);
-        self.unlist(key);
+        self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
             customer.drop_ticket(priority, ticket, tokens);
         }
-        self.list(key);
+        self.insert_ready(key);
     }
 
     fn admit_ready(&mut self) {
@@ -382,13 +382,13 @@
         self.in_flight += 1;
         self.in_flight_tokens += tokens;
         self.admissions = self.admissions.wrapping_add(1);
-        self.unlist(key);
+        self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
             self.served_tag = self.served_tag.max(customer.tag);
             customer.charge(tokens);
             customer.in_flight += 1;
         }
-        self.list(key);
+        self.insert_ready(key);
     }
 
     fn refuse_late(&mut self, now: MonotonicTime) -> Vec<AdmissionChange> {
@@ -413,25 +413,25 @@
     }
 
     /// Takes a customer out of `ready`; its tag, queues and count may change then.
-    fn unlist(&mut self, key: CustomerKey) {
-        let Some(customer) = self.customers.get_mut(key).filter(|c| c.is_listed) else {
+    fn remove_ready(&mut self, key: CustomerKey) {
+        let Some(customer) = self.customers.get_mut(key).filter(|c| c.is_ready) else {
             return;
         };
-        customer.is_listed = false;
+        customer.is_ready = false;
         self.ready_weight -= u64::from(customer.weight());
         for ready in &mut self.ready {
             ready.remove(&(customer.tag, key));
         }
     }
 
-    fn list(&mut self, key: CustomerKey) {
+    fn insert_ready(&mut self, key: CustomerKey) {
         let Some(customer) = self.customers.get_mut(key) else {
             return;
         };
         if customer.queued() == 0 || customer.in_flight >= customer.limits.max_in_flight {
             return;
         }
-        customer.is_listed = true;
+        customer.is_ready = true;
         self.ready_weight += u64::from(customer.weight());
         for priority in RequestPriority::DESCENDING {
             if !customer.queue(priority).is_empty() {
--- a/crates/coordination/src/limits/bucket.rs
+++ b/crates/coordination/src/limits/bucket.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether there is a token; takes none.
-    pub(crate) fn has_some(&mut self, now: MonotonicTime) -> bool {
+    pub(crate) fn has_token(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.level >= 1.0
     }
--- a/crates/coordination/src/limits/customer.rs
+++ b/crates/coordination/src/limits/customer.rs
@@ -31,7 +31,7 @@
     pub(crate) in_flight: u32,
     pub(crate) queued_tokens: u64,
     /// Whether the table lists it as ready, with the weight that its limits give.
-    pub(crate) is_listed: bool,
+    pub(crate) is_ready: bool,
     bucket: Option<TokenBucket>,
     /// Waiting requests by priority, first come first.
     queues: [VecDeque<TicketKey>; 3],
@@ -45,7 +45,7 @@
             tag: ServiceTag::default(),
             in_flight: 0,
             queued_tokens: 0,
-            is_listed: false,
+            is_ready: false,
             bucket: make_bucket(now, &limits),
             queues: Default::default(),
         }
--- a/crates/coordination/src/limits/patience.rs
+++ b/crates/coordination/src/limits/wait.rs
@@ -14,7 +14,7 @@
 /// How long requests wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
-pub struct PatienceSettings {
+pub struct WaitSettings {
     /// Time after its arrival for which a request waits where all servers are full.
     pub full: Duration,
     /// The same at a host that is still learning which servers there are.
@@ -24,7 +24,7 @@
     pub learning_time: Duration,
 }
 
-impl Default for PatienceSettings {
+impl Default for WaitSettings {
     fn default() -> Self {
         Self {
             full: Duration::from_millis(1_200),
@@ -35,7 +35,7 @@
     }
 }
 
-impl PatienceSettings {
+impl WaitSettings {
     /// Until when a request that arrived at `arrived` waits, as far as can be said at `now`. `started` is
     /// when the host's process started.
     pub fn wait_until(
--- a/crates/coordination/src/retries/budget.rs
+++ b/crates/coordination/src/retries/budget.rs
@@ -49,7 +49,7 @@
 
     /// Whether the budget allows a retry; takes none.
     pub fn is_left(&mut self, now: MonotonicTime, key: &K) -> bool {
-        self.find(now, key).bucket.has_some(now)
+        self.find(now, key).bucket.has_token(now)
     }
 
     /// Takes other settings into force; what is saved up stays, within the new burst.
--- a/crates/coordination/tests/limits_patience.rs
+++ b/crates/coordination/tests/limits_patience.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::MonotonicTime;
-use pollendrift_coordination::limits::PatienceSettings;
+use pollendrift_coordination::limits::WaitSettings;
 
 /// Time for which a caller hears nothing before it leaves.
 const CALLER_PATIENCE: Duration = Duration::from_secs(2);
@@ -16,7 +16,7 @@
 
 /// Callers refused of a hundred that come back within `spread` of the start of all hosts, where the first
 /// whole chain of engines is known `known` after it.
-fn refused_in_a_herd(settings: &PatienceSettings, spread: u64, known: u64) -> usize {
+fn refused_in_a_herd(settings: &WaitSettings, spread: u64, known: u64) -> usize {
     let started = at(10_000);
     let arrivals =
         (0..100).map(|caller| started.after(Duration::from_millis(caller * spread / 100)));
@@ -31,8 +31,8 @@
 // know no engine yet: most of them have one retry.
 #[test]
 fn a_herd_after_a_restart_is_not_refused_for_want_of_knowledge() {
-    let learning = PatienceSettings::default();
-    let blind = PatienceSettings {
+    let learning = WaitSettings::default();
+    let blind = WaitSettings {
         learning_time: Duration::ZERO,
         ..learning
     };
@@ -50,7 +50,7 @@
 // the first event of what is sent at the last moment too.
 #[test]
 fn nobody_waits_until_it_leaves() {
-    let settings = PatienceSettings::default();
+    let settings = WaitSettings::default();
     let started = at(0);
     for arrived in [at(100), at(4_900), at(60_000)] {
         let until = settings.wait_until(arrived, started, arrived);
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::{DataCentreName, MonotonicTime, ServiceName};
-use pollendrift_coordination::limits::PatienceSettings;
+use pollendrift_coordination::limits::WaitSettings;
 use pollendrift_coordination::retries::{BudgetTable, OutlierSettings, RetrySettings};
 use pollendrift_coordination::routing::{ChainHealth, HealthSettings, ServerLoads};
 use pollendrift_dialect::PlatformDialect;
@@ -53,7 +53,7 @@
     health: Mutex<ChainHealth>,
     budgets: Mutex<BudgetTable<ServiceName>>,
     settings: RelaySettings,
-    patience: PatienceSettings,
+    patience: WaitSettings,
     /// Hosts that the retry budget is divided by.
     sharing: AtomicU32,
 }
@@ -89,7 +89,7 @@
             ))),
             data_centre: parts.data_centre,
             settings: parts.settings,
-            patience: PatienceSettings::default(),
+            patience: WaitSettings::default(),
             sharing: AtomicU32::new(BUDGET_HOSTS),
         }
     }
