--- a/crates/coordination/src/retries.rs
+++ b/crates/coordination/src/retries.rs
@@ -5,15 +5,15 @@
 mod decision;
 mod outlier;
 mod proof;
-mod run_places;
 mod settings;
 mod slow_start;
+mod tried_servers;
 
 pub use budget::BudgetTable;
 pub use deadline::CallDeadline;
 pub use decision::{FailedAttempt, RetryVerdict, StopReason, decide_retry};
 pub use outlier::{Ejection, OutlierTable};
 pub use proof::{CallKind, RunProof, SendOutcome};
-pub use run_places::RunPlaces;
 pub use settings::{OutlierSettings, RetrySettings, SlowStartSettings};
 pub use slow_start::slow_start_share;
+pub use tried_servers::TriedServers;
--- a/crates/coordination/src/retries/budget.rs
+++ b/crates/coordination/src/retries/budget.rs
@@ -35,7 +35,7 @@
     }
 
     /// Notes the first attempt of a call, which earns a part of a retry.
-    pub fn called(&mut self, now: MonotonicTime, key: &K) {
+    pub fn record_call(&mut self, now: MonotonicTime, key: &K) {
         let ratio = self.settings.budget_ratio;
         let budget = self.find(now, key);
         budget.last_call = now;
@@ -48,7 +48,7 @@
     }
 
     /// Whether the budget allows a retry; takes none.
-    pub fn is_left(&mut self, now: MonotonicTime, key: &K) -> bool {
+    pub fn has_budget(&mut self, now: MonotonicTime, key: &K) -> bool {
         self.find(now, key).bucket.has_token(now)
     }
 
--- a/crates/coordination/src/retries/run_places.rs
+++ b/crates/coordination/src/retries/tried_servers.rs
@@ -9,13 +9,13 @@
 /// within seconds, a draft ran on three first engines though its route allows two. The first engine of
 /// a broken chain is well and has run the draft, so it counts as long as it answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RunPlaces {
+pub struct TriedServers {
     servers: Vec<ServerName>,
 }
 
-impl RunPlaces {
+impl TriedServers {
     /// The request may run at `server` from now on.
-    pub fn note(&mut self, server: &ServerName) {
+    pub fn record(&mut self, server: &ServerName) {
         if !self.servers.contains(server) {
             self.servers.push(server.clone());
         }
--- a/crates/coordination/tests/retries_failures.rs
+++ b/crates/coordination/tests/retries_failures.rs
@@ -127,7 +127,7 @@
     for now in 0..30_000 {
         let mut due = retries.remove(&now).unwrap_or_default();
         let customer = CustomerName::from(format!("c{}", now % 10));
-        budgets.called(at(now), &customer);
+        budgets.record_call(at(now), &customer);
         due.push((customer, 1));
         calls += 1;
         for (customer, attempts) in due {
@@ -175,7 +175,7 @@
         ..RetrySettings::default()
     });
     for index in 0..100 {
-        budgets.called(at(index), &CustomerName::from(format!("c{index}")));
+        budgets.record_call(at(index), &CustomerName::from(format!("c{index}")));
     }
     assert_eq!(budgets.len(), 3);
 }
@@ -247,7 +247,7 @@
     let customer = CustomerName::from("c");
     let mut budgets = BudgetTable::new(settings);
     for millis in 0..1_000 {
-        assert!(budgets.is_left(at(millis), &customer));
+        assert!(budgets.has_budget(at(millis), &customer));
     }
     let smaller = RetrySettings {
         budget_burst: 1.0,
@@ -256,5 +256,5 @@
     budgets.configure(at(1_000), smaller);
     let taken = (0..4).filter(|_| budgets.take(at(1_000), &customer));
     assert_eq!(taken.count(), 1);
-    assert!(!budgets.is_left(at(1_000), &customer));
+    assert!(!budgets.has_budget(at(1_000), &customer));
 }
--- a/crates/coordination/tests/retries_places.rs
+++ b/crates/coordination/tests/retries_places.rs
@@ -1,7 +1,7 @@
 //! At how many backend servers one request may run.
 
 use pollendrift_coordination::base::ServerName;
-use pollendrift_coordination::retries::RunPlaces;
+use pollendrift_coordination::retries::TriedServers;
 
 /// Engines that a route allows.
 const MOST: u32 = 2;
@@ -29,9 +29,9 @@
     ];
     let mut seen = Vec::new();
     for (name, ran, lost) in cases {
-        let mut places = RunPlaces::default();
+        let mut places = TriedServers::default();
         for server in ran {
-            places.note(&ServerName::from(*server));
+            places.record(&ServerName::from(*server));
         }
         let is_lost = |server: &ServerName| lost.contains(&server.as_str());
         let allowed = places.allowed(MOST, is_lost);
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -134,7 +134,7 @@
 
     /// A first send to a service earns a part of a retry.
     pub(super) fn earn_retry(&self, now: MonotonicTime, service: &ServiceName) {
-        self.budgets().called(now, service);
+        self.budgets().record_call(now, service);
     }
 
     /// Takes a retry at a service from the budget; false if there is none.
@@ -144,7 +144,7 @@
 
     /// Whether the budget allows a retry at a service; takes none.
     pub(super) fn is_retry_left(&self, now: MonotonicTime, service: &ServiceName) -> bool {
-        self.budgets().is_left(now, service)
+        self.budgets().has_budget(now, service)
     }
 
     /// Divides the retry budget by the hosts that take callers.
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -6,7 +6,7 @@
 use http::Response;
 use pollendrift_coordination::base::{MonotonicTime, ServerName};
 use pollendrift_coordination::evidence::OutcomeKind;
-use pollendrift_coordination::retries::{RunPlaces, SendOutcome};
+use pollendrift_coordination::retries::{SendOutcome, TriedServers};
 use pollendrift_coordination::streams::EventId;
 use pollendrift_dialect::RefusalKind;
 use pollendrift_http::{ResponseBody, channel_body};
@@ -52,7 +52,7 @@
     /// Engines that failed it, and until when each is left out.
     excluded: Vec<LeftOut>,
     /// First engines of the chains that may have run it.
-    places: RunPlaces,
+    places: TriedServers,
     /// Sends that an engine may have begun to run.
     sends: u32,
     declined: u32,
@@ -86,7 +86,7 @@
         request,
         meter: meter.clone(),
         excluded: Vec::new(),
-        places: RunPlaces::default(),
+        places: TriedServers::default(),
         sends: 0,
         declined: 0,
         may_have_run: false,
@@ -139,7 +139,7 @@
             self.context.metrics.request_sent();
             match self.send(&mut chain, resume_after).await {
                 Ok(answer) => {
-                    self.places.note(&chain.chain.first);
+                    self.places.record(&chain.chain.first);
                     self.sends += 1;
                     self.may_have_run = true;
                     let is_error = answer.parts.status.is_server_error();
@@ -152,7 +152,7 @@
                 }
                 Err(failed) => {
                     if !failed.outcome.proof().is_not_run() {
-                        self.places.note(&chain.chain.first);
+                        self.places.record(&chain.chain.first);
                     }
                     let culprits = blame(&chain.chain, &failed);
                     log_failed_send(&self.request, &failed, &culprits);
--- a/crates/daemon/src/resend.rs
+++ b/crates/daemon/src/resend.rs
@@ -48,7 +48,7 @@
         self.budgets
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .called(now, customer);
+            .record_call(now, customer);
     }
 
     /// The wait before the next attempt, or why there is none.
