--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -8,7 +8,7 @@
 mod settings;
 mod table;
 
-pub use call::{CallEffect, CallEvent, CallerVerdict, ClaimedCall, NotRunReason};
+pub use call::{CallEffect, CallEvent, CallerResponse, ClaimedCall, NotRunReason};
 pub use claim::{
     AnswerBody, AnswerHeader, ClaimOutcome, ClaimScope, ClaimState, ClaimTicket, RequestDigest,
     SettleAnswer, SettleClaim, StoredAnswer, TakeAnswer, TakeClaim,
--- a/crates/coordination/src/claims/call.rs
+++ b/crates/coordination/src/claims/call.rs
@@ -39,7 +39,7 @@
     /// Propose this outcome to the keepers, until they answer.
     Settle(SettleClaim),
     /// Tell the caller.
-    Tell(CallerVerdict),
+    Respond(CallerResponse),
 }
 
 /// Why a call did not run.
@@ -64,7 +64,7 @@
 
 /// What the caller is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallerVerdict {
+pub enum CallerResponse {
     /// The answer of the run that this arrival made.
     Answer(StoredAnswer),
     /// The answer of the run that an earlier arrival made.
@@ -135,7 +135,7 @@
 
     /// Decides what follows from an event; one that fits no step, such as a late copy of an
     /// answer, changes nothing.
-    pub fn on(&mut self, event: CallEvent) -> Vec<CallEffect> {
+    pub fn handle(&mut self, event: CallEvent) -> Vec<CallEffect> {
         match (&self.step, event) {
             (CallStep::Taking, CallEvent::TakeAnswered(answer)) => self.taken(answer),
             (CallStep::Taking, CallEvent::TakeUnanswered) => {
@@ -148,12 +148,12 @@
                 self.not_run(NotRunReason::ProvedNotStarted)
             }
             (CallStep::Sending, CallEvent::Answered(answer)) => {
-                let verdict = CallerVerdict::Answer(answer.clone());
+                let verdict = CallerResponse::Answer(answer.clone());
                 self.settle(ClaimOutcome::Finished(answer), verdict)
             }
             (CallStep::Sending, CallEvent::AnswerLost) => {
                 let request = self.take.request.clone();
-                self.settle(ClaimOutcome::Unknown, CallerVerdict::Unknown { request })
+                self.settle(ClaimOutcome::Unknown, CallerResponse::Unknown { request })
             }
             (CallStep::Settling(settle), CallEvent::SettleUnanswered) => {
                 vec![CallEffect::Settle(settle.clone())]
@@ -173,30 +173,30 @@
                 return vec![CallEffect::Send];
             }
             TakeAnswer::AlreadyTaken { request, state } => match state {
-                ClaimState::InProgress => CallerVerdict::InProgress { request },
-                ClaimState::Unknown => CallerVerdict::Unknown { request },
-                ClaimState::Finished(answer) => CallerVerdict::StoredAnswer { request, answer },
+                ClaimState::InProgress => CallerResponse::InProgress { request },
+                ClaimState::Unknown => CallerResponse::Unknown { request },
+                ClaimState::Finished(answer) => CallerResponse::StoredAnswer { request, answer },
             },
-            TakeAnswer::BodyDiffers { request } => CallerVerdict::BodyDiffers { request },
-            TakeAnswer::Full => CallerVerdict::NotRun(NotRunReason::ClaimsFull),
-            TakeAnswer::TicketSpent => CallerVerdict::NotRun(NotRunReason::EntryReplaced),
+            TakeAnswer::BodyDiffers { request } => CallerResponse::BodyDiffers { request },
+            TakeAnswer::Full => CallerResponse::NotRun(NotRunReason::ClaimsFull),
+            TakeAnswer::TicketSpent => CallerResponse::NotRun(NotRunReason::EntryReplaced),
         };
         self.step = CallStep::Ended;
-        vec![CallEffect::Tell(verdict)]
+        vec![CallEffect::Respond(verdict)]
     }
 
     /// Gives the key back, so that the caller's next try is not held up by a run that never was.
     fn not_run(&mut self, reason: NotRunReason) -> Vec<CallEffect> {
-        self.settle(ClaimOutcome::NotSent, CallerVerdict::NotRun(reason))
+        self.settle(ClaimOutcome::NotSent, CallerResponse::NotRun(reason))
     }
 
-    fn settle(&mut self, outcome: ClaimOutcome, verdict: CallerVerdict) -> Vec<CallEffect> {
+    fn settle(&mut self, outcome: ClaimOutcome, verdict: CallerResponse) -> Vec<CallEffect> {
         let settle = SettleClaim {
             scope: self.take.scope.clone(),
             ticket: self.take.ticket.clone(),
             outcome,
         };
         self.step = CallStep::Settling(settle.clone());
-        vec![CallEffect::Tell(verdict), CallEffect::Settle(settle)]
+        vec![CallEffect::Respond(verdict), CallEffect::Settle(settle)]
     }
 }
--- a/crates/coordination/tests/claims_at_most_once.rs
+++ b/crates/coordination/tests/claims_at_most_once.rs
@@ -6,7 +6,7 @@
 
 use pollendrift_coordination::base::{HostName, Incarnation, SequenceNumber};
 use pollendrift_coordination::claims::{
-    AnswerBody, CallEffect, CallEvent, CallerVerdict, ClaimScope, ClaimSettings, ClaimState,
+    AnswerBody, CallEffect, CallEvent, CallerResponse, ClaimScope, ClaimSettings, ClaimState,
     ClaimTable, ClaimTicket, ClaimedCall, RequestDigest, SettleClaim, StoredAnswer, TakeClaim,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
@@ -53,7 +53,7 @@
     /// Incarnation of the entry; the arrival ends when the entry dies.
     alive: bool,
     effects: VecDeque<CallEffect>,
-    told: Option<CallerVerdict>,
+    told: Option<CallerResponse>,
     ran: bool,
 }
 
@@ -121,7 +121,7 @@
             return;
         };
         let event = match effect {
-            CallEffect::Tell(verdict) => {
+            CallEffect::Respond(verdict) => {
                 assert!(arrival.told.replace(verdict).is_none(), "told twice");
                 return;
             }
@@ -145,9 +145,9 @@
             return;
         }
         let arrival = &mut self.arrivals[number];
-        let effects = arrival.call.on(event);
+        let effects = arrival.call.handle(event);
         arrival.effects.extend(effects);
-        while let Some(CallEffect::Tell(_)) = self.arrivals[number].effects.front() {
+        while let Some(CallEffect::Respond(_)) = self.arrivals[number].effects.front() {
             self.step(number, Fate::Works);
         }
     }
@@ -243,11 +243,11 @@
         for arrival in &self.arrivals {
             let Some(told) = &arrival.told else { continue };
             match told {
-                CallerVerdict::NotRun(_) | CallerVerdict::BodyDiffers { .. } => {
+                CallerResponse::NotRun(_) | CallerResponse::BodyDiffers { .. } => {
                     assert!(!arrival.ran, "told {told:?}, but it ran");
                 }
-                CallerVerdict::Answer(_) => assert!(arrival.ran),
-                CallerVerdict::StoredAnswer { answer, .. } => {
+                CallerResponse::Answer(_) => assert!(arrival.ran),
+                CallerResponse::StoredAnswer { answer, .. } => {
                     let runner = self
                         .arrivals
                         .iter()
@@ -255,7 +255,7 @@
                     let expected = format!("run by {}", runner.unwrap()).into_bytes();
                     assert_eq!(answer.body, AnswerBody::Whole(expected));
                 }
-                CallerVerdict::InProgress { .. } | CallerVerdict::Unknown { .. } => {}
+                CallerResponse::InProgress { .. } | CallerResponse::Unknown { .. } => {}
             }
         }
     }
@@ -282,15 +282,15 @@
     }
 }
 
-fn words(told: Option<&CallerVerdict>) -> String {
+fn words(told: Option<&CallerResponse>) -> String {
     match told {
         None => "nothing".to_owned(),
-        Some(CallerVerdict::Answer(_)) => "the answer".to_owned(),
-        Some(CallerVerdict::StoredAnswer { .. }) => "the stored answer".to_owned(),
-        Some(CallerVerdict::InProgress { .. }) => "in progress".to_owned(),
-        Some(CallerVerdict::Unknown { .. }) => "unknown".to_owned(),
-        Some(CallerVerdict::BodyDiffers { .. }) => "other body".to_owned(),
-        Some(CallerVerdict::NotRun(reason)) => format!("not run: {reason}"),
+        Some(CallerResponse::Answer(_)) => "the answer".to_owned(),
+        Some(CallerResponse::StoredAnswer { .. }) => "the stored answer".to_owned(),
+        Some(CallerResponse::InProgress { .. }) => "in progress".to_owned(),
+        Some(CallerResponse::Unknown { .. }) => "unknown".to_owned(),
+        Some(CallerResponse::BodyDiffers { .. }) => "other body".to_owned(),
+        Some(CallerResponse::NotRun(reason)) => format!("not run: {reason}"),
     }
 }
 
--- a/crates/daemon/src/entry/services/claimed.rs
+++ b/crates/daemon/src/entry/services/claimed.rs
@@ -11,7 +11,7 @@
 use http::{HeaderName, HeaderValue, Response, StatusCode, header};
 use pollendrift_coordination::base::SequenceNumber;
 use pollendrift_coordination::claims::{
-    AnswerBody, AnswerHeader, CallEffect, CallEvent, CallerVerdict, ClaimScope, ClaimTicket,
+    AnswerBody, AnswerHeader, CallEffect, CallEvent, CallerResponse, ClaimScope, ClaimTicket,
     ClaimedCall, RequestDigest, SettleClaim, StoredAnswer, TakeClaim,
 };
 use pollendrift_coordination::replicated::{CommandAnswer, ReplicatedCommand};
@@ -87,7 +87,7 @@
 
 /// The verdict, with the answer in full where this arrival's own run made it.
 struct ToldVerdict {
-    verdict: CallerVerdict,
+    verdict: CallerResponse,
     answer: Option<WholeAnswer>,
 }
 
@@ -116,12 +116,12 @@
                     log::error!(claim:% = settle.scope; "claim not settled: no keeper answered");
                     None
                 }
-                CallEffect::Tell(verdict) => {
+                CallEffect::Respond(verdict) => {
                     self.tell(verdict).await;
                     None
                 }
             };
-            queue.extend(event.into_iter().flat_map(|event| claimed.on(event)));
+            queue.extend(event.into_iter().flat_map(|event| claimed.handle(event)));
         }
     }
 
@@ -186,7 +186,7 @@
         }
     }
 
-    async fn tell(&mut self, verdict: CallerVerdict) {
+    async fn tell(&mut self, verdict: CallerResponse) {
         let reply = ToldVerdict {
             verdict,
             answer: self.answer.take(),
@@ -209,15 +209,15 @@
 impl ToldVerdict {
     fn into_answer(self) -> Result<WholeAnswer, Refusal> {
         match self.verdict {
-            CallerVerdict::Answer(stored) => match self.answer {
+            CallerResponse::Answer(stored) => match self.answer {
                 Some(answer) => Ok(answer),
                 None => kept_answer(stored),
             },
-            CallerVerdict::StoredAnswer { answer, .. } => kept_answer(answer),
-            CallerVerdict::InProgress { request } => Err(Refusal::in_progress(&request)),
-            CallerVerdict::Unknown { request } => Err(Refusal::may_have_run(&request)),
-            CallerVerdict::BodyDiffers { request } => Err(Refusal::key_reused(&request)),
-            CallerVerdict::NotRun(reason) => Err(Refusal::no_pipeline(reason.to_string())),
+            CallerResponse::StoredAnswer { answer, .. } => kept_answer(answer),
+            CallerResponse::InProgress { request } => Err(Refusal::in_progress(&request)),
+            CallerResponse::Unknown { request } => Err(Refusal::may_have_run(&request)),
+            CallerResponse::BodyDiffers { request } => Err(Refusal::key_reused(&request)),
+            CallerResponse::NotRun(reason) => Err(Refusal::no_pipeline(reason.to_string())),
         }
     }
 }
