--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-pub use chain::{ChainFault, ChainLink, check_chain};
+pub use chain::{ChainError, ChainLink, check_chain};
 pub use result::{
     AttemptError, DropReason, FinalEvent, FinalVerdict, GeneratedToken, ReleasedToken, TokenResult,
     TokenText, TokenVerdict,
@@ -161,7 +161,7 @@
     }
 
     /// Number of results that wait for an earlier position.
-    pub fn held_count(&self) -> usize {
+    pub fn buffered_count(&self) -> usize {
         self.held.len()
     }
 
--- a/crates/coordination/src/ledger/chain.rs
+++ b/crates/coordination/src/ledger/chain.rs
@@ -20,7 +20,7 @@
 /// Why a chain does not cover the model's layers once, in order, in one version.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ChainFault {
+pub enum ChainError {
     /// The chain names no engine.
     #[display("the chain is empty")]
     Empty,
@@ -62,9 +62,9 @@
     chain: &[ChainLink],
     layers: u32,
     version: &VersionName,
-) -> Result<(), ChainFault> {
+) -> Result<(), ChainError> {
     if chain.is_empty() {
-        return Err(ChainFault::Empty);
+        return Err(ChainError::Empty);
     }
     let mut next = 0;
     for link in chain {
@@ -72,7 +72,7 @@
         next = link.layers.end;
     }
     if next < layers {
-        return Err(ChainFault::Gap { layer: next });
+        return Err(ChainError::Gap { layer: next });
     }
     Ok(())
 }
@@ -82,22 +82,22 @@
     next: u32,
     count: u32,
     version: &VersionName,
-) -> Result<(), ChainFault> {
+) -> Result<(), ChainError> {
     let layers = link.layers;
     if link.version != *version {
-        return Err(ChainFault::WrongVersion {
+        return Err(ChainError::WrongVersion {
             expected: version.clone(),
             found: link.version.clone(),
         });
     }
     if layers.is_empty() || layers.end > count {
-        return Err(ChainFault::OutOfModel { layers, count });
+        return Err(ChainError::OutOfModel { layers, count });
     }
     if layers.first > next {
-        return Err(ChainFault::Gap { layer: next });
+        return Err(ChainError::Gap { layer: next });
     }
     if layers.first < next {
-        return Err(ChainFault::Overlap {
+        return Err(ChainError::Overlap {
             layer: layers.first,
         });
     }
--- a/crates/coordination/src/ledger/result.rs
+++ b/crates/coordination/src/ledger/result.rs
@@ -5,7 +5,7 @@
 use derive_more::{AsRef, Display, Error, From};
 use serde::{Deserialize, Serialize};
 
-use super::chain::{ChainFault, ChainLink};
+use super::chain::{ChainError, ChainLink};
 use crate::base::{AttemptNumber, RequestId, TokenPosition};
 
 /// Text of one generated token.
@@ -111,7 +111,7 @@
     Duplicate,
     /// Its chain is not whole.
     #[display("chain: {_0}")]
-    Chain(ChainFault),
+    Chain(ChainError),
     /// Its chain is whole, but not the one that the attempt was started over.
     #[display("off the attempt's route")]
     OffRoute,
@@ -159,5 +159,5 @@
     },
     /// The route is not a whole chain in the answer's version.
     #[display("route: {_0}")]
-    Route(#[error(not(source))] ChainFault),
+    Route(#[error(not(source))] ChainError),
 }
--- a/crates/coordination/src/streams.rs
+++ b/crates/coordination/src/streams.rs
@@ -27,7 +27,7 @@
 
 /// What an entry tells of one answer that it sends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StreamNote {
+pub struct StreamUpdate {
     /// The request.
     pub request: RequestId,
     /// Whose it is.
@@ -101,7 +101,7 @@
 
     /// Takes a note. One that leaves a gap makes the stream unknown here: going on behind a gap
     /// would give the caller an answer with a hole.
-    pub fn note(&mut self, now: MonotonicTime, note: StreamNote) {
+    pub fn record(&mut self, now: MonotonicTime, note: StreamUpdate) {
         let mut held = match self.remove(&note.request) {
             Some(held)
                 if held.record.digest == note.digest && held.record.customer == note.customer =>
@@ -202,7 +202,7 @@
     hasher.finalize().into()
 }
 
-fn empty_record(note: &StreamNote) -> StreamRecord {
+fn empty_record(note: &StreamUpdate) -> StreamRecord {
     StreamRecord {
         customer: note.customer.clone(),
         digest: note.digest,
@@ -214,7 +214,7 @@
     }
 }
 
-fn note_overhead(note: &StreamNote) -> usize {
+fn note_overhead(note: &StreamUpdate) -> usize {
     size_of::<HeldStream>() + note.request.as_str().len() * 2
 }
 
--- a/crates/coordination/src/streams/events.rs
+++ b/crates/coordination/src/streams/events.rs
@@ -64,7 +64,7 @@
     }
 
     /// Whether bytes of an unfinished event wait.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
--- a/crates/coordination/src/streams/tests.rs
+++ b/crates/coordination/src/streams/tests.rs
@@ -1,13 +1,13 @@
-use super::{StreamNote, StreamSettings, StreamTable, rank_hosts};
+use super::{StreamSettings, StreamTable, StreamUpdate, rank_hosts};
 use crate::base::{AttemptNumber, HostName, MonotonicTime, RequestId, TokenPosition};
 use crate::ledger::GeneratedToken;
 
-fn note(first: u32, count: u32) -> StreamNote {
+fn note(first: u32, count: u32) -> StreamUpdate {
     let token = |id: u32| GeneratedToken {
         id: u64::from(id),
         text: id.to_string().into(),
     };
-    StreamNote {
+    StreamUpdate {
         request: "request-1".into(),
         customer: "federation".into(),
         digest: [7; 32],
@@ -51,7 +51,7 @@
     for (name, notes) in cases {
         let mut table = StreamTable::new(StreamSettings::default());
         for (first, count) in notes {
-            table.note(at(1), note(*first, *count));
+            table.record(at(1), note(*first, *count));
         }
         seen.push(format!("{name}: {}", known(&table)));
     }
@@ -67,7 +67,7 @@
 #[test]
 fn streams_are_forgotten_by_age_and_by_bytes() {
     let mut table = StreamTable::new(StreamSettings::default());
-    table.note(at(0), note(0, 2));
+    table.record(at(0), note(0, 2));
     table.tick(at(59_999));
     assert_eq!(table.len(), 1);
     table.tick(at(60_000));
@@ -79,7 +79,7 @@
     for number in 0..50 {
         let mut note = note(0, 2);
         note.request = number.to_string().into();
-        small.note(at(number), note);
+        small.record(at(number), note);
     }
     assert!(
         small.len() * size_of::<super::HeldStream>() <= 2_000,
@@ -93,10 +93,10 @@
 #[test]
 fn a_note_of_another_draft_replaces_the_stream() {
     let mut table = StreamTable::new(StreamSettings::default());
-    table.note(at(0), note(0, 3));
+    table.record(at(0), note(0, 3));
     let mut other = note(0, 1);
     other.customer = "someone-else".into();
-    table.note(at(1), other);
+    table.record(at(1), other);
     assert_eq!(known(&table), "0");
 }
 
--- a/crates/coordination/tests/ledger_failures.rs
+++ b/crates/coordination/tests/ledger_failures.rs
@@ -268,7 +268,7 @@
                     seen.push(token.position.0);
                 }
             }
-            assert!(ledger.held_count() <= 4);
+            assert!(ledger.buffered_count() <= 4);
         }
         let expected: Vec<u32> = (0..u32::try_from(seen.len()).unwrap()).collect();
         assert_eq!(seen, expected);
--- a/crates/coordination/tests/streams_events.rs
+++ b/crates/coordination/tests/streams_events.rs
@@ -36,7 +36,7 @@
         }
         let expected: Vec<(u64, String)> = (1..).zip(events).collect();
         assert_eq!(seen, expected, "seed {seed}");
-        assert!(!framer.has_rest(), "seed {seed}");
+        assert!(!framer.has_partial_event(), "seed {seed}");
     }
 }
 
--- a/crates/daemon/src/entry/draft/telling.rs
+++ b/crates/daemon/src/entry/draft/telling.rs
@@ -3,7 +3,7 @@
 use pollendrift_coordination::base::TokenPosition;
 use pollendrift_coordination::evidence::{AttemptTrace, RouteStage as TracedStage};
 use pollendrift_coordination::ledger::ReleasedToken;
-use pollendrift_coordination::streams::StreamNote;
+use pollendrift_coordination::streams::StreamUpdate;
 
 use super::{AttemptEnd, DraftRunner};
 use crate::fleet::{DraftRoute, PlannedStage};
@@ -49,7 +49,7 @@
             ),
             None => (ledger.next_position(), Vec::new()),
         };
-        self.context.streams.tell(StreamNote {
+        self.context.streams.tell(StreamUpdate {
             request: self.job.id.clone(),
             customer: self.job.customer.clone(),
             digest: self.job.digest,
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -10,7 +10,7 @@
 use pollendrift_coordination::hosts::{HostNote, HostReach};
 use pollendrift_coordination::leases::{LeaseBatch, LeaseNumber};
 use pollendrift_coordination::routing::SurveyResult;
-use pollendrift_coordination::streams::StreamNote;
+use pollendrift_coordination::streams::StreamUpdate;
 use pollendrift_store::JoinedGroup;
 use serde::de::Visitor;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -244,7 +244,7 @@
         entries: u32,
     },
     /// Tokens that go to a caller of the sender.
-    Stream(StreamNote),
+    Stream(StreamUpdate),
     /// Leases of backend servers that changed or were renewed.
     Leases(LeaseBatch),
     /// What a survey of engines found.
--- a/crates/daemon/src/relay/passing.rs
+++ b/crates/daemon/src/relay/passing.rs
@@ -85,7 +85,7 @@
             };
             let frame = match frame {
                 Some(Ok(frame)) => frame,
-                None if self.framer.has_rest() => {
+                None if self.framer.has_partial_event() => {
                     return ChainEnd::Broken("it ended within an event".to_owned());
                 }
                 None => return ChainEnd::Whole,
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -5,7 +5,7 @@
 
 use pollendrift_coordination::base::{HostName, RequestId};
 use pollendrift_coordination::streams::{
-    StreamNote, StreamRecord, StreamSettings, StreamTable, rank_hosts,
+    StreamRecord, StreamSettings, StreamTable, StreamUpdate, rank_hosts,
 };
 
 use crate::clock::TimeSource;
@@ -34,7 +34,7 @@
     }
 
     /// Tells the request's host of tokens that are about to go to the caller; waits for nothing.
-    pub fn tell(&self, note: StreamNote) {
+    pub fn tell(&self, note: StreamUpdate) {
         let Some(holder) = self
             .ranked(&note.request)
             .into_iter()
@@ -47,10 +47,10 @@
     }
 
     /// Takes what an entry tells.
-    pub fn take(&self, note: StreamNote) {
+    pub fn take(&self, note: StreamUpdate) {
         let now = self.clock.now();
         let mut table = self.lock();
-        table.note(now, note);
+        table.record(now, note);
         table.tick(now);
     }
 
