--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -161,7 +161,7 @@
 
     /// Full announcements of `servers`, as far as this host heard them itself: what a peer asks for
     /// that got a renewal of content which it does not hold.
-    pub fn full(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<LeaseDelta> {
+    pub fn full_deltas(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<LeaseDelta> {
         let leases = servers.iter().filter_map(|server| self.get(server));
         leases
             .filter(|lease| lease.is_own())
--- a/crates/coordination/src/leases/tests.rs
+++ b/crates/coordination/src/leases/tests.rs
@@ -236,7 +236,7 @@
     note("change lost", spread(&own, &mut peer, 3_000, &mut cursor));
     let held = peer.get(&server).map(|lease| lease.announce.sequence);
     assert_eq!(held, Some(SequenceNumber(2)), "an old offer is not renewed");
-    for delta in own.full(at(3_100), std::slice::from_ref(&server)) {
+    for delta in own.full_deltas(at(3_100), std::slice::from_ref(&server)) {
         let verdict = peer.merge_delta(at(3_100), delta, Duration::ZERO);
         note("asked", format!("{verdict:?}"));
     }
