--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    DeltaCursor, HeardFault, HeardFrom, HeardLease, HeardLeases, LeaseDelta, LeaseKey, LeaseNumber,
-    LeaseTable, MergeVerdict, ServerLease, ServerState,
+    DeltaCursor, LeaseDelta, LeaseKey, LeaseNumber, LeaseSource, LeaseTable, MergeVerdict,
+    NumberedRenewal, PackedRenewals, RenewalDecodeError, ServerLease, ServerState,
 };
 use crate::base::{HostName, Incarnation, MonotonicTime, ServerName};
 
@@ -25,17 +25,17 @@
     /// Those of servers that this host heard itself.
     Own,
     /// Those, and what hosts that follow this keeper heard.
-    Area,
+    OwnAndFollowers,
     /// All.
     All,
 }
 
 impl LeaseScope {
     /// Whether leases heard `from` there are in it.
-    pub fn holds(self, from: HeardFrom) -> bool {
+    pub fn includes(self, from: LeaseSource) -> bool {
         match self {
-            Self::Own => from == HeardFrom::Server,
-            Self::Area => from != HeardFrom::Keeper,
+            Self::Own => from == LeaseSource::Server,
+            Self::OwnAndFollowers => from != LeaseSource::Keeper,
             Self::All => true,
         }
     }
@@ -43,11 +43,11 @@
 
 /// How a receiver is told of leases for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FirstTelling {
+pub enum InitialSync {
     /// With their contents: it holds none.
-    Contents,
+    Full,
     /// By name: another host told it the contents, and it asks for what it lacks.
-    Names,
+    NamesOnly,
 }
 
 /// A lease by name, and its number from now on.
@@ -67,7 +67,7 @@
     /// Leases that are new to the receiver or changed.
     pub named: Vec<NamedLease>,
     /// Heartbeats of leases that were named before.
-    pub heard: HeardLeases,
+    pub heard: PackedRenewals,
 }
 
 impl LeaseBatch {
@@ -81,13 +81,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchOutcome {
     /// Servers whose leases changed or were renewed.
-    pub taken: Vec<(ServerName, MergeVerdict)>,
+    pub merged: Vec<(ServerName, MergeVerdict)>,
     /// Servers whose announcements must be asked for.
-    pub unknown: Vec<ServerName>,
+    pub unknown_servers: Vec<ServerName>,
     /// Numbers that must be asked for.
-    pub unnamed: Vec<LeaseNumber>,
+    pub unknown_numbers: Vec<LeaseNumber>,
     /// Why heartbeats by number were not taken.
-    pub fault: Option<HeardFault>,
+    pub fault: Option<RenewalDecodeError>,
 }
 
 /// Numbers that one sender gave to leases.
@@ -107,13 +107,13 @@
         cursor: DeltaCursor,
         limit: usize,
         scope: LeaseScope,
-        first: FirstTelling,
+        first: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         let mut named = Vec::new();
         let mut heard = Vec::new();
         let mut reached = cursor.reached;
         let mut complete = cursor.complete;
-        let is_first = first == FirstTelling::Names && cursor.complete == 0;
+        let is_first = first == InitialSync::NamesOnly && cursor.complete == 0;
         let mut leases = self.by_version.range(reached.saturating_add(1)..);
         loop {
             let Some((version, key)) = leases.next() else {
@@ -127,11 +127,11 @@
             let Some(lease) = self.leases.get(*key) else {
                 continue;
             };
-            if lease.ended || !scope.holds(lease.from) {
+            if lease.ended || !scope.includes(lease.from) {
                 continue;
             }
             if !is_first && lease.is_told_by_number(cursor) {
-                heard.push(lease.heard(now));
+                heard.push(lease.numbered_renewal(now));
                 continue;
             }
             named.push(NamedLease {
@@ -146,34 +146,34 @@
         let batch = LeaseBatch {
             table: self.table,
             named,
-            heard: HeardLeases::pack(heard),
+            heard: PackedRenewals::pack(heard),
         };
         (batch, DeltaCursor { complete, reached })
     }
 
     /// Servers that said since `version` of this table that they leave, to this host or to one that follows
     /// it, and the present version.
-    pub fn left_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
+    pub fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
         let leases = self.by_version.range(version.saturating_add(1)..);
         let leases = leases.filter_map(|(_, key)| self.leases.get(*key));
         let left = leases.filter(|lease| {
             lease.content_version > version
                 && lease.announce.state == ServerState::Leaving
-                && LeaseScope::Area.holds(lease.from)
+                && LeaseScope::OwnAndFollowers.includes(lease.from)
         });
-        let named = left.map(|lease| lease.named_in_full(now));
+        let named = left.map(|lease| lease.named_lease(now));
         (named.collect(), self.version)
     }
 
     /// Full announcements of `servers`, as far as they are held.
-    pub fn named_in_full(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<NamedLease> {
+    pub fn full_leases(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<NamedLease> {
         let leases = servers.iter().filter_map(|server| self.get(server));
         let held = leases.filter(|lease| !lease.ended);
-        held.map(|lease| lease.named_in_full(now)).collect()
+        held.map(|lease| lease.named_lease(now)).collect()
     }
 
     /// Names of `numbers`, as far as they are held.
-    pub fn named_by_number(&self, now: MonotonicTime, numbers: &[LeaseNumber]) -> Vec<NamedLease> {
+    pub fn leases_by_number(&self, now: MonotonicTime, numbers: &[LeaseNumber]) -> Vec<NamedLease> {
         let is_asked = |lease: &&ServerLease| numbers.binary_search(&lease.number).is_ok();
         let leases = self.leases.values().filter(|lease| !lease.ended);
         let named = leases.filter(is_asked).map(|lease| NamedLease {
@@ -184,15 +184,15 @@
     }
 
     /// Number of this table, which its batches carry.
-    pub fn table_number(&self) -> Incarnation {
+    pub fn table_incarnation(&self) -> Incarnation {
         self.table
     }
 
     /// Takes a batch of `sender`; `transit` is the longest time that it may have travelled.
-    pub fn take_batch(
+    pub fn merge_batch(
         &mut self,
         now: MonotonicTime,
-        sender: (&HostName, HeardFrom),
+        sender: (&HostName, LeaseSource),
         batch: LeaseBatch,
         transit: Duration,
     ) -> BatchOutcome {
@@ -204,41 +204,41 @@
             let incarnation = named.delta.incarnation();
             let verdict = self.merge_delta_from(now, named.delta, transit, from);
             if verdict == MergeVerdict::Unknown {
-                outcome.unknown.push(server);
+                outcome.unknown_servers.push(server);
                 continue;
             }
             if let Some(key) = self.by_name.get(&server) {
                 map.leases.insert(named.number, (*key, incarnation));
             }
-            outcome.taken.push((server, verdict));
+            outcome.merged.push((server, verdict));
         }
         match batch.heard.unpack() {
-            Ok(heard) => self.take_heard(now, &map, heard, from, transit, &mut outcome),
+            Ok(heard) => self.merge_numbered(now, &map, heard, from, transit, &mut outcome),
             Err(fault) => outcome.fault = Some(fault),
         }
         self.numbers.insert(host.clone(), map);
         outcome
     }
 
-    fn take_heard(
+    fn merge_numbered(
         &mut self,
         now: MonotonicTime,
         map: &NumberMap,
-        heard: Vec<HeardLease>,
-        from: HeardFrom,
+        heard: Vec<NumberedRenewal>,
+        from: LeaseSource,
         transit: Duration,
         outcome: &mut BatchOutcome,
     ) {
-        for HeardLease { number, age } in heard {
+        for NumberedRenewal { number, age } in heard {
             let Some((key, incarnation)) = map.leases.get(&number).copied() else {
-                outcome.unnamed.push(number);
+                outcome.unknown_numbers.push(number);
                 continue;
             };
             let age = age.saturating_add(transit);
-            let verdict = self.hear_again(now, key, incarnation, age, from);
+            let verdict = self.renew_unchanged(now, key, incarnation, age, from);
             if let (Some(verdict), Some(lease)) = (verdict, self.leases.get(key)) {
                 let server = lease.announce.server.clone();
-                outcome.taken.push((server, verdict));
+                outcome.merged.push((server, verdict));
             }
         }
     }
@@ -268,17 +268,17 @@
     /// Whether the receiver was told name and content, and neither content nor load changed since.
     fn is_told_by_number(&self, cursor: DeltaCursor) -> bool {
         let named_at = self.content_version.max(self.from_version);
-        named_at <= cursor.complete && !self.tells_load(cursor)
+        named_at <= cursor.complete && !self.includes_load(cursor)
     }
 
-    fn heard(&self, now: MonotonicTime) -> HeardLease {
-        HeardLease {
+    fn numbered_renewal(&self, now: MonotonicTime) -> NumberedRenewal {
+        NumberedRenewal {
             number: self.number,
             age: now.since(self.heard_at),
         }
     }
 
-    fn named_in_full(&self, now: MonotonicTime) -> NamedLease {
+    fn named_lease(&self, now: MonotonicTime) -> NamedLease {
         NamedLease {
             number: self.number,
             delta: self.full_delta(now),
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -5,7 +5,6 @@
 //! over the layer graph each tick, and picks the engine of each stage from a few samples, so the
 //! cost of a decision does not grow with the fleet.
 
-mod ahead;
 mod bound;
 mod capacity;
 mod choice;
@@ -23,6 +22,7 @@
 mod planner;
 mod policy;
 mod prefix;
+mod remaining;
 mod repair;
 mod search;
 mod servers;
@@ -42,12 +42,12 @@
 pub use load::{LoadFigures, LoadReport};
 pub use plan::{
     EngineFilter, NoRoute, NoRouteReason, PermitAll, RejectCounts, RejectReason, RoutePlan,
-    RoutePriority, RouteQuery, RouteStage, is_whole_chain,
+    RoutePriority, RouteQuery, RouteStage, is_complete_chain,
 };
 pub use planner::{EngineDump, FleetPlanner, RoutePlanner, RoutingDump};
 pub use policy::PolicyKind;
 pub use prefix::{CacheChange, CacheEvent, CacheOutcome, PrefixDigest, PromptPrefix};
-pub use servers::{ServerCandidate, ServerLoads, ToldLoad};
+pub use servers::{ReportedLoad, ServerCandidate, ServerLoads};
 pub use settings::{ChainScope, RoutingSettings, WorkloadMix};
-pub use survey::{EngineLoad, EngineNote, SurveyBoard, SurveyedEngine};
+pub use survey::{EngineLoad, SurveyResult, SurveyTable, SurveyedEngine};
 pub use unit::{ByteRate, TokenCount, TokenRate};
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -9,8 +9,8 @@
 };
 use pollendrift_coordination::leases::{
     AnnouncedLoad, AssignmentSettings, AssignmentTable, BackendLeaseSettings, DeltaCursor,
-    FirstTelling, HeardFrom, HeardLease, HeardLeases, HeartbeatHost, LeaseBatch, LeaseNumber,
-    LeaseScope, LeaseTable, MergeVerdict, ServerAnnounce, ServerState,
+    HeartbeatHost, InitialSync, LeaseBatch, LeaseNumber, LeaseScope, LeaseSource, LeaseTable,
+    MergeVerdict, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
 };
 use proptest::prelude::{any, prop, proptest};
 
@@ -43,7 +43,7 @@
     table: LeaseTable,
     cursors: BTreeMap<HostName, DeltaCursor>,
     /// How it tells hosts that it has not told anything.
-    first: FirstTelling,
+    first: InitialSync,
 }
 
 impl LeaseHost {
@@ -54,9 +54,9 @@
         };
         Self {
             name: name.into(),
-            table: LeaseTable::numbered(settings, Incarnation(7)),
+            table: LeaseTable::with_incarnation(settings, Incarnation(7)),
             cursors: BTreeMap::new(),
-            first: FirstTelling::Contents,
+            first: InitialSync::Full,
         }
     }
 
@@ -77,21 +77,23 @@
     }
 
     /// Tells `other` what is new, and answers what it asks for in return; returns the encoded bytes.
-    fn tell(&mut self, now: u64, other: &mut Self, scope: LeaseScope, from: HeardFrom) -> usize {
+    fn tell(&mut self, now: u64, other: &mut Self, scope: LeaseScope, from: LeaseSource) -> usize {
         let mut batches = self.batches(now, &other.name, scope);
         let mut bytes = 0;
         while let Some(batch) = batches.pop() {
             bytes += encoded(&batch);
             let sender = (&self.name, from);
-            let outcome = other.table.take_batch(at(now), sender, batch, TRANSIT);
-            let named = self.table.named_in_full(at(now), &outcome.unknown);
-            let numbered = self.table.named_by_number(at(now), &outcome.unnamed);
+            let outcome = other.table.merge_batch(at(now), sender, batch, TRANSIT);
+            let named = self.table.full_leases(at(now), &outcome.unknown_servers);
+            let numbered = self
+                .table
+                .leases_by_number(at(now), &outcome.unknown_numbers);
             for named in [named, numbered] {
                 if !named.is_empty() {
                     batches.push(LeaseBatch {
-                        table: self.table.table_number(),
+                        table: self.table.table_incarnation(),
                         named,
-                        heard: HeardLeases::default(),
+                        heard: PackedRenewals::default(),
                     });
                 }
             }
@@ -124,14 +126,19 @@
     for server in 0..SERVERS {
         near.table.merge(at(0), announce(server, 1));
     }
-    near.tell(100, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-    far.tell(200, &mut entry, LeaseScope::All, HeardFrom::Keeper);
-    far.tell(200, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+    near.tell(
+        100,
+        &mut far,
+        LeaseScope::OwnAndFollowers,
+        LeaseSource::Keeper,
+    );
+    far.tell(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+    far.tell(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
     // The entry's servers are named to its keeper once.
     for server in (0..SERVERS).step_by(100) {
         entry.table.merge(at(600), announce(server, 2));
     }
-    entry.tell(700, &mut far, LeaseScope::Own, HeardFrom::Peer);
+    entry.tell(700, &mut far, LeaseScope::Own, LeaseSource::Peer);
     let mut bytes = (0, 0);
     for beat in 1..=10 {
         let now = 1_200 * beat;
@@ -145,9 +152,19 @@
             let verdict = hearer.table.merge(at(now), announce(server, 2 + beat));
             assert_eq!(verdict, MergeVerdict::Renewed);
         }
-        bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, HeardFrom::Peer);
-        near.tell(now + 100, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-        bytes.1 += far.tell(now + 300, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
+        near.tell(
+            now + 100,
+            &mut far,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
+        bytes.1 += far.tell(
+            now + 300,
+            &mut follower,
+            LeaseScope::All,
+            LeaseSource::Keeper,
+        );
     }
     assert_eq!(follower.serving(12_300), SERVERS);
     let (up, down) = (bytes.0 / 10, bytes.1 / 10);
@@ -164,14 +181,24 @@
     let mut follower = LeaseHost::new("entry-2");
     near.table.merge(at(0), announce(1, 1));
     for now in (200..12_000).step_by(200) {
-        near.tell(now, &mut entry, LeaseScope::All, HeardFrom::Keeper);
+        near.tell(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
         if now == 1_200 {
             entry.table.merge(at(now), announce(1, 2));
         }
-        entry.tell(now, &mut near, LeaseScope::Own, HeardFrom::Peer);
-        near.tell(now, &mut far, LeaseScope::Area, HeardFrom::Keeper);
-        far.tell(now, &mut near, LeaseScope::Area, HeardFrom::Keeper);
-        far.tell(now, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        entry.tell(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
+        near.tell(
+            now,
+            &mut far,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
+        far.tell(
+            now,
+            &mut near,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
+        far.tell(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
         let hosts = [&entry, &near, &far, &follower];
         let serving: Vec<usize> = hosts.map(|host| host.serving(now)).to_vec();
         if now < 5_000 {
@@ -192,7 +219,7 @@
     const SERVERS: usize = 600;
     let mut first = LeaseHost::new("keeper-1");
     let mut second = LeaseHost::new("keeper-2");
-    second.first = FirstTelling::Names;
+    second.first = InitialSync::NamesOnly;
     let mut follower = LeaseHost::new("entry-1");
     let mut bytes = Vec::new();
     for beat in 0..8 {
@@ -200,9 +227,19 @@
         for server in 0..SERVERS {
             first.table.merge(at(now), announce(server, 1 + beat));
         }
-        first.tell(now + 100, &mut second, LeaseScope::Area, HeardFrom::Keeper);
+        first.tell(
+            now + 100,
+            &mut second,
+            LeaseScope::OwnAndFollowers,
+            LeaseSource::Keeper,
+        );
         let followed = if beat < 4 { &mut first } else { &mut second };
-        let told = followed.tell(now + 200, &mut follower, LeaseScope::All, HeardFrom::Keeper);
+        let told = followed.tell(
+            now + 200,
+            &mut follower,
+            LeaseScope::All,
+            LeaseSource::Keeper,
+        );
         bytes.push(told);
         assert_eq!(follower.serving(now + 1_199), SERVERS, "beat {beat}");
     }
@@ -218,27 +255,27 @@
     for server in 0..3 {
         keeper.table.merge(at(0), announce(server, 1));
     }
-    let (left, version) = keeper.table.left_since(at(100), 0);
+    let (left, version) = keeper.table.leaving_since(at(100), 0);
     assert_eq!(left, []);
     let leaving = ServerAnnounce {
         state: ServerState::Leaving,
         ..announce(1, 2)
     };
     keeper.table.merge(at(200), leaving);
-    let (left, version) = keeper.table.left_since(at(300), version);
+    let (left, version) = keeper.table.leaving_since(at(300), version);
     let servers: Vec<&ServerName> = left.iter().map(|named| named.delta.server()).collect();
     assert_eq!(servers, [&ServerName::from("engine-0001")]);
     let mut stranger = LeaseHost::new("entry-1");
     stranger.table.merge(at(0), announce(1, 1));
     let batch = LeaseBatch {
-        table: keeper.table.table_number(),
+        table: keeper.table.table_incarnation(),
         named: left,
-        heard: HeardLeases::default(),
+        heard: PackedRenewals::default(),
     };
-    let sender = (&keeper.name, HeardFrom::Keeper);
-    stranger.table.take_batch(at(400), sender, batch, TRANSIT);
+    let sender = (&keeper.name, LeaseSource::Keeper);
+    stranger.table.merge_batch(at(400), sender, batch, TRANSIT);
     assert_eq!(stranger.serving(400), 0);
-    assert_eq!(keeper.table.left_since(at(500), version).0, []);
+    assert_eq!(keeper.table.leaving_since(at(500), version).0, []);
 }
 
 // Guards against numbers of an earlier process: they name other leases than those of the present one.
@@ -247,19 +284,19 @@
     let mut sender = LeaseHost::new("keeper-1");
     let mut receiver = LeaseHost::new("entry-1");
     sender.table.merge(at(0), announce(1, 1));
-    sender.tell(100, &mut receiver, LeaseScope::Own, HeardFrom::Keeper);
+    sender.tell(100, &mut receiver, LeaseScope::Own, LeaseSource::Keeper);
     let batch = LeaseBatch {
         table: Incarnation(8),
         named: Vec::new(),
-        heard: HeardLeases::pack(vec![HeardLease {
+        heard: PackedRenewals::pack(vec![NumberedRenewal {
             number: LeaseNumber(1),
             age: Duration::ZERO,
         }]),
     };
-    let from = (&sender.name, HeardFrom::Keeper);
-    let outcome = receiver.table.take_batch(at(4_000), from, batch, TRANSIT);
-    assert_eq!(outcome.taken, []);
-    assert_eq!(outcome.unnamed, [LeaseNumber(1)]);
+    let from = (&sender.name, LeaseSource::Keeper);
+    let outcome = receiver.table.merge_batch(at(4_000), from, batch, TRANSIT);
+    assert_eq!(outcome.merged, []);
+    assert_eq!(outcome.unknown_numbers, [LeaseNumber(1)]);
     assert_eq!(receiver.serving(5_500), 0);
 }
 
@@ -310,11 +347,11 @@
     // Guards against a packed list that loses a heartbeat, or makes one younger than it was.
     #[test]
     fn heartbeats_survive_packing(heard in prop::collection::btree_map(any::<u32>(), 0_u64..10_000, 0..64)) {
-        let leases = heard.iter().map(|(number, age)| HeardLease {
+        let leases = heard.iter().map(|(number, age)| NumberedRenewal {
             number: LeaseNumber(*number),
             age: Duration::from_millis(*age),
         });
-        let unpacked = HeardLeases::pack(leases.clone().collect()).unpack().expect("its own bytes");
+        let unpacked = PackedRenewals::pack(leases.clone().collect()).unpack().expect("its own bytes");
         assert_eq!(unpacked.len(), heard.len());
         for (lease, unpacked) in leases.zip(unpacked) {
             assert_eq!(lease.number, unpacked.number);
@@ -327,7 +364,7 @@
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut encoded = Vec::new();
         ciborium::into_writer(&ciborium::Value::Bytes(bytes), &mut encoded).expect("bytes");
-        let leases: HeardLeases = ciborium::from_reader(encoded.as_slice()).expect("a byte string");
+        let leases: PackedRenewals = ciborium::from_reader(encoded.as_slice()).expect("a byte string");
         let _ = leases.unpack();
     }
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -17,12 +17,12 @@
 };
 use pollendrift_coordination::configuration::ServerFacts;
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, FirstTelling, HeardFrom,
-    LeaseBatch, LeaseNews, LeaseNumber, LeaseScope, LeaseTable, MergeVerdict, NamedLease,
+    AnnouncedLoad, BackendLeaseSettings, BatchOutcome, DeltaCursor, InitialSync, LeaseBatch,
+    LeaseEvent, LeaseNumber, LeaseScope, LeaseSource, LeaseTable, MergeVerdict, NamedLease,
     ServerAnnounce, ServerLease, ServerState,
 };
 use pollendrift_coordination::routing::{
-    FleetPlanner, RoutePlanner, RoutingDump, RoutingSettings, SurveyBoard,
+    FleetPlanner, RoutePlanner, RoutingDump, RoutingSettings, SurveyTable,
 };
 
 pub use route::{DraftQuery, DraftRoute, PlannedStage};
@@ -88,7 +88,7 @@
     /// Servers in `leases` that serve a published service.
     workers: BTreeMap<ServerName, Arc<WorkerView>>,
     /// What surveys found of engines in `workers`.
-    survey: SurveyBoard,
+    survey: SurveyTable,
     /// Servers of `views` that offer a plain service, each once.
     services: ServiceIndex,
     /// Holds just the engines of `views` that may take work by the last tick.
@@ -99,10 +99,10 @@
     /// An empty fleet.
     pub fn new(settings: BackendLeaseSettings, routing: RoutingSettings, seed: u64) -> Self {
         let inner = FleetState {
-            leases: LeaseTable::numbered(settings, Incarnation(seed)),
+            leases: LeaseTable::with_incarnation(settings, Incarnation(seed)),
             views: BTreeMap::new(),
             workers: BTreeMap::new(),
-            survey: SurveyBoard::default(),
+            survey: SurveyTable::default(),
             services: ServiceIndex::default(),
             planner: Box::new(FleetPlanner::new(routing, seed)),
         };
@@ -129,16 +129,16 @@
     }
 
     /// Takes what another host told of leases.
-    pub fn take_batch(
+    pub fn merge_batch(
         &self,
         now: MonotonicTime,
-        sender: (&HostName, HeardFrom),
+        sender: (&HostName, LeaseSource),
         batch: LeaseBatch,
         transit: Duration,
     ) -> BatchOutcome {
         let mut state = self.lock();
-        let outcome = state.leases.take_batch(now, sender, batch, transit);
-        for (server, verdict) in &outcome.taken {
+        let outcome = state.leases.merge_batch(now, sender, batch, transit);
+        for (server, verdict) in &outcome.merged {
             state.follow(now, server, *verdict);
         }
         outcome
@@ -151,41 +151,41 @@
         cursor: DeltaCursor,
         limit: usize,
         scope: LeaseScope,
-        first: FirstTelling,
+        first: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         self.lock().leases.batch(now, cursor, limit, scope, first)
     }
 
     /// Servers that said since `version` of the lease table that they leave, and the present version.
-    pub(crate) fn left_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
-        self.lock().leases.left_since(now, version)
+    pub(crate) fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
+        self.lock().leases.leaving_since(now, version)
     }
 
     /// Full announcements of those of `servers` that are held.
-    pub(crate) fn named_in_full(
+    pub(crate) fn full_leases(
         &self,
         now: MonotonicTime,
         servers: &[ServerName],
     ) -> Vec<NamedLease> {
-        self.lock().leases.named_in_full(now, servers)
+        self.lock().leases.full_leases(now, servers)
     }
 
     /// Names of the leases with `numbers`, which rise.
-    pub(crate) fn named_by_number(
+    pub(crate) fn leases_by_number(
         &self,
         now: MonotonicTime,
         numbers: &[LeaseNumber],
     ) -> Vec<NamedLease> {
-        self.lock().leases.named_by_number(now, numbers)
+        self.lock().leases.leases_by_number(now, numbers)
     }
 
     /// Number of the lease table, which batches of it carry.
-    pub(crate) fn table_number(&self) -> Incarnation {
-        self.lock().leases.table_number()
+    pub(crate) fn table_incarnation(&self) -> Incarnation {
+        self.lock().leases.table_incarnation()
     }
 
     /// Ends leases that ran out.
-    pub fn tick(&self, now: MonotonicTime) -> Vec<LeaseNews> {
+    pub fn tick(&self, now: MonotonicTime) -> Vec<LeaseEvent> {
         let mut state = self.lock();
         let news = state.leases.tick(now);
         for item in &news {
@@ -360,12 +360,12 @@
         self.planner.remove(server);
     }
 
-    fn end(&mut self, news: &LeaseNews) {
+    fn end(&mut self, news: &LeaseEvent) {
         match news {
-            LeaseNews::Ended { server } => {
+            LeaseEvent::Ended { server } => {
                 self.planner.remove(server);
             }
-            LeaseNews::Forgotten { server } => self.drop_view(server),
+            LeaseEvent::Forgotten { server } => self.drop_view(server),
         }
     }
 }
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -11,7 +11,7 @@
 use pollendrift_coordination::leases::{
     AnnouncedLoad, LeaseScope, MergeVerdict, ServerAnnounce, ServerState, WorkerOffer,
 };
-use pollendrift_coordination::routing::{EngineNote, SurveyedEngine};
+use pollendrift_coordination::routing::{SurveyResult, SurveyedEngine};
 use pollendrift_dialect::ServerNote;
 
 use super::{AnnounceError, BackendFleet, FleetState};
@@ -106,8 +106,8 @@
     }
 
     /// Takes what a survey of engines found.
-    pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<EngineNote>) {
-        self.lock().survey.take(now, notes);
+    pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
+        self.lock().survey.merge(now, notes);
     }
 
     /// Servers of `workers` that this host heard of first, itself or by a host that follows it: it asks them
@@ -116,7 +116,7 @@
         let state = self.lock();
         let is_in_area = |worker: &&Arc<WorkerView>| {
             let lease = state.leases.get(&worker.server);
-            lease.is_some_and(|lease| LeaseScope::Area.holds(lease.from))
+            lease.is_some_and(|lease| LeaseScope::OwnAndFollowers.includes(lease.from))
         };
         workers.iter().filter(is_in_area).cloned().collect()
     }
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/spread.rs
@@ -18,10 +18,10 @@
 
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_coordination::leases::{
-    DeltaCursor, FirstTelling, HeardLeases, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope,
-    NamedLease,
+    DeltaCursor, InitialSync, LeaseBatch, LeaseDelta, LeaseNumber, LeaseScope, NamedLease,
+    PackedRenewals,
 };
-use pollendrift_coordination::routing::EngineNote;
+use pollendrift_coordination::routing::SurveyResult;
 
 use crate::clock::TimeSource;
 use crate::feed::ConfigurationFeed;
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ToldHost {
     scope: LeaseScope,
-    first: FirstTelling,
+    first: InitialSync,
     cursor: DeltaCursor,
 }
 
@@ -94,15 +94,17 @@
     pub fn take(&self, hub: &PeerHub, from: &HostName, batch: LeaseBatch) {
         let now = self.clock.now();
         let sender = (from, self.audience.kind_of(from));
-        let outcome = self.fleet.take_batch(now, sender, batch, TRANSIT_ALLOWANCE);
+        let outcome = self
+            .fleet
+            .merge_batch(now, sender, batch, TRANSIT_ALLOWANCE);
         if let Some(fault) = outcome.fault {
             log::warn!(host:% = from, reason:% = fault; "renewals not taken");
         }
-        if !outcome.unknown.is_empty() {
-            let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown));
+        if !outcome.unknown_servers.is_empty() {
+            let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown_servers));
         }
-        if !outcome.unnamed.is_empty() {
-            let _ = hub.send(from, &PeerFrame::LeaseNumbers(outcome.unnamed));
+        if !outcome.unknown_numbers.is_empty() {
+            let _ = hub.send(from, &PeerFrame::LeaseNumbers(outcome.unknown_numbers));
         }
     }
 
@@ -113,14 +115,14 @@
 
     /// Tells keepers what this one's survey of engines found; those that follow it hear it with the
     /// next tick.
-    pub fn spread_survey(&self, hub: &PeerHub, notes: &[EngineNote]) {
+    pub fn spread_survey(&self, hub: &PeerHub, notes: &[SurveyResult]) {
         let keepers = self.audience.other_keepers(hub);
         self.surveys.tell_keepers(hub, &keepers, notes);
         self.surveys.note(self.clock.now(), notes.to_vec());
     }
 
     /// Takes what another keeper's survey found, and passes it on with the next tick.
-    pub fn take_survey(&self, notes: Vec<EngineNote>, pass_on: bool) {
+    pub fn take_survey(&self, notes: Vec<SurveyResult>, pass_on: bool) {
         let now = self.clock.now();
         if pass_on {
             self.surveys.note(now, notes.clone());
@@ -132,7 +134,7 @@
     pub fn answer(&self, hub: &PeerHub, from: &HostName, servers: &[ServerName]) {
         let now = self.clock.now();
         for servers in servers.chunks(FRAME_LEASES) {
-            let named = self.fleet.named_in_full(now, servers);
+            let named = self.fleet.full_leases(now, servers);
             self.tell_named(hub, std::slice::from_ref(from), named);
         }
     }
@@ -140,7 +142,7 @@
     /// Answers a peer's question for the names of leases that it was told by number.
     pub fn answer_numbers(&self, hub: &PeerHub, from: &HostName, numbers: &[LeaseNumber]) {
         let now = self.clock.now();
-        let named = self.fleet.named_by_number(now, numbers);
+        let named = self.fleet.leases_by_number(now, numbers);
         for named in named.chunks(FRAME_LEASES) {
             self.tell_named(hub, std::slice::from_ref(from), named.to_vec());
         }
@@ -155,15 +157,15 @@
 
     /// How `host` is told of leases for the first time: one that was linked long before it is to be told
     /// turns to this keeper from another one.
-    fn first_telling(&self, now: MonotonicTime, host: &HostName) -> FirstTelling {
+    fn first_telling(&self, now: MonotonicTime, host: &HostName) -> InitialSync {
         let linked = self.linked.lock().unwrap_or_else(PoisonError::into_inner);
         let is_new = linked
             .get(host)
             .is_none_or(|at| now.since(*at) < NEW_LINK_TIME);
         if is_new {
-            FirstTelling::Contents
+            InitialSync::Full
         } else {
-            FirstTelling::Names
+            InitialSync::NamesOnly
         }
     }
 
@@ -261,7 +263,7 @@
                 .left_told
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let (left, version) = self.fleet.left_since(now, *told);
+            let (left, version) = self.fleet.leaving_since(now, *told);
             *told = version;
             left
         };
@@ -275,9 +277,9 @@
             return;
         }
         let batch = LeaseBatch {
-            table: self.fleet.table_number(),
+            table: self.fleet.table_incarnation(),
             named,
-            heard: HeardLeases::default(),
+            heard: PackedRenewals::default(),
         };
         hub.send_to(hosts, &PeerFrame::Leases(batch));
     }
