--- a/crates/coordination/benches/agreement.rs
+++ b/crates/coordination/benches/agreement.rs
@@ -114,7 +114,7 @@
                 outcome: ProposalOutcome::Committed(_),
                 ..
             } => self.committed += 1,
-            AgreementEffect::SnapshotWanted { index: at } => {
+            AgreementEffect::SnapshotRequested { index: at } => {
                 let bytes = Arc::from([0_u8; 8].as_slice());
                 let taken = AgreementInput::SnapshotTaken { index: at, bytes };
                 self.queue.push_back((index, taken));
--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -10,7 +10,6 @@
 mod lead;
 mod log;
 mod lost;
-mod machine;
 mod message;
 mod node;
 mod persist;
@@ -20,13 +19,13 @@
 mod redundancy;
 mod replicate;
 mod settings;
-mod transfer;
+mod snapshot_transfer;
+mod state_machine;
 
 pub use dump::{AgreementDump, LeadershipDump, PeerDump};
 pub use entry::{
-    EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMark, Term,
+    EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
-pub use machine::{MachineError, StateMachine};
 pub use message::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat,
     HeartbeatReply, HeartbeatRound, IdentityRejected, SnapshotChunk, SnapshotOutcome,
@@ -40,3 +39,4 @@
 };
 pub use redundancy::{RedundancyGap, RedundancyReport};
 pub use settings::AgreementSettings;
+pub use state_machine::{StateMachine, StateMachineError};
--- a/crates/coordination/src/agreement/entry.rs
+++ b/crates/coordination/src/agreement/entry.rs
@@ -122,7 +122,7 @@
 
 /// What a snapshot stands for.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SnapshotMark {
+pub struct SnapshotMetadata {
     /// Last entry that the snapshot contains.
     pub index: LogIndex,
     /// Term of that entry.
--- a/crates/coordination/src/agreement/log.rs
+++ b/crates/coordination/src/agreement/log.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::entry::{EntryPayload, LogEntry, LogIndex, Membership, SnapshotMark, Term};
+use super::entry::{EntryPayload, LogEntry, LogIndex, Membership, SnapshotMetadata, Term};
 use super::port::{RestoredState, StoredSnapshot};
 
 /// Bytes counted for an entry beside its command.
@@ -22,7 +22,7 @@
 /// among them in order; `base.index <= snapshot.mark.index`.
 #[derive(Debug, Default)]
 pub(super) struct ReplicatedLog {
-    base: SnapshotMark,
+    base: SnapshotMetadata,
     entries: VecDeque<LogEntry>,
     changes: Vec<(LogIndex, Membership)>,
     /// Rises whenever the membership in force may have become another.
@@ -180,8 +180,8 @@
     }
 
     /// Mark of a snapshot taken after `index`; `None` where the log doesn't hold that entry.
-    pub(super) fn mark_at(&self, index: LogIndex) -> Option<SnapshotMark> {
-        Some(SnapshotMark {
+    pub(super) fn metadata_at(&self, index: LogIndex) -> Option<SnapshotMetadata> {
+        Some(SnapshotMetadata {
             index,
             term: self.term_at(index)?,
             membership: self.membership_at(index).clone(),
@@ -203,7 +203,7 @@
         if keep_after <= self.base.index {
             return;
         }
-        let Some(base) = self.mark_at(keep_after) else {
+        let Some(base) = self.metadata_at(keep_after) else {
             return;
         };
         while self
--- a/crates/coordination/src/agreement/log/tests.rs
+++ b/crates/coordination/src/agreement/log/tests.rs
@@ -20,7 +20,9 @@
 }
 
 fn snapshot(log: &mut ReplicatedLog, index: u64, bytes: usize) -> u64 {
-    let mark = log.mark_at(LogIndex(index)).expect("an entry of the log");
+    let mark = log
+        .metadata_at(LogIndex(index))
+        .expect("an entry of the log");
     let bytes = Arc::from(vec![0; bytes]);
     log.take_snapshot(StoredSnapshot { mark, bytes }, RETAINED);
     log.base_index().0
--- a/crates/coordination/src/agreement/message.rs
+++ b/crates/coordination/src/agreement/message.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::entry::{KeeperId, LogEntry, LogIndex, SnapshotMark, Term};
+use super::entry::{KeeperId, LogEntry, LogIndex, SnapshotMetadata, Term};
 use crate::base::{MonotonicTime, shared_bytes};
 
 /// Number of a heartbeat round within one leader's term.
@@ -209,7 +209,7 @@
     /// The leader's term.
     pub term: Term,
     /// What the snapshot stands for.
-    pub mark: SnapshotMark,
+    pub mark: SnapshotMetadata,
     /// Position of `bytes` in the snapshot.
     pub offset: u64,
     /// Bytes of the whole snapshot.
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -16,7 +16,7 @@
     AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
 };
 use super::settings::AgreementSettings;
-use super::transfer::SnapshotAssembly;
+use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
 
 /// Part of the election timeout after which a candidate without an answer tries again.
@@ -61,7 +61,7 @@
     pub(super) assembly: Option<SnapshotAssembly>,
     pub(super) identities: IdentityTable,
     /// Index at which a snapshot was last asked for.
-    pub(super) snapshot_wanted_at: LogIndex,
+    pub(super) snapshot_requested_at: LogIndex,
     pub(super) told_role: Option<RoleStatus>,
     /// Count of membership changes in the log that was told last.
     pub(super) told_membership: u64,
@@ -112,7 +112,7 @@
             installs_pending: 0,
             assembly: None,
             identities: IdentityTable::default(),
-            snapshot_wanted_at: log.snapshot_index(),
+            snapshot_requested_at: log.snapshot_index(),
             told_role: None,
             told_membership: 0,
             log,
@@ -336,7 +336,7 @@
         self.delivered = self.commit;
         self.effects.push(AgreementEffect::Committed(entries));
         self.settle_committed();
-        self.want_snapshot();
+        self.request_snapshot();
     }
 
     fn tell_changes(&mut self) {
--- a/crates/coordination/src/agreement/port.rs
+++ b/crates/coordination/src/agreement/port.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::entry::{HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMark, Term};
+use super::entry::{HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term};
 use super::message::AgreementEnvelope;
 use super::redundancy::RedundancyReport;
 use crate::base::{HostName, number_type};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot {
     /// What it stands for.
-    pub mark: SnapshotMark,
+    pub mark: SnapshotMetadata,
     /// The state machine's encoding.
     pub bytes: Arc<[u8]>,
 }
@@ -151,7 +151,7 @@
     /// What the group can lose changed; only a leader tells.
     RedundancyChanged(RedundancyReport),
     /// Enough entries were delivered since the last snapshot: encode the state.
-    SnapshotWanted {
+    SnapshotRequested {
         /// Entry that the snapshot should contain at least.
         index: LogIndex,
     },
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::entry::{LogIndex, SnapshotMark};
+use super::entry::{LogIndex, SnapshotMetadata};
 use super::message::HeartbeatRound;
 use super::settings::AgreementSettings;
 use crate::base::MonotonicTime;
@@ -18,7 +18,7 @@
     Stream,
     /// A snapshot, one chunk at a time.
     Snapshot {
-        mark: SnapshotMark,
+        mark: SnapshotMetadata,
         bytes: Arc<[u8]>,
         offset: u64,
     },
--- a/crates/coordination/src/agreement/replicate.rs
+++ b/crates/coordination/src/agreement/replicate.rs
@@ -6,7 +6,7 @@
 use super::node::{AgreementNode, RoleState};
 use super::progress::{PeerProgress, SendMode};
 use super::settings::AgreementSettings;
-use super::transfer::next_chunk;
+use super::snapshot_transfer::next_chunk;
 use crate::base::MonotonicTime;
 
 /// What a leader reads while it decides what to send.
--- a/crates/coordination/src/agreement/transfer.rs
+++ b/crates/coordination/src/agreement/snapshot_transfer.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::entry::{KeeperId, LogIndex, Membership, SnapshotMark, Term};
+use super::entry::{KeeperId, LogIndex, Membership, SnapshotMetadata, Term};
 use super::message::{AgreementMessage, SnapshotChunk, SnapshotOutcome, SnapshotReply};
 use super::node::{AgreementNode, RoleState};
 use super::persist::HeldAction;
@@ -15,7 +15,7 @@
 /// Invariant: `bytes.len() <= total`, and `total` is within the setting.
 #[derive(Debug)]
 pub(super) struct SnapshotAssembly {
-    mark: SnapshotMark,
+    mark: SnapshotMetadata,
     total: u64,
     bytes: Vec<u8>,
 }
@@ -53,7 +53,7 @@
         if index <= self.log.snapshot_index() || index > self.delivered {
             return;
         }
-        let Some(mark) = self.log.mark_at(index) else {
+        let Some(mark) = self.log.metadata_at(index) else {
             return;
         };
         let snapshot = StoredSnapshot { mark, bytes };
@@ -63,15 +63,16 @@
     }
 
     /// Asks for a snapshot once enough was delivered since the last one.
-    pub(super) fn want_snapshot(&mut self) {
-        let since = self.log.snapshot_index().max(self.snapshot_wanted_at);
+    pub(super) fn request_snapshot(&mut self) {
+        let since = self.log.snapshot_index().max(self.snapshot_requested_at);
         let delivered = self.delivered.0.saturating_sub(since.0);
         if delivered < self.settings.snapshot_after_entries {
             return;
         }
-        self.snapshot_wanted_at = self.delivered;
+        self.snapshot_requested_at = self.delivered;
         let index = self.delivered;
-        self.effects.push(AgreementEffect::SnapshotWanted { index });
+        self.effects
+            .push(AgreementEffect::SnapshotRequested { index });
     }
 
     /// Takes a chunk in; the last one puts the snapshot in the place of the log.
--- a/crates/coordination/src/agreement/machine.rs
+++ b/crates/coordination/src/agreement/state_machine.rs
@@ -10,7 +10,7 @@
 /// Why a state machine refused bytes.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("state machine can't read {what}: {reason}")]
-pub struct MachineError {
+pub struct StateMachineError {
     /// What was being read: a command or a snapshot.
     pub what: &'static str,
     /// The decoder's words.
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// The command can't be decoded; the state is unchanged.
-    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, MachineError>;
+    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, StateMachineError>;
 
     /// Completes a command that this keeper is about to propose, such as with the leader's time.
     ///
@@ -40,7 +40,7 @@
         now: MonotonicTime,
         wall: WallTime,
         command: Arc<[u8]>,
-    ) -> Result<Arc<[u8]>, MachineError> {
+    ) -> Result<Arc<[u8]>, StateMachineError> {
         let _ = (now, wall);
         Ok(command)
     }
@@ -49,11 +49,11 @@
     ///
     /// # Errors
     /// The state can't be encoded.
-    fn snapshot(&self) -> Result<Vec<u8>, MachineError>;
+    fn snapshot(&self) -> Result<Vec<u8>, StateMachineError>;
 
     /// Replaces the whole state by that of a snapshot.
     ///
     /// # Errors
     /// The snapshot can't be decoded; the state is unchanged.
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError>;
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), StateMachineError>;
 }
--- a/crates/coordination/src/replicated/command.rs
+++ b/crates/coordination/src/replicated/command.rs
@@ -6,7 +6,7 @@
 use super::evidence_index::{EvidenceAnswer, EvidenceBatch};
 use super::host_life::StartHost;
 use super::order_right::{GrantOrderRight, OrderRightAnswer};
-use crate::agreement::MachineError;
+use crate::agreement::StateMachineError;
 use crate::base::{HostName, Incarnation};
 use crate::claims::{SettleAnswer, SettleClaim, TakeAnswer, TakeClaim};
 use crate::configuration::{ChangeAnswer, ChangeRequest, EditRequest};
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// The command can't be encoded.
-    pub fn encode(&self) -> Result<Vec<u8>, MachineError> {
+    pub fn encode(&self) -> Result<Vec<u8>, StateMachineError> {
         encode("command", self)
     }
 
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// The bytes are no command.
-    pub fn decode(bytes: &[u8]) -> Result<Self, MachineError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
         decode("command", bytes)
     }
 }
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// The command can't be encoded.
-    pub fn encode(&self) -> Result<Vec<u8>, MachineError> {
+    pub fn encode(&self) -> Result<Vec<u8>, StateMachineError> {
         encode("command", self)
     }
 }
@@ -105,28 +105,28 @@
     ///
     /// # Errors
     /// The bytes are no answer.
-    pub fn decode(bytes: &[u8]) -> Result<Self, MachineError> {
+    pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
         decode("answer", bytes)
     }
 }
 
-pub(super) fn encode<T>(what: &'static str, value: &T) -> Result<Vec<u8>, MachineError>
+pub(super) fn encode<T>(what: &'static str, value: &T) -> Result<Vec<u8>, StateMachineError>
 where
     T: Serialize,
 {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).map_err(|error| MachineError {
+    ciborium::into_writer(value, &mut bytes).map_err(|error| StateMachineError {
         what,
         reason: error.to_string(),
     })?;
     Ok(bytes)
 }
 
-pub(super) fn decode<T>(what: &'static str, bytes: &[u8]) -> Result<T, MachineError>
+pub(super) fn decode<T>(what: &'static str, bytes: &[u8]) -> Result<T, StateMachineError>
 where
     T: serde::de::DeserializeOwned,
 {
-    ciborium::from_reader(bytes).map_err(|error| MachineError {
+    ciborium::from_reader(bytes).map_err(|error| StateMachineError {
         what,
         reason: error.to_string(),
     })
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -9,7 +9,7 @@
 use super::evidence_index::{EvidenceIndex, EvidenceRetention};
 use super::host_life::{HostLifeTable, StartHost};
 use super::order_right::OrderRightTable;
-use crate::agreement::{LogIndex, MachineError, StateMachine};
+use crate::agreement::{LogIndex, StateMachine, StateMachineError};
 use crate::base::{HostName, Incarnation};
 use crate::claims::{ClaimSettings, ClaimTable};
 use crate::configuration::{
@@ -174,29 +174,32 @@
 }
 
 impl StateMachine for ReplicatedState {
-    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, MachineError> {
+    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, StateMachineError> {
         let stamped: StampedCommand = decode("command", command)?;
         let answer = self.apply_command(index, &stamped);
         encode("answer", &answer)
     }
 
-    fn snapshot(&self) -> Result<Vec<u8>, MachineError> {
+    fn snapshot(&self) -> Result<Vec<u8>, StateMachineError> {
         encode("snapshot", &self.tables)
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), StateMachineError> {
         let mut tables: ReplicatedTables = decode("snapshot", snapshot)?;
         if !(OLDEST_FORMAT..=SNAPSHOT_FORMAT).contains(&tables.format) {
             let known = format!("{OLDEST_FORMAT} to {SNAPSHOT_FORMAT}");
             let reason = format!("format {}, not {known}", tables.format);
             let what = "snapshot";
-            return Err(MachineError { what, reason });
+            return Err(StateMachineError { what, reason });
         }
         tables.format = SNAPSHOT_FORMAT;
-        let configuration = tables.changes.build().map_err(|findings| MachineError {
-            what: "snapshot",
-            reason: findings.to_string(),
-        })?;
+        let configuration = tables
+            .changes
+            .build()
+            .map_err(|findings| StateMachineError {
+                what: "snapshot",
+                reason: findings.to_string(),
+            })?;
         self.tables = tables;
         self.configuration = configuration;
         Ok(())
--- a/crates/coordination/tests/agreement_contract/messages.rs
+++ b/crates/coordination/tests/agreement_contract/messages.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, AgreementMessage, Heartbeat,
-    HeartbeatRound, IdentityRejected, LogIndex, PersistSequence, SnapshotChunk, SnapshotMark,
+    HeartbeatRound, IdentityRejected, LogIndex, PersistSequence, SnapshotChunk, SnapshotMetadata,
     StartMark, Term, VoteKind, VoteRequest,
 };
 use pollendrift_coordination::base::MonotonicTime;
@@ -178,7 +178,7 @@
     let chunk = (number(), number(), number()).prop_map(|(index, offset, total)| {
         AgreementMessage::SnapshotChunk(SnapshotChunk {
             term: Term(2),
-            mark: SnapshotMark {
+            mark: SnapshotMetadata {
                 index: LogIndex(index),
                 term: Term(1),
                 membership: membership(),
--- a/crates/coordination/tests/agreement_faults/cluster.rs
+++ b/crates/coordination/tests/agreement_faults/cluster.rs
@@ -291,7 +291,7 @@
                 self.hosts[host].applied = index;
                 self.hosts[host].state = state;
             }
-            AgreementEffect::SnapshotWanted { index } => self.take_snapshot(host, index),
+            AgreementEffect::SnapshotRequested { index } => self.take_snapshot(host, index),
             AgreementEffect::Proposal { token, outcome } => self.note_proposal(token, outcome),
             AgreementEffect::Read { token, outcome } => self.note_read(host, token, &outcome),
             AgreementEffect::MembershipChange { token, outcome } => {
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -5,8 +5,8 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, EntryPayload, HandOverOutcome, LogEntry,
-    LogIndex, MachineError, PersistOrder, ProposalOutcome, ReadOutcome, RefusalReason,
-    RequestToken, StoredSnapshot,
+    LogIndex, PersistOrder, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
+    StateMachineError, StoredSnapshot,
 };
 use pollendrift_store::CommitRequest;
 
@@ -19,7 +19,7 @@
 /// Answer of the state machine to one entry.
 pub(super) struct AppliedAnswer {
     index: LogIndex,
-    answer: Result<Vec<u8>, MachineError>,
+    answer: Result<Vec<u8>, StateMachineError>,
 }
 
 impl KeeperRuntime {
@@ -69,7 +69,7 @@
             AgreementEffect::MembershipChange { token, outcome } => {
                 self.settle_change(token, outcome);
             }
-            AgreementEffect::SnapshotWanted { .. } => {
+            AgreementEffect::SnapshotRequested { .. } => {
                 let snapshot = self.take_snapshot()?;
                 self.follow_up.push(snapshot);
             }
--- a/crates/daemon/src/keeper/error.rs
+++ b/crates/daemon/src/keeper/error.rs
@@ -1,7 +1,7 @@
 //! Why a request to the keepers was not done, or a keeper can't go on.
 
 use derive_more::{Display, Error, From};
-use pollendrift_coordination::agreement::{LogIndex, MachineError};
+use pollendrift_coordination::agreement::{LogIndex, StateMachineError};
 use pollendrift_store::StoreError;
 
 /// What a caller may conclude of a command that was not answered.
@@ -49,7 +49,7 @@
     Store(StoreError),
     /// The snapshot can't be read by the state machine of this program.
     #[display("{_0}")]
-    Machine(MachineError),
+    Machine(StateMachineError),
     /// The operating system has no thread for the store.
     #[display("can't start the store's thread: {_0}")]
     Thread(std::io::Error),
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use pollendrift_coordination::agreement::{LogIndex, MachineError, StateMachine};
+use pollendrift_coordination::agreement::{LogIndex, StateMachine, StateMachineError};
 use pollendrift_coordination::base::{HostName, Incarnation, MonotonicTime, Revision, WallTime};
 use pollendrift_coordination::configuration::Configuration;
 use pollendrift_coordination::replicated::{
@@ -64,7 +64,7 @@
 }
 
 impl StateMachine for SharedState {
-    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, MachineError> {
+    fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, StateMachineError> {
         let (answer, revision) = {
             let mut state = self.lock();
             let answer = state.apply(index, command)?;
@@ -79,7 +79,7 @@
         now: MonotonicTime,
         wall: WallTime,
         command: Arc<[u8]>,
-    ) -> Result<Arc<[u8]>, MachineError> {
+    ) -> Result<Arc<[u8]>, StateMachineError> {
         let command = ReplicatedCommand::decode(&command)?;
         let stamp = CommandStamp {
             host: self.host.clone(),
@@ -90,11 +90,11 @@
         Ok(StampedCommand { stamp, command }.encode()?.into())
     }
 
-    fn snapshot(&self) -> Result<Vec<u8>, MachineError> {
+    fn snapshot(&self) -> Result<Vec<u8>, StateMachineError> {
         self.lock().snapshot()
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), StateMachineError> {
         let revision = {
             let mut state = self.lock();
             state.restore(snapshot)?;
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -17,7 +17,7 @@
     PeerStream, PeerTasks, PlainTransport, start_peers,
 };
 use pollendrift_coordination::agreement::{
-    AgreementSettings, LogIndex, MachineError, StateMachine,
+    AgreementSettings, LogIndex, StateMachine, StateMachineError,
 };
 use pollendrift_coordination::base::{HostName, Incarnation};
 use tempfile::TempDir;
@@ -44,8 +44,8 @@
 }
 
 impl StateMachine for ListMachine {
-    fn apply(&mut self, _: LogIndex, command: &[u8]) -> Result<Vec<u8>, MachineError> {
-        let text = String::from_utf8(command.to_vec()).map_err(|error| MachineError {
+    fn apply(&mut self, _: LogIndex, command: &[u8]) -> Result<Vec<u8>, StateMachineError> {
+        let text = String::from_utf8(command.to_vec()).map_err(|error| StateMachineError {
             what: "command",
             reason: error.to_string(),
         })?;
@@ -57,12 +57,12 @@
         Ok(list.len().to_string().into_bytes())
     }
 
-    fn snapshot(&self) -> Result<Vec<u8>, MachineError> {
+    fn snapshot(&self) -> Result<Vec<u8>, StateMachineError> {
         let list = self.list.lock().expect("no test panics with the list");
         Ok(list.join("\n").into_bytes())
     }
 
-    fn restore(&mut self, snapshot: &[u8]) -> Result<(), MachineError> {
+    fn restore(&mut self, snapshot: &[u8]) -> Result<(), StateMachineError> {
         let text = String::from_utf8_lossy(snapshot);
         let list = text.lines().map(str::to_owned).collect();
         *self.list.lock().expect("no test panics with the list") = list;
--- a/crates/store/benches/restart.rs
+++ b/crates/store/benches/restart.rs
@@ -14,7 +14,9 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use pollendrift_coordination::agreement::{EntryPayload, LogEntry, LogIndex, SnapshotMark, Term};
+use pollendrift_coordination::agreement::{
+    EntryPayload, LogEntry, LogIndex, SnapshotMetadata, Term,
+};
 use pollendrift_coordination::base::{HostName, WallTime};
 use pollendrift_store::{
     DiskFiles, LogStore, OpenRequest, OpenedStore, PersistBatch, SegmentStore, StoreSettings,
@@ -74,10 +76,10 @@
 }
 
 fn save(store: &mut SegmentStore, index: u64) {
-    let mark = SnapshotMark {
+    let mark = SnapshotMetadata {
         index: LogIndex(index),
         term: Term(1),
-        ..SnapshotMark::default()
+        ..SnapshotMetadata::default()
     };
     let state = vec![3; STATE_BYTES];
     store
--- a/crates/store/src/border.rs
+++ b/crates/store/src/border.rs
@@ -1,6 +1,6 @@
 //! The border between a keeper and whatever keeps its log.
 
-use pollendrift_coordination::agreement::{HardState, LogEntry, LogIndex, SnapshotMark};
+use pollendrift_coordination::agreement::{HardState, LogEntry, LogIndex, SnapshotMetadata};
 
 use crate::error::StoreError;
 
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreSnapshot {
     /// Last entry, its term and the membership in force there.
-    pub mark: SnapshotMark,
+    pub mark: SnapshotMetadata,
     /// Encoded state of the state machine.
     pub state: Vec<u8>,
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pollendrift_coordination::agreement::{
-    EntryPayload, HardState, LogEntry, LogIndex, Membership, SnapshotMark, Term,
+    EntryPayload, HardState, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -46,7 +46,7 @@
 /// First frame of a snapshot file; the state follows in the second.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct SnapshotHead {
-    pub(crate) mark: SnapshotMark,
+    pub(crate) mark: SnapshotMetadata,
     /// Lowest segment that is still needed beside this snapshot.
     pub(crate) first_segment: u64,
     /// For a leader's snapshot: number of the frame that restarts the log behind it. Where that
--- a/crates/store/tests/store/workload.rs
+++ b/crates/store/tests/store/workload.rs
@@ -1,7 +1,7 @@
 //! A script of store calls, and the model of what must be read back after each.
 
 use pollendrift_coordination::agreement::{
-    EntryPayload, HardState, LogEntry, LogIndex, SnapshotMark, Term,
+    EntryPayload, HardState, LogEntry, LogIndex, SnapshotMetadata, Term,
 };
 use pollendrift_coordination::base::{HostName, WallTime};
 use pollendrift_store::{
@@ -46,10 +46,10 @@
 
 pub(crate) fn snapshot(index: u64, term: u64) -> StoreSnapshot {
     StoreSnapshot {
-        mark: SnapshotMark {
+        mark: SnapshotMetadata {
             index: LogIndex(index),
             term: Term(term),
-            ..SnapshotMark::default()
+            ..SnapshotMetadata::default()
         },
         state: vec![7; 700],
     }
