--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -28,8 +28,8 @@
 };
 pub use message::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat,
-    HeartbeatReply, HeartbeatRound, IdentityRejected, SnapshotChunk, SnapshotOutcome,
-    SnapshotReply, StartMark, VoteKind, VoteReply, VoteRequest, WitnessRecord,
+    HeartbeatReply, HeartbeatRound, IdentityRejected, ObservedAck, ProcessStart, SnapshotChunk,
+    SnapshotOutcome, SnapshotReply, VoteKind, VoteReply, VoteRequest,
 };
 pub use node::AgreementNode;
 pub use port::{
--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -160,7 +160,7 @@
             count.rejected.insert(from.clone());
         }
         if reply.granted && !is_pre_vote {
-            self.identities.witness(&from, reply.term, LogIndex(0));
+            self.identities.record_ack(&from, reply.term, LogIndex(0));
         }
         self.count_votes();
     }
--- a/crates/coordination/src/agreement/follow.rs
+++ b/crates/coordination/src/agreement/follow.rs
@@ -37,7 +37,7 @@
         if !self.accept_leader(&from, heartbeat.term) {
             return;
         }
-        self.merge_witnessed(heartbeat.witnessed);
+        self.merge_observed_acks(heartbeat.witnessed);
         let reply = HeartbeatReply {
             term: self.term(),
             round: heartbeat.round,
--- a/crates/coordination/src/agreement/identity.rs
+++ b/crates/coordination/src/agreement/identity.rs
@@ -11,7 +11,7 @@
 
 use super::entry::{KeeperId, LogIndex, Term};
 use super::message::{
-    AgreementEnvelope, AgreementMessage, IdentityRejected, StartMark, WitnessRecord,
+    AgreementEnvelope, AgreementMessage, IdentityRejected, ObservedAck, ProcessStart,
 };
 use super::node::{AgreementNode, RoleState};
 use super::port::{AgreementEffect, DropReason};
@@ -31,13 +31,13 @@
 #[derive(Debug, Default)]
 struct IdentityRecord {
     /// Accepted starts, latest last.
-    starts: VecDeque<StartMark>,
+    starts: VecDeque<ProcessStart>,
     /// Highest acknowledgement, by term and then index.
     witnessed: (Term, LogIndex),
 }
 
 impl IdentityRecord {
-    fn accept(&mut self, start: StartMark) -> bool {
+    fn accept(&mut self, start: ProcessStart) -> bool {
         if self.starts.iter().any(|known| known.nonce == start.nonce) {
             return true;
         }
@@ -64,7 +64,7 @@
 
 impl IdentityTable {
     /// Whether a start is that of a disk which holds all that was acknowledged.
-    fn accept(&mut self, keeper: &KeeperId, start: StartMark) -> Result<(), (Term, LogIndex)> {
+    fn accept(&mut self, keeper: &KeeperId, start: ProcessStart) -> Result<(), (Term, LogIndex)> {
         if !self.records.contains_key(keeper) && self.records.len() >= MAX_RECORDS {
             return Ok(());
         }
@@ -76,18 +76,18 @@
     }
 
     /// Notes that `keeper` acknowledged `index`, or a vote, in `term`.
-    pub(super) fn witness(&mut self, keeper: &KeeperId, term: Term, index: LogIndex) {
+    pub(super) fn record_ack(&mut self, keeper: &KeeperId, term: Term, index: LogIndex) {
         if let Some(record) = self.records.get_mut(keeper) {
             record.witnessed = record.witnessed.max((term, index));
         }
     }
 
     /// What a leader's heartbeats tell of its peers.
-    pub(super) fn records(&self, peers: &BTreeMap<KeeperId, PeerProgress>) -> Vec<WitnessRecord> {
+    pub(super) fn records(&self, peers: &BTreeMap<KeeperId, PeerProgress>) -> Vec<ObservedAck> {
         let record_of = |keeper: &KeeperId| {
             let record = self.records.get(keeper)?;
             let (term, index) = record.witnessed;
-            Some(WitnessRecord {
+            Some(ObservedAck {
                 keeper: keeper.clone(),
                 start: *record.starts.back()?,
                 term,
@@ -133,7 +133,7 @@
 
     /// Whether a start is that of a disk which holds all that was acknowledged; if not, its keeper
     /// is told.
-    fn accept_start(&mut self, keeper: &KeeperId, start: StartMark) -> bool {
+    fn accept_start(&mut self, keeper: &KeeperId, start: ProcessStart) -> bool {
         let Err((term, index)) = self.identities.accept(keeper, start) else {
             return true;
         };
@@ -149,11 +149,11 @@
 
     /// Takes a leader's records in. A start that this keeper itself has reason to refuse stays
     /// refused, also when the leader accepted it because it was restarted and remembers less.
-    pub(super) fn merge_witnessed(&mut self, records: Vec<WitnessRecord>) {
+    pub(super) fn merge_observed_acks(&mut self, records: Vec<ObservedAck>) {
         for record in records {
             if record.keeper != self.id && self.accept_start(&record.keeper, record.start) {
                 self.identities
-                    .witness(&record.keeper, record.term, record.index);
+                    .record_ack(&record.keeper, record.term, record.index);
             }
         }
     }
@@ -168,7 +168,7 @@
         self.follow(self.term(), None);
         self.role = RoleState::Retired;
         self.effects.push(AgreementEffect::IdentityLost {
-            witness: from,
+            detected_by: from,
             term: rejected.witnessed_term,
             index: rejected.witnessed_index,
         });
--- a/crates/coordination/src/agreement/lead.rs
+++ b/crates/coordination/src/agreement/lead.rs
@@ -9,7 +9,7 @@
 use super::log::entry_bytes;
 use super::message::{
     AgreementMessage, AppendOutcome, AppendReply, Heartbeat, HeartbeatReply, HeartbeatRound,
-    WitnessRecord,
+    ObservedAck,
 };
 use super::node::{AgreementNode, RoleState};
 use super::port::{
@@ -63,7 +63,7 @@
     pub(super) hand_over: Option<HandOverState>,
     pub(super) told_redundancy: Option<RedundancyReport>,
     /// Witness records that peers were told last.
-    told_records: Vec<WitnessRecord>,
+    told_records: Vec<ObservedAck>,
 }
 
 impl LeaderState {
@@ -263,7 +263,7 @@
         }
         // Others acknowledge to the leader; what the leader itself counts towards a quorum they
         // learn only here, and refuse its disk too if it comes back without it.
-        let own = WitnessRecord {
+        let own = ObservedAck {
             keeper: self.id.clone(),
             start: self.start,
             term: self.hard_state.term,
@@ -367,7 +367,7 @@
         };
         if let Some(progress) = leader.peers.get_mut(from) {
             progress.note_matched(index, self.now);
-            self.identities.witness(from, term, index);
+            self.identities.record_ack(from, term, index);
         }
     }
 
--- a/crates/coordination/src/agreement/message.rs
+++ b/crates/coordination/src/agreement/message.rs
@@ -19,7 +19,7 @@
 /// Receivers compare it with what they saw the same keeper acknowledge before: a disk that was put
 /// back from an old copy starts behind its own acknowledgements and is not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StartMark {
+pub struct ProcessStart {
     /// Drawn at random at each start; tells the lives of one process apart.
     pub nonce: u64,
     /// Term that the disk held.
@@ -36,7 +36,7 @@
     /// Receiver; a keeper drops what is not addressed to its present incarnation.
     pub to: KeeperId,
     /// Start of the sender's process.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// Content.
     pub message: AgreementMessage,
 }
@@ -174,7 +174,7 @@
     /// The leader's own time at sending, given back in the answer and read by no one else.
     pub sent_at: MonotonicTime,
     /// What the leader saw other keepers acknowledge.
-    pub witnessed: Vec<WitnessRecord>,
+    pub witnessed: Vec<ObservedAck>,
 }
 
 /// Answer to a heartbeat.
@@ -192,11 +192,11 @@
 
 /// What was seen of one keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessRecord {
+pub struct ObservedAck {
     /// The keeper.
     pub keeper: KeeperId,
     /// Its latest known start.
-    pub start: StartMark,
+    pub start: ProcessStart,
     /// Term in which it acknowledged.
     pub term: Term,
     /// Index that it acknowledged in that term.
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -10,7 +10,7 @@
 use super::identity::IdentityTable;
 use super::lead::LeaderState;
 use super::log::ReplicatedLog;
-use super::message::{AgreementEnvelope, AgreementMessage, StartMark};
+use super::message::{AgreementEnvelope, AgreementMessage, ProcessStart};
 use super::persist::{HeldAction, PersistQueue};
 use super::port::{
     AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
@@ -43,7 +43,7 @@
 pub struct AgreementNode {
     pub(super) settings: AgreementSettings,
     pub(super) id: KeeperId,
-    pub(super) start: StartMark,
+    pub(super) start: ProcessStart,
     pub(super) random: ChaCha8Rng,
     pub(super) now: MonotonicTime,
     pub(super) hard_state: HardState,
@@ -90,7 +90,7 @@
             None => RoleState::Retired,
         };
         let log = restored_log.unwrap_or_default();
-        let start = StartMark {
+        let start = ProcessStart {
             nonce: random.random(),
             term: hard_state.term,
             last_index: log.last_index(),
--- a/crates/coordination/src/agreement/port.rs
+++ b/crates/coordination/src/agreement/port.rs
@@ -159,7 +159,7 @@
     /// sets the data aside and returns under a new incarnation.
     IdentityLost {
         /// Keeper that noticed.
-        witness: KeeperId,
+        detected_by: KeeperId,
         /// Term in which more was acknowledged.
         term: Term,
         /// Index that was acknowledged.
--- a/crates/coordination/tests/agreement_contract/messages.rs
+++ b/crates/coordination/tests/agreement_contract/messages.rs
@@ -4,8 +4,8 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, AgreementMessage, Heartbeat,
-    HeartbeatRound, IdentityRejected, LogIndex, PersistSequence, SnapshotChunk, SnapshotMetadata,
-    StartMark, Term, VoteKind, VoteRequest,
+    HeartbeatRound, IdentityRejected, LogIndex, PersistSequence, ProcessStart, SnapshotChunk,
+    SnapshotMetadata, Term, VoteKind, VoteRequest,
 };
 use pollendrift_coordination::base::MonotonicTime;
 use proptest::prelude::{Just, Strategy, any, prop_oneof, proptest};
@@ -130,7 +130,7 @@
         let mut node = follower();
         node.tick(MonotonicTime::START, vec![from_b(append(1, &[]))]);
         let last = node.last_index();
-        let start = StartMark {
+        let start = ProcessStart {
             nonce: 1,
             term: Term(1),
             last_index: LogIndex(1),
--- a/crates/coordination/tests/agreement_contract/support.rs
+++ b/crates/coordination/tests/agreement_contract/support.rs
@@ -6,7 +6,7 @@
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, AgreementMessage, AgreementNode,
     AgreementSettings, AppendRequest, EntryPayload, KeeperId, LogEntry, LogIndex, Membership,
-    PersistSequence, RequestToken, RestoredState, StartMark, Term, VoteKind, VoteReply,
+    PersistSequence, ProcessStart, RequestToken, RestoredState, Term, VoteKind, VoteReply,
 };
 use pollendrift_coordination::base::{HostName, Incarnation, MonotonicTime};
 
@@ -52,7 +52,7 @@
     AgreementInput::Message(AgreementEnvelope {
         from,
         to: keeper("a", 2),
-        start: StartMark {
+        start: ProcessStart {
             nonce: 1,
             term: Term(1),
             last_index: LogIndex(1),
