--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -34,7 +34,7 @@
 pub use node::AgreementNode;
 pub use port::{
     AgreementEffect, AgreementInput, DropReason, HandOverOutcome, KeeperRole, MembershipChange,
-    PersistOrder, PersistSequence, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
+    PersistRequest, PersistSequence, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
     RestoredState, RoleStatus, StoredSnapshot,
 };
 pub use redundancy::{RedundancyGap, RedundancyReport};
--- a/crates/coordination/src/agreement/persist.rs
+++ b/crates/coordination/src/agreement/persist.rs
@@ -9,7 +9,7 @@
 use super::log::ReplicatedLog;
 use super::message::AgreementEnvelope;
 use super::node::AgreementNode;
-use super::port::{AgreementEffect, PersistOrder, PersistSequence, StoredSnapshot};
+use super::port::{AgreementEffect, PersistRequest, PersistSequence, StoredSnapshot};
 
 /// Messages that wait for a sync. A disk that hangs must not let them pile up; a message that is
 /// not sent counts as lost, and is asked for again.
@@ -113,7 +113,7 @@
         self.outstanding.then_some(self.issued)
     }
 
-    fn next_order(&mut self, log: &ReplicatedLog) -> Option<PersistOrder> {
+    fn next_order(&mut self, log: &ReplicatedLog) -> Option<PersistRequest> {
         if self.outstanding || !self.is_dirty(log) {
             return None;
         }
@@ -123,7 +123,7 @@
         let entries = log.iter_from(first).cloned().collect();
         self.unsaved_from = log.last_index().next();
         self.outstanding_index = log.last_index();
-        Some(PersistOrder {
+        Some(PersistRequest {
             sequence: self.issued,
             hard_state: self.hard_state.take(),
             snapshot: self.snapshot.take(),
--- a/crates/coordination/src/agreement/port.rs
+++ b/crates/coordination/src/agreement/port.rs
@@ -104,7 +104,7 @@
     /// Send a message. It may be lost, delayed or doubled.
     Send(AgreementEnvelope),
     /// Write and sync, then report [`AgreementInput::Persisted`].
-    Persist(PersistOrder),
+    Persist(PersistRequest),
     /// Apply these entries, in order; each index is delivered once in the life of a process. Only
     /// [`EntryPayload::Command`](super::EntryPayload::Command) carries something for the state
     /// machine; the others still move the applied index.
@@ -178,7 +178,7 @@
 ///
 /// A crash may leave any prefix of that order; nothing that depends on the order was sent yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PersistOrder {
+pub struct PersistRequest {
     /// Number to report.
     pub sequence: PersistSequence,
     /// New hard state.
--- a/crates/coordination/tests/agreement_faults/disk.rs
+++ b/crates/coordination/tests/agreement_faults/disk.rs
@@ -1,7 +1,7 @@
 //! A disk that keeps only what was synced.
 
 use pollendrift_coordination::agreement::{
-    HardState, LogEntry, LogIndex, PersistOrder, RestoredState, StoredSnapshot,
+    HardState, LogEntry, LogIndex, PersistRequest, RestoredState, StoredSnapshot,
 };
 
 /// What is synced on one disk.
@@ -35,7 +35,7 @@
     }
 
     /// Applies the first `steps` writes of an order; a crash may stop after any of them.
-    pub(crate) fn write(&mut self, order: &PersistOrder, steps: usize) {
+    pub(crate) fn write(&mut self, order: &PersistRequest, steps: usize) {
         let mut left = steps;
         let mut may_write = || {
             let may = left > 0;
--- a/crates/coordination/tests/agreement_faults/host.rs
+++ b/crates/coordination/tests/agreement_faults/host.rs
@@ -1,7 +1,7 @@
 //! One host of the fake cluster.
 
 use pollendrift_coordination::agreement::{
-    AgreementInput, AgreementNode, KeeperId, LogIndex, PersistOrder, StoredSnapshot,
+    AgreementInput, AgreementNode, KeeperId, LogIndex, PersistRequest, StoredSnapshot,
 };
 use pollendrift_coordination::base::{HostName, Incarnation};
 
@@ -53,7 +53,7 @@
     pub(crate) life: u64,
     pub(crate) clock: HostClock,
     pub(crate) wake_at: Option<Micros>,
-    pub(crate) writing: Option<PersistOrder>,
+    pub(crate) writing: Option<PersistRequest>,
     pub(crate) is_paused: bool,
     pub(crate) backlog: Vec<AgreementInput>,
     pub(crate) applied: LogIndex,
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -5,7 +5,7 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, EntryPayload, HandOverOutcome, LogEntry,
-    LogIndex, PersistOrder, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
+    LogIndex, PersistRequest, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
     StateMachineError, StoredSnapshot,
 };
 use pollendrift_store::CommitRequest;
@@ -91,7 +91,7 @@
         }
     }
 
-    fn persist(&mut self, order: PersistOrder) -> Result<(), KeeperError> {
+    fn persist(&mut self, order: PersistRequest) -> Result<(), KeeperError> {
         self.syncing = Some(AgreementInput::Persisted(order.sequence));
         let queued = self.commit.submit(CommitRequest::Order(order));
         queued.map(drop).map_err(|refusal| KeeperError::Refused {
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -7,7 +7,7 @@
 use std::thread::{Builder, JoinHandle};
 
 use derive_more::{Display, Error};
-use pollendrift_coordination::agreement::{EntryPayload, LogIndex, PersistOrder, StoredSnapshot};
+use pollendrift_coordination::agreement::{EntryPayload, LogIndex, PersistRequest, StoredSnapshot};
 
 use crate::border::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 use crate::error::StoreError;
@@ -47,7 +47,7 @@
     /// Snapshot from the leader.
     Install(StoreSnapshot),
     /// Order of the agreement core, in its order of writing.
-    Order(PersistOrder),
+    Order(PersistRequest),
 }
 
 /// All requests up to a ticket are durable, or the store has stopped.
@@ -234,7 +234,7 @@
 /// The log restarts behind a snapshot that reaches beyond it, or from which on everything is
 /// truncated: such a log may contradict the snapshot, and a crash before the truncation is written
 /// would leave the two joined. Behind any other snapshot the log goes on.
-fn commit_order(store: &mut dyn LogStore, order: PersistOrder) -> Result<SyncMark, StoreError> {
+fn commit_order(store: &mut dyn LogStore, order: PersistRequest) -> Result<SyncMark, StoreError> {
     let mut batch = PersistBatch {
         hard: order.hard_state,
         truncate_from: order.truncate_from,
--- a/crates/store/tests/store/orders.rs
+++ b/crates/store/tests/store/orders.rs
@@ -3,7 +3,7 @@
 use std::sync::mpsc::channel;
 
 use pollendrift_coordination::agreement::{
-    HardState, LogIndex, PersistOrder, PersistSequence, StoredSnapshot, Term,
+    HardState, LogIndex, PersistRequest, PersistSequence, StoredSnapshot, Term,
 };
 use pollendrift_store::{CommitRequest, CommitSettings, CommitThread, RecoveredLog};
 
@@ -11,22 +11,22 @@
 use crate::workload::{entry, open, snapshot};
 
 /// An order with entries `first..=last` of `term`.
-fn order(term: u64, first: u64, last: u64) -> PersistOrder {
-    PersistOrder {
+fn order(term: u64, first: u64, last: u64) -> PersistRequest {
+    PersistRequest {
         sequence: PersistSequence(0),
         hard_state: Some(HardState {
             term: Term(term),
             voted_for: None,
         }),
         entries: (first..=last).map(|index| entry(index, term)).collect(),
-        ..PersistOrder::default()
+        ..PersistRequest::default()
     }
 }
 
-fn with_snapshot(index: u64, term: u64, order: PersistOrder) -> PersistOrder {
+fn with_snapshot(index: u64, term: u64, order: PersistRequest) -> PersistRequest {
     let snapshot = snapshot(index, term);
     let bytes = snapshot.state.into();
-    PersistOrder {
+    PersistRequest {
         snapshot: Some(StoredSnapshot {
             mark: snapshot.mark,
             bytes,
@@ -35,8 +35,8 @@
     }
 }
 
-fn truncated(from: u64, order: PersistOrder) -> PersistOrder {
-    PersistOrder {
+fn truncated(from: u64, order: PersistRequest) -> PersistRequest {
+    PersistRequest {
         truncate_from: Some(LogIndex(from)),
         ..order
     }
@@ -44,7 +44,7 @@
 
 /// Appends, a replaced suffix, an own snapshot, a leader's snapshot over a log that disagrees with
 /// it, and one beyond the log.
-fn orders() -> Vec<PersistOrder> {
+fn orders() -> Vec<PersistRequest> {
     vec![
         order(1, 1, 12),
         order(1, 13, 20),
@@ -57,7 +57,7 @@
 }
 
 /// States that may be read back while `order` is written on top of `log`; the last is the whole.
-fn states(log: &RecoveredLog, order: &PersistOrder) -> Vec<RecoveredLog> {
+fn states(log: &RecoveredLog, order: &PersistRequest) -> Vec<RecoveredLog> {
     let mut states = vec![log.clone()];
     let mut log = log.clone();
     log.hard = order.hard_state.clone().unwrap_or(log.hard);
