--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -1,19 +1,19 @@
 //! Agreement among keepers: the replicated log that every durable decision goes through.
 
-mod change;
 mod dump;
 mod election;
 mod entry;
-mod follow;
-mod handover;
+mod follower;
+mod hand_over;
 mod identity;
-mod lead;
+mod interface;
+mod leader;
 mod log;
-mod lost;
+mod lost_voters;
+mod membership_change;
 mod message;
 mod node;
 mod persist;
-mod port;
 mod progress;
 mod read;
 mod redundancy;
@@ -26,17 +26,17 @@
 pub use entry::{
     EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
+pub use interface::{
+    AgreementEffect, AgreementInput, DropReason, HandOverOutcome, KeeperRole, MembershipChange,
+    PersistRequest, PersistSequence, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
+    RestoredState, RoleStatus, StoredSnapshot,
+};
 pub use message::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat,
     HeartbeatReply, HeartbeatRound, IdentityRejected, ObservedAck, ProcessStart, SnapshotChunk,
     SnapshotOutcome, SnapshotReply, VoteKind, VoteReply, VoteRequest,
 };
 pub use node::AgreementNode;
-pub use port::{
-    AgreementEffect, AgreementInput, DropReason, HandOverOutcome, KeeperRole, MembershipChange,
-    PersistRequest, PersistSequence, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
-    RestoredState, RoleStatus, StoredSnapshot,
-};
 pub use redundancy::{RedundancyGap, RedundancyReport};
 pub use settings::AgreementSettings;
 pub use state_machine::{StateMachine, StateMachineError};
--- a/crates/coordination/src/agreement/dump.rs
+++ b/crates/coordination/src/agreement/dump.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::entry::{KeeperId, LogIndex, Membership};
+use super::interface::RoleStatus;
 use super::node::{AgreementNode, RoleState};
-use super::port::RoleStatus;
 use super::progress::{PeerProgress, SendMode};
 use super::redundancy::RedundancyReport;
 use crate::base::MonotonicTime;
--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use super::entry::{EntryPayload, HardState, KeeperId, LogIndex, Term};
-use super::lead::LeaderState;
+use super::leader::LeaderState;
 use super::message::{AgreementMessage, VoteKind, VoteReply, VoteRequest};
 use super::node::{AgreementNode, RoleState};
 use super::persist::HeldAction;
@@ -186,8 +186,8 @@
 
     fn become_leader(&mut self) {
         self.leader = Some(self.id.clone());
-        let opened_at = self.log.last_index().next();
-        let leader = LeaderState::new(opened_at, self.now);
+        let term_start = self.log.last_index().next();
+        let leader = LeaderState::new(term_start, self.now);
         self.role = RoleState::Leader(Box::new(leader));
         self.refresh_peers();
         self.append_own(EntryPayload::Noop);
@@ -215,7 +215,7 @@
         if let RoleState::Leader(leader) = role {
             self.leader = self.leader.take().filter(|known| *known != self.id);
             self.reset_election_timer();
-            self.settle_deposed(*leader);
+            self.resolve_deposed(*leader);
         }
     }
 }
--- a/crates/coordination/src/agreement/follow.rs
+++ b/crates/coordination/src/agreement/follower.rs
@@ -1,11 +1,11 @@
 //! What a follower does with a leader's messages.
 
 use super::entry::{KeeperId, LogEntry, LogIndex, Term};
+use super::interface::DropReason;
 use super::message::{
     AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat, HeartbeatReply,
 };
 use super::node::{AgreementNode, RoleState};
-use super::port::DropReason;
 
 impl AgreementNode {
     /// Accepts `from` as the leader of `term`, or answers that its term is over.
@@ -75,7 +75,7 @@
     fn mismatch(&self, request: &AppendRequest) -> AppendOutcome {
         let (hint_index, hint_term) = self
             .log
-            .agreement_hint(request.prev_index, request.prev_term);
+            .conflict_hint(request.prev_index, request.prev_term);
         AppendOutcome::Mismatch {
             refused: request.prev_index,
             hint_index,
--- a/crates/coordination/src/agreement/handover.rs
+++ b/crates/coordination/src/agreement/hand_over.rs
@@ -1,9 +1,9 @@
 //! Planned hand-over of leadership: no proposal is left unknown, and no election timeout passes.
 
 use super::entry::{KeeperId, Term};
+use super::interface::{AgreementEffect, HandOverOutcome, RefusalReason, RequestToken};
 use super::message::{AgreementMessage, VoteKind};
 use super::node::{AgreementNode, RoleState};
-use super::port::{AgreementEffect, HandOverOutcome, RefusalReason, RequestToken};
 use crate::base::{HostName, MonotonicTime};
 
 /// A hand-over that was ordered.
--- a/crates/coordination/src/agreement/identity.rs
+++ b/crates/coordination/src/agreement/identity.rs
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::entry::{KeeperId, LogIndex, Term};
+use super::interface::{AgreementEffect, DropReason};
 use super::message::{
     AgreementEnvelope, AgreementMessage, IdentityRejected, ObservedAck, ProcessStart,
 };
 use super::node::{AgreementNode, RoleState};
-use super::port::{AgreementEffect, DropReason};
 use super::progress::PeerProgress;
 
 /// Starts of one keeper that stay accepted, so that late messages of an earlier life don't look
--- a/crates/coordination/src/agreement/lead.rs
+++ b/crates/coordination/src/agreement/leader.rs
@@ -5,17 +5,17 @@
 use std::time::Duration;
 
 use super::entry::{EntryPayload, KeeperId, LogIndex, Membership};
-use super::handover::HandOverState;
+use super::hand_over::HandOverState;
+use super::interface::{
+    AgreementEffect, DropReason, HandOverOutcome, ProposalOutcome, ReadOutcome, RefusalReason,
+    RequestToken,
+};
 use super::log::entry_bytes;
 use super::message::{
     AgreementMessage, AppendOutcome, AppendReply, Heartbeat, HeartbeatReply, HeartbeatRound,
     ObservedAck,
 };
 use super::node::{AgreementNode, RoleState};
-use super::port::{
-    AgreementEffect, DropReason, HandOverOutcome, ProposalOutcome, ReadOutcome, RefusalReason,
-    RequestToken,
-};
 use super::progress::{LeavingPeer, PeerProgress, SendMode};
 use super::read::ReadQueue;
 use super::redundancy::RedundancyReport;
@@ -51,7 +51,7 @@
     pub(super) peers: BTreeMap<KeeperId, PeerProgress>,
     /// First entry of this term; until it is committed the commit index of earlier leaders isn't
     /// known, so no read is answered and no membership changed.
-    pub(super) opened_at: LogIndex,
+    pub(super) term_start: LogIndex,
     pub(super) heartbeat_due: MonotonicTime,
     pub(super) round: HeartbeatRound,
     pub(super) reads: ReadQueue,
@@ -61,16 +61,16 @@
     /// When a keeper last began to vote, until that is set against a lost one.
     pub(super) promoted_at: Option<MonotonicTime>,
     pub(super) hand_over: Option<HandOverState>,
-    pub(super) told_redundancy: Option<RedundancyReport>,
+    pub(super) reported_redundancy: Option<RedundancyReport>,
     /// Witness records that peers were told last.
     told_records: Vec<ObservedAck>,
 }
 
 impl LeaderState {
-    pub(super) fn new(opened_at: LogIndex, now: MonotonicTime) -> Self {
+    pub(super) fn new(term_start: LogIndex, now: MonotonicTime) -> Self {
         Self {
             peers: BTreeMap::new(),
-            opened_at,
+            term_start,
             heartbeat_due: now,
             round: HeartbeatRound(0),
             reads: ReadQueue::default(),
@@ -79,7 +79,7 @@
             change: None,
             promoted_at: None,
             hand_over: None,
-            told_redundancy: None,
+            reported_redundancy: None,
             told_records: Vec::new(),
         }
     }
@@ -293,7 +293,7 @@
     /// Whether an entry of the own term is committed.
     pub(super) fn has_committed_in_term(&self) -> bool {
         match &self.role {
-            RoleState::Leader(leader) => self.commit >= leader.opened_at,
+            RoleState::Leader(leader) => self.commit >= leader.term_start,
             _ => false,
         }
     }
@@ -348,7 +348,7 @@
                 hint_index,
                 hint_term,
             } => {
-                let (index, _) = self.log.agreement_hint(hint_index, hint_term);
+                let (index, _) = self.log.conflict_hint(hint_index, hint_term);
                 let next = index.next().min(refused);
                 self.on_mismatch(from, refused, next);
             }
@@ -413,7 +413,7 @@
     }
 
     /// Answers the requests whose entries were just delivered.
-    pub(super) fn settle_committed(&mut self) {
+    pub(super) fn resolve_committed(&mut self) {
         let commit = self.commit;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -441,7 +441,7 @@
     }
 
     /// Answers everything that a lost leadership leaves open.
-    pub(super) fn settle_deposed(&mut self, leader: LeaderState) {
+    pub(super) fn resolve_deposed(&mut self, leader: LeaderState) {
         for pending in leader.proposals {
             self.effects.push(AgreementEffect::Proposal {
                 token: pending.token,
--- a/crates/coordination/src/agreement/log.rs
+++ b/crates/coordination/src/agreement/log.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use super::entry::{EntryPayload, LogEntry, LogIndex, Membership, SnapshotMetadata, Term};
-use super::port::{RestoredState, StoredSnapshot};
+use super::interface::{RestoredState, StoredSnapshot};
 
 /// Bytes counted for an entry beside its command.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
@@ -168,7 +168,7 @@
     }
 
     /// Highest index up to `index` whose term is at most `term`: where two logs can still agree.
-    pub(super) fn agreement_hint(&self, index: LogIndex, term: Term) -> (LogIndex, Term) {
+    pub(super) fn conflict_hint(&self, index: LogIndex, term: Term) -> (LogIndex, Term) {
         let mut index = index.min(self.last_index());
         while index > self.base.index {
             match self.term_at(index) {
--- a/crates/coordination/src/agreement/lost.rs
+++ b/crates/coordination/src/agreement/lost_voters.rs
@@ -71,7 +71,7 @@
         if membership.voters.len() < SMALLEST_GROUP {
             return false;
         }
-        let Ok(membership) = self.keep_quorum(leader, membership) else {
+        let Ok(membership) = self.check_quorum(leader, membership) else {
             return false;
         };
         self.append_membership(membership, None);
--- a/crates/coordination/src/agreement/change.rs
+++ b/crates/coordination/src/agreement/membership_change.rs
@@ -1,11 +1,11 @@
 //! Membership changes, one keeper at a time.
 
 use super::entry::{EntryPayload, KeeperId, Membership};
-use super::lead::{LeaderState, PendingEntry};
-use super::node::{AgreementNode, RoleState};
-use super::port::{
+use super::interface::{
     AgreementEffect, MembershipChange, ProposalOutcome, RefusalReason, RequestToken,
 };
+use super::leader::{LeaderState, PendingEntry};
+use super::node::{AgreementNode, RoleState};
 
 impl AgreementNode {
     /// Appends a changed membership, or says why not.
@@ -87,7 +87,7 @@
             return Err(RefusalReason::NotCaughtUp);
         }
         membership.voters.insert(keeper);
-        self.keep_quorum(leader, membership)
+        self.check_quorum(leader, membership)
     }
 
     fn remove(
@@ -105,11 +105,11 @@
         if !membership.voters.remove(keeper) {
             return Err(RefusalReason::NotMember);
         }
-        self.keep_quorum(leader, membership)
+        self.check_quorum(leader, membership)
     }
 
     /// Refuses a membership of which no quorum answers now: the group could not even undo it.
-    pub(super) fn keep_quorum(
+    pub(super) fn check_quorum(
         &self,
         leader: &LeaderState,
         membership: Membership,
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -8,13 +8,13 @@
 use super::election::VoteCount;
 use super::entry::{EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, Term};
 use super::identity::IdentityTable;
-use super::lead::LeaderState;
+use super::interface::{
+    AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
+};
+use super::leader::LeaderState;
 use super::log::ReplicatedLog;
 use super::message::{AgreementEnvelope, AgreementMessage, ProcessStart};
 use super::persist::{HeldAction, PersistQueue};
-use super::port::{
-    AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
-};
 use super::settings::AgreementSettings;
 use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
@@ -62,9 +62,9 @@
     pub(super) identities: IdentityTable,
     /// Index at which a snapshot was last asked for.
     pub(super) snapshot_requested_at: LogIndex,
-    pub(super) told_role: Option<RoleStatus>,
+    pub(super) reported_role: Option<RoleStatus>,
     /// Count of membership changes in the log that was told last.
-    pub(super) told_membership: u64,
+    pub(super) reported_membership: u64,
     pub(super) effects: Vec<AgreementEffect>,
 }
 
@@ -113,8 +113,8 @@
             assembly: None,
             identities: IdentityTable::default(),
             snapshot_requested_at: log.snapshot_index(),
-            told_role: None,
-            told_membership: 0,
+            reported_role: None,
+            reported_membership: 0,
             log,
             effects: Vec::new(),
         };
@@ -335,14 +335,14 @@
             .collect();
         self.delivered = self.commit;
         self.effects.push(AgreementEffect::Committed(entries));
-        self.settle_committed();
+        self.resolve_committed();
         self.request_snapshot();
     }
 
     fn tell_changes(&mut self) {
         let change_count = self.log.change_count();
-        if change_count != self.told_membership {
-            self.told_membership = change_count;
+        if change_count != self.reported_membership {
+            self.reported_membership = change_count;
             let membership = self.log.membership();
             self.identities.retain(|keeper| membership.contains(keeper));
             self.effects.push(AgreementEffect::MembershipChanged {
@@ -351,11 +351,11 @@
             });
         }
         let status = self.status();
-        if self.told_role.as_ref() != Some(&status) {
-            self.told_role = Some(status.clone());
+        if self.reported_role.as_ref() != Some(&status) {
+            self.reported_role = Some(status.clone());
             self.effects.push(AgreementEffect::RoleChanged(status));
         }
-        self.tell_redundancy();
+        self.report_redundancy();
     }
 }
 
--- a/crates/coordination/src/agreement/persist.rs
+++ b/crates/coordination/src/agreement/persist.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 use super::entry::{HardState, LogIndex, Term};
+use super::interface::{AgreementEffect, PersistRequest, PersistSequence, StoredSnapshot};
 use super::log::ReplicatedLog;
 use super::message::AgreementEnvelope;
 use super::node::AgreementNode;
-use super::port::{AgreementEffect, PersistRequest, PersistSequence, StoredSnapshot};
 
 /// Messages that wait for a sync. A disk that hangs must not let them pile up; a message that is
 /// not sent counts as lost, and is asked for again.
--- a/crates/coordination/src/agreement/read.rs
+++ b/crates/coordination/src/agreement/read.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 use super::entry::LogIndex;
-use super::lead::QuorumView;
+use super::interface::{AgreementEffect, ReadOutcome, RefusalReason, RequestToken};
+use super::leader::QuorumView;
 use super::message::HeartbeatRound;
 use super::node::{AgreementNode, RoleState};
-use super::port::{AgreementEffect, ReadOutcome, RefusalReason, RequestToken};
 
 /// A read whose round was sent.
 #[derive(Clone, Copy, Debug)]
--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -3,11 +3,11 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::change::former_incarnation;
 use super::entry::KeeperId;
-use super::lead::LeaderState;
+use super::interface::AgreementEffect;
+use super::leader::LeaderState;
+use super::membership_change::former_incarnation;
 use super::node::{AgreementNode, RoleState};
-use super::port::AgreementEffect;
 
 /// Voters below which no loss can be borne.
 const SMALLEST_REDUNDANT_GROUP: usize = 3;
@@ -96,15 +96,15 @@
     }
 
     /// Tells a changed report.
-    pub(super) fn tell_redundancy(&mut self) {
+    pub(super) fn report_redundancy(&mut self) {
         let Some(report) = self.redundancy() else {
             return;
         };
         if let RoleState::Leader(leader) = &mut self.role {
-            if leader.told_redundancy.as_ref() == Some(&report) {
+            if leader.reported_redundancy.as_ref() == Some(&report) {
                 return;
             }
-            leader.told_redundancy = Some(report.clone());
+            leader.reported_redundancy = Some(report.clone());
         }
         self.effects
             .push(AgreementEffect::RedundancyChanged(report));
--- a/crates/coordination/src/agreement/snapshot_transfer.rs
+++ b/crates/coordination/src/agreement/snapshot_transfer.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use super::entry::{KeeperId, LogIndex, Membership, SnapshotMetadata, Term};
+use super::interface::{AgreementEffect, DropReason, StoredSnapshot};
 use super::message::{AgreementMessage, SnapshotChunk, SnapshotOutcome, SnapshotReply};
 use super::node::{AgreementNode, RoleState};
 use super::persist::HeldAction;
-use super::port::{AgreementEffect, DropReason, StoredSnapshot};
 use super::progress::{PeerProgress, SendMode};
 use super::settings::AgreementSettings;
 
