--- a/crates/coordination/src/replicated.rs
+++ b/crates/coordination/src/replicated.rs
@@ -6,7 +6,7 @@
 mod clock;
 mod command;
 mod evidence_index;
-mod host_life;
+mod incarnations;
 mod order_right;
 mod state;
 
@@ -16,6 +16,6 @@
     EvidenceAnswer, EvidenceBatch, EvidenceIndex, EvidencePosition, EvidenceRetention,
     IndexedRecord,
 };
-pub use host_life::{HostLifeTable, ProcessNonce, StartHost};
+pub use incarnations::{IncarnationTable, ProcessNonce, StartHost};
 pub use order_right::{GrantOrderRight, OrderHolder, OrderRightAnswer, OrderRightTable};
 pub use state::{ReplicatedSettings, ReplicatedState};
--- a/crates/coordination/src/replicated/command.rs
+++ b/crates/coordination/src/replicated/command.rs
@@ -4,7 +4,7 @@
 
 use super::clock::CommandStamp;
 use super::evidence_index::{EvidenceAnswer, EvidenceBatch};
-use super::host_life::StartHost;
+use super::incarnations::StartHost;
 use super::order_right::{GrantOrderRight, OrderRightAnswer};
 use crate::agreement::StateMachineError;
 use crate::base::{HostName, Incarnation};
--- a/crates/coordination/src/replicated/host_life.rs
+++ b/crates/coordination/src/replicated/incarnations.rs
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct HostLife {
+struct HostIncarnation {
     incarnation: Incarnation,
     nonce: ProcessNonce,
 }
@@ -32,11 +32,11 @@
 /// Invariant: the incarnation of a host never falls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct HostLifeTable {
-    lives: BTreeMap<HostName, HostLife>,
+pub struct IncarnationTable {
+    lives: BTreeMap<HostName, HostIncarnation>,
 }
 
-impl HostLifeTable {
+impl IncarnationTable {
     /// The incarnation of the process that asks: a higher one for a new process, the same one for
     /// a resend.
     pub fn start(&mut self, start: &StartHost) -> Incarnation {
@@ -45,7 +45,7 @@
             return life.incarnation;
         }
         let incarnation = known.map_or(Incarnation(1), |life| life.incarnation.next());
-        let life = HostLife {
+        let life = HostIncarnation {
             incarnation,
             nonce: start.nonce,
         };
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -7,7 +7,7 @@
 use super::clock::{ReplicatedClock, ReplicatedTime};
 use super::command::{CommandAnswer, ReplicatedCommand, StampedCommand, decode, encode};
 use super::evidence_index::{EvidenceIndex, EvidenceRetention};
-use super::host_life::{HostLifeTable, StartHost};
+use super::incarnations::{IncarnationTable, StartHost};
 use super::order_right::OrderRightTable;
 use crate::agreement::{LogIndex, StateMachine, StateMachineError};
 use crate::base::{HostName, Incarnation};
@@ -41,7 +41,7 @@
     changes: ChangeLog,
     claims: ClaimTable,
     evidence: EvidenceIndex,
-    lives: HostLifeTable,
+    lives: IncarnationTable,
     order_rights: OrderRightTable,
 }
 
@@ -91,7 +91,7 @@
     }
 
     /// Incarnations of hosts.
-    pub fn lives(&self) -> &HostLifeTable {
+    pub fn incarnations(&self) -> &IncarnationTable {
         &self.tables.lives
     }
 
