--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -4,20 +4,19 @@
 //! alone, and keepers only store. [`EvidenceBuffer`] runs on every entry, [`HeadTable`] on every
 //! keeper, [`verify`] needs neither. Prompts and answers are not stored; lengths and digests are.
 
-mod agreed;
 mod buffer;
 mod chain;
 mod export;
 mod filter;
 mod heads;
 mod record;
+mod replicated_batch;
 #[cfg(feature = "report")]
 mod report;
 mod retention;
-mod story;
+mod timeline;
 mod verify;
 
-pub use agreed::agreed_through;
 pub use buffer::{
     BufferBounds, BufferFull, BufferStatus, EvidenceBatch, EvidenceBuffer, KeeperBatch,
 };
@@ -30,8 +29,9 @@
     OutcomeKind, RefusalsOmitted, RequestBegun, RequestFinished, RequestRefused, RequestTimings,
     RetentionApplied, RevisionInForce, RouteStage, SelectorVerdict,
 };
+pub use replicated_batch::replicated_through;
 #[cfg(feature = "report")]
 pub use report::{ReportError, report_page};
 pub use retention::{RetentionPolicy, StoredSpan, spans_to_drop};
-pub use story::tell;
+pub use timeline::request_timeline;
 pub use verify::{ChainSummary, VerifyReport, verify};
--- a/crates/coordination/src/evidence/agreed.rs
+++ b/crates/coordination/src/evidence/replicated_batch.rs
@@ -10,7 +10,7 @@
 
 impl EvidenceBatch {
     /// The batch as the replicated state takes it.
-    pub fn to_agreed(&self) -> replicated::EvidenceBatch {
+    pub fn to_replicated(&self) -> replicated::EvidenceBatch {
         let bytes = |line: &Arc<str>| Arc::from(line.as_bytes());
         replicated::EvidenceBatch {
             writer: self.writer.host.clone(),
@@ -23,7 +23,7 @@
 
 /// Last record of the chain that the agreement group has, by its answer to a batch; `None` if a
 /// later life of the writer has recorded already, so that this one must take no more work.
-pub fn agreed_through(answer: &replicated::EvidenceAnswer) -> Option<SequenceNumber> {
+pub fn replicated_through(answer: &replicated::EvidenceAnswer) -> Option<SequenceNumber> {
     match answer {
         replicated::EvidenceAnswer::Recorded { next } => Some(*next),
         replicated::EvidenceAnswer::Gap { expected } => Some(*expected),
--- a/crates/coordination/src/evidence/report.rs
+++ b/crates/coordination/src/evidence/report.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error};
 
 use super::chain::SealedRecord;
-use super::story::format_time;
+use super::timeline::format_time;
 use super::verify::{VerifyReport, verify};
 use crate::base::WallTime;
 use figures::ReportFigures;
--- a/crates/coordination/src/evidence/story.rs
+++ b/crates/coordination/src/evidence/timeline.rs
@@ -12,7 +12,7 @@
 ///
 /// A request without a record of its end was cut off with its entry; the story says so rather than
 /// guess an outcome.
-pub fn tell(request: &RequestId, records: &[EvidenceRecord]) -> Vec<String> {
+pub fn request_timeline(request: &RequestId, records: &[EvidenceRecord]) -> Vec<String> {
     let mut about: Vec<_> = records
         .iter()
         .filter(|record| record.event.request() == Some(request))
--- a/crates/coordination/tests/evidence_story.rs
+++ b/crates/coordination/tests/evidence_story.rs
@@ -2,7 +2,8 @@
 
 use pollendrift_coordination::base::{LayerRange, WallTime};
 use pollendrift_coordination::evidence::{
-    AttemptTrace, EvidenceEvent, EvidenceFilter, EvidenceRecord, OutcomeKind, RouteStage, tell,
+    AttemptTrace, EvidenceEvent, EvidenceFilter, EvidenceRecord, OutcomeKind, RouteStage,
+    request_timeline,
 };
 
 mod evidence_support;
@@ -52,7 +53,7 @@
 #[test]
 fn the_story_of_a_request_tells_what_decided_every_attempt_and_the_end() {
     let stories = ["r1", "r2", "r3", "r4"].map(|request| {
-        let lines = tell(&request.into(), &records());
+        let lines = request_timeline(&request.into(), &records());
         lines.join("\n")
     });
     insta::assert_snapshot!(stories.join("\n\n"), @"
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -7,7 +7,7 @@
 use pollendrift_coordination::base::{HostName, Incarnation, WallTime};
 use pollendrift_coordination::evidence::{
     BufferBounds, ChainWriter, EvidenceBuffer, EvidenceEvent, EvidenceFilter, EvidenceRecord,
-    KeeperBatch, RetentionPolicy, agreed_through,
+    KeeperBatch, RetentionPolicy, replicated_through,
 };
 use pollendrift_coordination::replicated::{CommandAnswer, IndexedRecord, ReplicatedCommand};
 
@@ -40,10 +40,10 @@
     fn store(&self, batch: KeeperBatch) -> StoreFuture {
         let agreed = Arc::clone(&self.agreed);
         Box::pin(async move {
-            let command = ReplicatedCommand::RecordEvidence(batch.batch.to_agreed());
+            let command = ReplicatedCommand::RecordEvidence(batch.batch.to_replicated());
             match agreed.submit(command).await {
                 Ok(CommandAnswer::Evidence(answer)) => {
-                    agreed_through(&answer).ok_or(SinkError::Superseded)
+                    replicated_through(&answer).ok_or(SinkError::Superseded)
                 }
                 Ok(_) => Err(SinkError::Later {
                     reason: "keepers answered another command".to_owned(),
--- a/crates/pollenctl/src/evidence.rs
+++ b/crates/pollenctl/src/evidence.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use pollendrift_coordination::base::RequestId;
-use pollendrift_coordination::evidence::{ChainHead, EvidenceRecord, tell, verify};
+use pollendrift_coordination::evidence::{ChainHead, EvidenceRecord, request_timeline, verify};
 use serde::Deserialize;
 
 use crate::client::OperatorClient;
@@ -85,7 +85,7 @@
 ) -> Result<(), ToolFailure> {
     let path = format!("{EVIDENCE_PATH}/requests/{}", escaped(request));
     let list: RecordList = client.get(&path).await?;
-    let lines = tell(&RequestId::from(request), &list.records);
+    let lines = request_timeline(&RequestId::from(request), &list.records);
     output.print(&lines.join("\n"))
 }
 
