--- a/crates/coordination/benches/evidence.rs
+++ b/crates/coordination/benches/evidence.rs
@@ -10,7 +10,7 @@
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use pollendrift_coordination::base::{Incarnation, MonotonicTime, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
-    BodyDigest, BufferBounds, ChainWriter, DecisionTrace, EvidenceBatch, EvidenceBuffer,
+    BodyDigest, BufferSettings, ChainWriter, DecisionTrace, EvidenceBatch, EvidenceBuffer,
     EvidenceEvent, HeadTable, RequestBegun, SealedRecord, verify,
 };
 
@@ -41,9 +41,9 @@
 
 /// A thousand records in one batch, as a keeper gets them.
 fn batch() -> EvidenceBatch {
-    let bounds = BufferBounds {
+    let bounds = BufferSettings {
         max_batch_records: usize::MAX,
-        ..BufferBounds::default()
+        ..BufferSettings::default()
     };
     let mut buffer = EvidenceBuffer::new(writer(), bounds, ["k1".into()]);
     for _ in 0..RECORDS {
@@ -64,7 +64,7 @@
     let mut group = criterion.benchmark_group("evidence");
     group.throughput(Throughput::Elements(1));
     group.bench_function("entry: begin and drop once stored", |bencher| {
-        let mut buffer = EvidenceBuffer::new(writer(), BufferBounds::default(), ["k1".into()]);
+        let mut buffer = EvidenceBuffer::new(writer(), BufferSettings::default(), ["k1".into()]);
         let mut sequence = SequenceNumber(0);
         bencher.iter(|| {
             sequence = buffer
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -18,7 +18,7 @@
 mod verify;
 
 pub use buffer::{
-    BufferBounds, BufferFull, BufferStatus, EvidenceBatch, EvidenceBuffer, KeeperBatch,
+    BufferError, BufferSettings, BufferStatus, EvidenceBatch, EvidenceBuffer, KeeperBatch,
 };
 pub use chain::{ChainAnchor, ChainHead, ChainWriter, EvidenceDigest, EvidenceError, SealedRecord};
 pub use export::{EvidenceExport, ExportEnd, ExportLine};
--- a/crates/coordination/src/evidence/buffer.rs
+++ b/crates/coordination/src/evidence/buffer.rs
@@ -16,7 +16,7 @@
 
 /// Bounds and delays of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BufferBounds {
+pub struct BufferSettings {
     /// Most records, reservations included.
     pub max_records: usize,
     /// Bytes above which no new work is accepted. Records of work that is already running still
@@ -35,7 +35,7 @@
     pub copies: usize,
 }
 
-impl Default for BufferBounds {
+impl Default for BufferSettings {
     fn default() -> Self {
         Self {
             max_records: 16_384,
@@ -51,7 +51,7 @@
 
 /// Why a record was not taken.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
-pub enum BufferFull {
+pub enum BufferError {
     /// Keepers have not acknowledged enough of what is waiting: new work must be refused, and the
     /// refusal is true, since nothing has run.
     #[display("{records} records in {bytes} bytes wait for the keepers")]
@@ -131,7 +131,7 @@
 /// waiting records and reservations that callers caused never passes `max_records`.
 #[derive(Clone, Debug)]
 pub struct EvidenceBuffer {
-    bounds: BufferBounds,
+    bounds: BufferSettings,
     head: ChainHead,
     durable: SequenceNumber,
     lines: VecDeque<WaitingLine>,
@@ -143,7 +143,7 @@
 
 impl EvidenceBuffer {
     /// An empty chain of `writer`, whose records go to `keepers`.
-    pub fn new<I>(writer: ChainWriter, bounds: BufferBounds, keepers: I) -> Self
+    pub fn new<I>(writer: ChainWriter, bounds: BufferSettings, keepers: I) -> Self
     where
         I: IntoIterator<Item = HostName>,
     {
@@ -189,13 +189,13 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull`] if there is no room for both: the request must be refused.
+    /// [`BufferError`] if there is no room for both: the request must be refused.
     pub fn begin(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
-    ) -> Result<SequenceNumber, BufferFull> {
+    ) -> Result<SequenceNumber, BufferError> {
         if !self.may_accept() {
             return Err(self.full());
         }
@@ -208,13 +208,13 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull::Unwritable`] if the event can't be written as JSON.
+    /// [`BufferError::Unwritable`] if the event can't be written as JSON.
     pub fn finish(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
-    ) -> Result<SequenceNumber, BufferFull> {
+    ) -> Result<SequenceNumber, BufferError> {
         let sequence = self.push(now.after(self.bounds.batch_delay), time, event)?;
         self.reserved = self.reserved.saturating_sub(1);
         Ok(sequence)
@@ -226,13 +226,13 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull::Unwritable`] if the event can't be written as JSON.
+    /// [`BufferError::Unwritable`] if the event can't be written as JSON.
     pub fn refuse(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
-    ) -> Result<Option<SequenceNumber>, BufferFull> {
+    ) -> Result<Option<SequenceNumber>, BufferError> {
         if !self.may_accept() {
             self.omit(time);
             return Ok(None);
@@ -251,13 +251,13 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull`] if even the spare room is used.
+    /// [`BufferError`] if even the spare room is used.
     pub fn note(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
-    ) -> Result<SequenceNumber, BufferFull> {
+    ) -> Result<SequenceNumber, BufferError> {
         if self.used() >= self.bounds.max_records.saturating_add(SPARE_RECORDS) {
             return Err(self.full());
         }
@@ -265,7 +265,7 @@
     }
 
     /// Makes all that waits due at `now`, for someone who waits for it to be stored.
-    pub fn hasten(&mut self, now: MonotonicTime) {
+    pub fn make_all_due(&mut self, now: MonotonicTime) {
         for line in &mut self.lines {
             line.due = line.due.min(now);
         }
@@ -275,9 +275,9 @@
     ///
     /// Failure: a planned stop began to send what waited only once all requests had ended. Symptom: it
     /// ran out of its time where the keepers were slow to answer just then, and the records were lost.
-    pub fn stop_waiting(&mut self, now: MonotonicTime) {
+    pub fn flush_for_shutdown(&mut self, now: MonotonicTime) {
         self.bounds.note_delay = self.bounds.batch_delay;
-        self.hasten(now);
+        self.make_all_due(now);
     }
 
     /// Last record that enough keepers have stored. The first byte of an answer waits for the
@@ -291,7 +291,7 @@
         &mut self,
         now: MonotonicTime,
         time: WallTime,
-    ) -> Result<Vec<KeeperBatch>, BufferFull> {
+    ) -> Result<Vec<KeeperBatch>, BufferError> {
         if self.may_accept() {
             self.record_omitted(now, time)?;
         }
@@ -352,8 +352,8 @@
         self.lines.len() + self.reserved
     }
 
-    fn full(&self) -> BufferFull {
-        BufferFull::Full {
+    fn full(&self) -> BufferError {
+        BufferError::Full {
             records: self.used(),
             bytes: self.bytes,
         }
@@ -364,7 +364,7 @@
         due: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
-    ) -> Result<SequenceNumber, BufferFull> {
+    ) -> Result<SequenceNumber, BufferError> {
         let sealed = SealedRecord::seal(&self.head, time, event)?;
         self.head = sealed.head();
         self.bytes += sealed.line.len();
@@ -385,7 +385,7 @@
         omitted.last = time;
     }
 
-    fn record_omitted(&mut self, now: MonotonicTime, time: WallTime) -> Result<(), BufferFull> {
+    fn record_omitted(&mut self, now: MonotonicTime, time: WallTime) -> Result<(), BufferError> {
         let Some(omitted) = self.omitted.take() else {
             return Ok(());
         };
--- a/crates/coordination/tests/evidence_buffer.rs
+++ b/crates/coordination/tests/evidence_buffer.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::base::{HostName, MonotonicTime, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
-    BatchRefusal, BufferBounds, EvidenceBatch, EvidenceBuffer, EvidenceEvent, HeadTable,
+    BatchRefusal, BufferSettings, EvidenceBatch, EvidenceBuffer, EvidenceEvent, HeadTable,
     KeeperBatch, OutcomeKind, RetentionPolicy, RevisionInForce, SealedRecord, StoredSpan,
     spans_to_drop,
 };
@@ -24,12 +24,12 @@
 }
 
 fn buffer_of(max_records: usize, keepers: &[&str]) -> EvidenceBuffer {
-    let bounds = BufferBounds {
+    let bounds = BufferSettings {
         max_records,
         max_batch_records: 4,
         batch_delay: Duration::from_millis(5),
         resend_delay: Duration::from_millis(100),
-        ..BufferBounds::default()
+        ..BufferSettings::default()
     };
     EvidenceBuffer::new(
         writer("brest-1"),
@@ -293,10 +293,10 @@
         if now == 3_200 {
             let event = in_force(now);
             buffer.note(at(now), WALL, event).unwrap();
-            buffer.hasten(at(now));
+            buffer.make_all_due(at(now));
         }
         if now == 3_300 {
-            buffer.stop_waiting(at(now));
+            buffer.flush_for_shutdown(at(now));
         }
         if now == 3_400 {
             let event = in_force(now);
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -6,7 +6,7 @@
 
 use pollendrift_coordination::base::{HostName, Incarnation, WallTime};
 use pollendrift_coordination::evidence::{
-    BufferBounds, ChainWriter, EvidenceBuffer, EvidenceEvent, EvidenceFilter, EvidenceRecord,
+    BufferSettings, ChainWriter, EvidenceBuffer, EvidenceEvent, EvidenceFilter, EvidenceRecord,
     KeeperBatch, RetentionPolicy, replicated_through,
 };
 use pollendrift_coordination::replicated::{CommandAnswer, IndexedRecord, ReplicatedCommand};
@@ -87,9 +87,9 @@
     }
 }
 
-fn buffer_bounds(settings: &EvidenceSettings) -> BufferBounds {
+fn buffer_bounds(settings: &EvidenceSettings) -> BufferSettings {
     let size = |count: u64| usize::try_from(count).unwrap_or(usize::MAX);
-    BufferBounds {
+    BufferSettings {
         max_records: size(settings.max_buffer_records),
         max_bytes: size(settings.max_buffer_bytes),
         max_batch_records: size(settings.max_batch_records),
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 use pollendrift_coordination::base::{HostName, SequenceNumber};
 use pollendrift_coordination::evidence::{
-    BodyDigest, BufferFull, BufferStatus, EvidenceBuffer, EvidenceEvent, KeeperBatch, OutcomeKind,
+    BodyDigest, BufferError, BufferStatus, EvidenceBuffer, EvidenceEvent, KeeperBatch, OutcomeKind,
     RequestBegun, RequestFinished, RequestRefused, RequestTimings,
 };
 use tokio::sync::{Notify, watch};
@@ -84,14 +84,14 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull`]: the request must be refused.
-    pub fn begin(self: &Arc<Self>, event: RequestBegun) -> Result<OpenRequest, BufferFull> {
+    /// [`BufferError`]: the request must be refused.
+    pub fn begin(self: &Arc<Self>, event: RequestBegun) -> Result<OpenRequest, BufferError> {
         let end = unfinished(&event);
         let event = EvidenceEvent::RequestBegun(event);
         let mut buffer = self.buffer();
         if self.superseded.get().is_some() {
             let status = buffer.status();
-            return Err(BufferFull::Full {
+            return Err(BufferError::Full {
                 records: status.records,
                 bytes: status.bytes,
             });
@@ -123,8 +123,8 @@
     ///
     /// # Errors
     ///
-    /// [`BufferFull`] if even the spare room is used.
-    pub fn note(&self, event: EvidenceEvent) -> Result<SequenceNumber, BufferFull> {
+    /// [`BufferError`] if even the spare room is used.
+    pub fn note(&self, event: EvidenceEvent) -> Result<SequenceNumber, BufferError> {
         let noted = self
             .buffer()
             .note(self.clock.now(), self.clock.wall(), event);
@@ -141,7 +141,7 @@
 
     /// Waits until everything that is recorded now is stored; for a planned stop.
     pub async fn settle(&self) {
-        self.buffer().hasten(self.clock.now());
+        self.buffer().make_all_due(self.clock.now());
         self.recorded.notify_one();
         let last = self.status().head.sequence;
         self.stored(last).await;
@@ -149,7 +149,7 @@
 
     /// Sends records as they come from now on, for a host that leaves.
     pub fn stop_waiting(&self) {
-        self.buffer().stop_waiting(self.clock.now());
+        self.buffer().flush_for_shutdown(self.clock.now());
         self.recorded.notify_one();
     }
 
--- a/crates/daemon/tests/telemetry_journal.rs
+++ b/crates/daemon/tests/telemetry_journal.rs
@@ -13,7 +13,7 @@
 };
 use pollendrift_coordination::base::{Incarnation, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
-    BufferBounds, ChainHead, ChainWriter, EvidenceBuffer, EvidenceDigest, EvidenceEvent,
+    BufferSettings, ChainHead, ChainWriter, EvidenceBuffer, EvidenceDigest, EvidenceEvent,
     EvidenceFilter, KeeperBatch, RetentionPolicy, RevisionInForce, SealedRecord, verify,
 };
 use pollendrift_coordination::replicated::{EvidencePosition, IndexedRecord};
@@ -258,7 +258,7 @@
         host: "brest-1".into(),
         incarnation: Incarnation(2),
     };
-    let buffer = EvidenceBuffer::new(writer, BufferBounds::default(), ["keepers".into()]);
+    let buffer = EvidenceBuffer::new(writer, BufferSettings::default(), ["keepers".into()]);
     let recorder = Arc::new(EvidenceRecorder::new(buffer, clock));
     slot.open(Arc::clone(&recorder));
     let retained = {
--- a/crates/daemon/tests/telemetry_pages.rs
+++ b/crates/daemon/tests/telemetry_pages.rs
@@ -11,7 +11,9 @@
 use pollendrift::telemetry::{
     INSTRUMENTS, InstrumentKind, MetricRegistry, RefusedConnection, RequestEnd, log_field, log_to,
 };
-use pollendrift_coordination::evidence::{BufferBounds, ChainWriter, EvidenceBuffer, OutcomeKind};
+use pollendrift_coordination::evidence::{
+    BufferSettings, ChainWriter, EvidenceBuffer, OutcomeKind,
+};
 
 const PAGE: &str = include_str!("../../../docs/operators/metrics.md");
 
@@ -21,7 +23,7 @@
         host: "brest-1".into(),
         incarnation: 1.into(),
     };
-    let buffer = EvidenceBuffer::new(writer, BufferBounds::default(), ["k1".into()]);
+    let buffer = EvidenceBuffer::new(writer, BufferSettings::default(), ["k1".into()]);
     metrics.access_refused(RefusedConnection {
         face: "callers",
         reason: "token",
--- a/crates/daemon/tests/telemetry_recorder.rs
+++ b/crates/daemon/tests/telemetry_recorder.rs
@@ -10,7 +10,7 @@
 };
 use pollendrift_coordination::base::{MonotonicTime, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
-    BodyDigest, BufferBounds, ChainWriter, DecisionTrace, EvidenceBuffer, EvidenceEvent,
+    BodyDigest, BufferSettings, ChainWriter, DecisionTrace, EvidenceBuffer, EvidenceEvent,
     KeeperBatch, OutcomeKind, RequestBegun, RequestRefused, SealedRecord,
 };
 use tokio::sync::{Semaphore, watch};
@@ -93,10 +93,10 @@
         host: "brest-1".into(),
         incarnation: 1.into(),
     };
-    let bounds = BufferBounds {
+    let bounds = BufferSettings {
         max_records,
         batch_delay: Duration::ZERO,
-        ..BufferBounds::default()
+        ..BufferSettings::default()
     };
     let buffer = EvidenceBuffer::new(writer, bounds, ["keepers".into()]);
     Arc::new(EvidenceRecorder::new(buffer, Arc::new(StillClock)))
--- a/crates/standins/examples/experiment/records.rs
+++ b/crates/standins/examples/experiment/records.rs
@@ -7,7 +7,7 @@
     TakeClaim,
 };
 use pollendrift_coordination::evidence::{
-    BodyDigest, BufferBounds, ChainWriter, DecisionTrace, EvidenceBuffer, EvidenceEvent,
+    BodyDigest, BufferSettings, ChainWriter, DecisionTrace, EvidenceBuffer, EvidenceEvent,
     RequestBegun,
 };
 use pollendrift_coordination::replicated::{
@@ -132,9 +132,9 @@
         host: "host-1".into(),
         incarnation: Incarnation(7),
     };
-    let bounds = BufferBounds {
+    let bounds = BufferSettings {
         max_batch_records: usize::MAX,
-        ..BufferBounds::default()
+        ..BufferSettings::default()
     };
     let mut buffer = EvidenceBuffer::new(writer, bounds, ["keeper-1".into()]);
     for number in 0..records {
