--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -49,7 +49,7 @@
 impl RedundancyReport {
     /// Whether every voter counts and nothing waits to be repaired.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.gaps.is_empty()
     }
 }
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -63,7 +63,7 @@
         "applied": status.applied.0,
         "membership": value_of(status.membership.as_ref()),
         "redundancy": redundancy.map(value_of),
-        "redundancy_whole": redundancy.map(|report| report.is_whole()),
+        "redundancy_whole": redundancy.map(|report| report.is_complete()),
         "stopped": status.stopped.as_deref(),
     })
 }
--- a/crates/daemon/tests/keeper_cluster/disks.rs
+++ b/crates/daemon/tests/keeper_cluster/disks.rs
@@ -71,7 +71,7 @@
         status
             .redundancy
             .as_ref()
-            .is_some_and(|report| report.is_whole())
+            .is_some_and(|report| report.is_complete())
     };
     cluster.wait_for(leader, "whole redundancy", whole).await;
     cluster.kill(second).await;
@@ -148,7 +148,7 @@
     cluster
         .wait_for(leader, "every acknowledgement", |status| {
             let redundancy = status.redundancy.as_ref();
-            redundancy.is_some_and(|report| report.is_whole())
+            redundancy.is_some_and(|report| report.is_complete())
         })
         .await;
     cluster.kill(victim).await;
