--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -16,8 +16,8 @@
 mod facts;
 mod followed;
 mod interface;
-mod known;
 mod label;
+mod label_settings;
 mod lint;
 mod model;
 mod parse;
@@ -43,10 +43,10 @@
     ChangeBody, ChangeReply, ConfigurationView, DaemonRevision, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, InForceView, MAX_HISTORY_PAGE,
 };
-pub use known::{KnownSettings, ServiceState};
 pub use label::{
     LabelKey, LabelSet, LabelSubject, LabelValue, MAX_KEY_BYTES, MAX_VALUE_BYTES, NamePattern,
 };
+pub use label_settings::{LabelSettings, ServiceState};
 pub use model::{DEFAULT_ORDER, DocumentKey, LabelRule, PublishedSource, Selector, SelectorTarget};
 pub use parse::ParsedConfiguration;
 pub use select::{
--- a/crates/coordination/src/configuration/known.rs
+++ b/crates/coordination/src/configuration/label_settings.rs
@@ -122,15 +122,15 @@
 ];
 
 /// What is wrong with a label of an operator, and what would be accepted.
-pub(super) struct LabelFault {
+pub(super) struct LabelError {
     pub(super) message: String,
     pub(super) expected: String,
 }
 
 /// Checks an operator's label against the reserved and well-known ones.
-pub(super) fn check_label(subject: LabelSubject, key: &str, value: &str) -> Result<(), LabelFault> {
+pub(super) fn check_label(subject: LabelSubject, key: &str, value: &str) -> Result<(), LabelError> {
     if let Some(prefix) = RESERVED_PREFIXES.iter().find(|p| key.starts_with(**p)) {
-        return Err(LabelFault {
+        return Err(LabelError {
             message: format!("label {key} can't be set: {prefix} holds facts"),
             expected: "a key without a reserved prefix".to_owned(),
         });
@@ -140,13 +140,13 @@
     };
     if !known.subjects.contains(&subject) {
         let subjects: Vec<String> = known.subjects.iter().map(ToString::to_string).collect();
-        return Err(LabelFault {
+        return Err(LabelError {
             message: format!("label {key} has no meaning on a {subject}"),
             expected: format!("{key} on {}", subjects.join(" or ")),
         });
     }
     if !known.value.accepts(value) {
-        return Err(LabelFault {
+        return Err(LabelError {
             message: format!("label {key} can't be {value}"),
             expected: known.value.expected(),
         });
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-fn check_unknown(subject: LabelSubject, key: &str) -> Result<(), LabelFault> {
+fn check_unknown(subject: LabelSubject, key: &str) -> Result<(), LabelError> {
     if !TYPED_PREFIXES.iter().any(|prefix| key.starts_with(prefix)) {
         return Ok(());
     }
@@ -163,7 +163,7 @@
         .filter(|known| known.subjects.contains(&subject) && known.key.contains('/'))
         .map(|known| known.key)
         .collect();
-    Err(LabelFault {
+    Err(LabelError {
         message: format!("there is no label {key}"),
         expected: accepted.join(", "),
     })
@@ -184,7 +184,7 @@
 
 /// Typed well-known labels; `None` means that the operators set none and a default applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KnownSettings {
+pub struct LabelSettings {
     /// Time from arrival to the end of the answer.
     pub deadline: Option<Duration>,
     /// Whether the caller's request may run more than once.
@@ -211,7 +211,7 @@
     pub weight: Option<u32>,
 }
 
-impl KnownSettings {
+impl LabelSettings {
     /// Reads the well-known labels of a checked set.
     pub fn of(labels: &LabelSet) -> Self {
         let word = |key: &str| labels.get(key).map(|value| value.as_str());
--- a/crates/coordination/src/configuration/parse.rs
+++ b/crates/coordination/src/configuration/parse.rs
@@ -7,10 +7,10 @@
 use super::checked::{CachedDocument, CheckedDocument, DocumentCache, DocumentContent};
 use super::chunk::{TextChunk, split_documents};
 use super::document::{MAX_DOCUMENTS, MAX_TEXT_BYTES, PlacedNode, read_chunk, whole_file};
-use super::known::check_label;
 use super::label::{
     KEY_RULE, LabelKey, LabelSet, LabelSubject, LabelValue, NamePattern, VALUE_RULE,
 };
+use super::label_settings::check_label;
 use super::lint::warn_selectors;
 use super::model::{
     DEFAULT_ORDER, DocumentKey, LabelRule, PublishedSource, Selector, SelectorTarget,
--- a/crates/coordination/src/configuration/select.rs
+++ b/crates/coordination/src/configuration/select.rs
@@ -7,8 +7,8 @@
 
 use super::expression::Mismatch;
 use super::facts::{RequestFacts, RequestTarget, ServerFacts};
-use super::known::{KnownSettings, ServiceState};
 use super::label::LabelSet;
+use super::label_settings::{LabelSettings, ServiceState};
 use super::model::{Selector, SelectorTarget};
 use super::table::{Configuration, SelectorKey, TargetName};
 use crate::base::{AdapterName, Revision, SelectorName};
@@ -63,7 +63,7 @@
     /// All labels of the request.
     pub labels: LabelSet,
     /// Limits, priority and deadline of the request: its own labels before its customer's.
-    pub settings: KnownSettings,
+    pub settings: LabelSettings,
 }
 
 /// A request that no selector serves.
@@ -271,7 +271,7 @@
         facts: &ServerFacts,
         labels: &LabelSet,
     ) -> Result<(), AllowMismatch> {
-        if KnownSettings::of(labels).state == ServiceState::OutOfService {
+        if LabelSettings::of(labels).state == ServiceState::OutOfService {
             return Err(AllowMismatch::OutOfService);
         }
         self.offers_target(facts)?;
--- a/crates/coordination/src/configuration/table.rs
+++ b/crates/coordination/src/configuration/table.rs
@@ -8,8 +8,8 @@
 use super::canonical::{CanonicalText, ContentDigest};
 use super::constraint::MergedConstraint;
 use super::facts::{HostFacts, RequestFacts, ServerFacts};
-use super::known::KnownSettings;
 use super::label::{LabelKey, LabelSet, LabelSubject};
+use super::label_settings::LabelSettings;
 use super::model::{LabelRule, PublishedSource, Selector, SelectorTarget};
 use super::parse::ParsedConfiguration;
 use crate::base::{CustomerName, Revision};
@@ -128,8 +128,8 @@
     }
 
     /// Well-known labels of a customer: limits, weight, priority, deadline.
-    pub fn customer_settings(&self, customer: &CustomerName) -> KnownSettings {
-        KnownSettings::of(&self.customer_labels(customer))
+    pub fn customer_settings(&self, customer: &CustomerName) -> LabelSettings {
+        LabelSettings::of(&self.customer_labels(customer))
     }
 
     /// All labels of a backend server: what it announced, and the operators' labels.
@@ -141,8 +141,8 @@
     }
 
     /// Well-known labels of a backend server: limits, weight, service state.
-    pub fn server_settings(&self, facts: &ServerFacts) -> KnownSettings {
-        KnownSettings::of(&self.server_labels(facts))
+    pub fn server_settings(&self, facts: &ServerFacts) -> LabelSettings {
+        LabelSettings::of(&self.server_labels(facts))
     }
 
     /// All labels of a host.
@@ -168,8 +168,8 @@
     }
 
     /// Well-known settings of a request: its own labels before those of its customer.
-    pub fn request_settings(&self, facts: &RequestFacts, labels: &LabelSet) -> KnownSettings {
-        KnownSettings::of(labels).or(&self.customer_settings(&facts.customer))
+    pub fn request_settings(&self, facts: &RequestFacts, labels: &LabelSet) -> LabelSettings {
+        LabelSettings::of(labels).or(&self.customer_settings(&facts.customer))
     }
 
     /// Labels by the rules that fit; the more specific rule goes over the less specific one.
--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::{CustomerName, MonotonicTime, RequestId};
-use pollendrift_coordination::configuration::KnownSettings;
+use pollendrift_coordination::configuration::LabelSettings;
 use pollendrift_coordination::limits::{
     AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionTable, AdmissionVerdict,
     CustomerLimits, LimitSettings, RefusalReason, RequestPriority, RequestRefusal, TicketKey,
@@ -29,7 +29,7 @@
     /// Whose request it is.
     pub customer: &'request CustomerName,
     /// Limits and priority that labels set.
-    pub settings: &'request KnownSettings,
+    pub settings: &'request LabelSettings,
     /// Tokens of the prompt and of the expected answer; 0 for a call of a plain service.
     pub tokens: u64,
     /// Time by which it must have ended.
@@ -212,7 +212,7 @@
     }
 
     /// Labels limit a customer at all entries together; each entry takes its part.
-    fn limits(&self, settings: &KnownSettings) -> CustomerLimits {
+    fn limits(&self, settings: &LabelSettings) -> CustomerLimits {
         let part = |total: Option<u64>, default: u32| match total {
             Some(total) => u32::try_from(total)
                 .unwrap_or(u32::MAX)
@@ -331,7 +331,7 @@
     use std::time::Duration;
 
     use pollendrift_coordination::base::CustomerName;
-    use pollendrift_coordination::configuration::KnownSettings;
+    use pollendrift_coordination::configuration::LabelSettings;
     use pollendrift_coordination::limits::LimitSettings;
 
     use super::{AdmissionGate, GateBounds, GateRequest, GateStatus};
@@ -349,7 +349,7 @@
 
     fn request<'request>(
         customer: &'request CustomerName,
-        settings: &'request KnownSettings,
+        settings: &'request LabelSettings,
     ) -> GateRequest<'request> {
         GateRequest {
             customer,
@@ -376,7 +376,7 @@
     async fn callers_that_go_away_leave_their_room() {
         let gate = gate();
         let customer = CustomerName::from("federation");
-        let settings = KnownSettings::default();
+        let settings = LabelSettings::default();
         let running = gate.admit(request(&customer, &settings)).await.unwrap();
         {
             let mut waiting = std::pin::pin!(gate.admit(request(&customer, &settings)));
