--- a/crates/coordination/src/configuration/canonical.rs
+++ b/crates/coordination/src/configuration/canonical.rs
@@ -208,7 +208,7 @@
 ///
 /// A source of 1,400 routes is half a megabyte in one scalar, which every host reads at each change; as
 /// one JSON string it needs no YAML reader, which looks at each character several times.
-pub(super) fn read_written_source(text: &str) -> Option<PublishedSource> {
+pub(super) fn parse_canonical_source(text: &str) -> Option<PublishedSource> {
     let rest = text.strip_prefix("kind: source\nversion: ")?;
     let (version, rest) = rest.split_once('\n')?;
     let quoted = rest.strip_prefix("text: ")?.strip_suffix('\n')?;
--- a/crates/coordination/src/configuration/checked.rs
+++ b/crates/coordination/src/configuration/checked.rs
@@ -47,11 +47,11 @@
 
     pub(super) fn source(source: PublishedSource) -> Self {
         let canonical = Arc::from(write_source(&source));
-        Self::written_source(source, canonical)
+        Self::canonical_source(source, canonical)
     }
 
     /// A source that was read from its canonical text.
-    pub(super) fn written_source(source: PublishedSource, canonical: Arc<str>) -> Self {
+    pub(super) fn canonical_source(source: PublishedSource, canonical: Arc<str>) -> Self {
         Self {
             key: DocumentKey::Source,
             canonical,
--- a/crates/coordination/src/configuration/document.rs
+++ b/crates/coordination/src/configuration/document.rs
@@ -23,7 +23,7 @@
 
 /// A node and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct PlacedNode {
+pub(super) struct LocatedNode {
     pub(super) place: Place,
     pub(super) value: NodeValue,
 }
@@ -33,16 +33,16 @@
 pub(super) enum NodeValue {
     Empty,
     Text(String),
-    List(Vec<PlacedNode>),
-    Map(Vec<PlacedEntry>),
+    List(Vec<LocatedNode>),
+    Map(Vec<LocatedEntry>),
 }
 
 /// One key of a map with its value; repeated keys are all kept.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct PlacedEntry {
+pub(super) struct LocatedEntry {
     pub(super) key: String,
     pub(super) key_place: Place,
-    pub(super) node: PlacedNode,
+    pub(super) node: LocatedNode,
 }
 
 impl NodeValue {
@@ -62,7 +62,7 @@
     file: &Arc<str>,
     chunk: TextChunk<'_>,
     findings: &mut FindingList,
-) -> Vec<PlacedNode> {
+) -> Vec<LocatedNode> {
     let reader = NodeReader { file, chunk };
     let parsed: Result<Vec<Spanned<RawNode>>, _> =
         serde_saphyr::from_multiple_with_options(chunk.text, read_options());
@@ -132,7 +132,7 @@
         }
     }
 
-    fn node(&self, node: Spanned<RawNode>) -> PlacedNode {
+    fn node(&self, node: Spanned<RawNode>) -> LocatedNode {
         let value = match node.value {
             RawNode::Empty => NodeValue::Empty,
             RawNode::Text(text) => NodeValue::Text(text),
@@ -144,14 +144,14 @@
                 NodeValue::Map(entries.into_iter().map(|entry| self.entry(entry)).collect())
             }
         };
-        PlacedNode {
+        LocatedNode {
             place: self.place(&node.referenced),
             value,
         }
     }
 
-    fn entry(&self, entry: RawEntry) -> PlacedEntry {
-        PlacedEntry {
+    fn entry(&self, entry: RawEntry) -> LocatedEntry {
+        LocatedEntry {
             key_place: self.place(&entry.key.referenced),
             key: entry.key.value,
             node: self.node(entry.node),
--- a/crates/coordination/src/configuration/parse.rs
+++ b/crates/coordination/src/configuration/parse.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use super::canonical::{CanonicalText, read_written_source};
+use super::canonical::{CanonicalText, parse_canonical_source};
 use super::checked::{CachedDocument, CheckedDocument, DocumentCache, DocumentContent};
 use super::chunk::{TextChunk, split_documents};
-use super::document::{MAX_DOCUMENTS, MAX_TEXT_BYTES, PlacedNode, read_chunk, whole_file};
+use super::document::{LocatedNode, MAX_DOCUMENTS, MAX_TEXT_BYTES, read_chunk, whole_file};
 use super::label::{
     KEY_RULE, LabelKey, LabelSet, LabelSubject, LabelValue, NamePattern, VALUE_RULE,
 };
@@ -16,7 +16,7 @@
     DEFAULT_ORDER, DocumentKey, LabelRule, PublishedSource, Selector, SelectorTarget,
 };
 use super::parse_expression::read_expression;
-use super::reader::{FieldReader, PlacedText};
+use super::reader::{FieldReader, LocatedText};
 use crate::base::{FindingList, Place};
 use crate::routes::SourceVersion;
 
@@ -144,13 +144,13 @@
 
     fn read_chunk(&mut self, file: &Arc<str>, chunk: TextChunk<'_>, cache: &DocumentCache) {
         // Sources are not cached: to look one up costs as much as to read it.
-        if let Some(source) = read_written_source(chunk.text) {
+        if let Some(source) = parse_canonical_source(chunk.text) {
             let place = Place {
                 file: file.clone(),
                 line: chunk.first_line,
                 column: 1,
             };
-            let document = CheckedDocument::written_source(source, chunk.text.into());
+            let document = CheckedDocument::canonical_source(source, chunk.text.into());
             self.add(Arc::new(document), place);
             return;
         }
@@ -200,9 +200,9 @@
         self.document_places.push(place);
     }
 
-    fn read_document(&mut self, node: PlacedNode) -> Option<CheckedDocument> {
+    fn read_document(&mut self, node: LocatedNode) -> Option<CheckedDocument> {
         let mut reader = FieldReader::open(node, "the document", &mut self.findings)?;
-        let kind = reader.need_text("kind", KIND_RULE, &mut self.findings)?;
+        let kind = reader.require_text("kind", KIND_RULE, &mut self.findings)?;
         match kind.text.as_str() {
             "labels" => self.read_labels(reader).map(CheckedDocument::rule),
             "selector" => self.read_selector(reader).map(CheckedDocument::selector),
@@ -243,7 +243,7 @@
     }
 
     fn read_subject(&mut self, reader: &mut FieldReader) -> Option<LabelSubject> {
-        let text = reader.need_text("on", LabelSubject::NAMES, &mut self.findings)?;
+        let text = reader.require_text("on", LabelSubject::NAMES, &mut self.findings)?;
         let subject = LabelSubject::from_name(&text.text);
         if subject.is_none() {
             let message = format!("labels can't be on {}", text.text);
@@ -299,7 +299,8 @@
     }
 
     fn read_selector(&mut self, mut reader: FieldReader) -> Option<Selector> {
-        let name = reader.need_text("name", "a name, unique among selectors", &mut self.findings);
+        let name =
+            reader.require_text("name", "a name, unique among selectors", &mut self.findings);
         let order = self.read_order(&mut reader);
         let target = self.read_target(&mut reader);
         let serves = read_expression(reader.take("for"), &mut self.findings);
@@ -316,8 +317,8 @@
 
     fn read_source(&mut self, mut reader: FieldReader) -> Option<PublishedSource> {
         let expected = "a whole number";
-        let version = reader.need_text("version", expected, &mut self.findings);
-        let text = reader.need_text("text", "the source as it was sent", &mut self.findings);
+        let version = reader.require_text("version", expected, &mut self.findings);
+        let text = reader.require_text("text", "the source as it was sent", &mut self.findings);
         reader.close(&mut self.findings);
         let version = version?;
         let Ok(number) = version.text.parse() else {
@@ -383,7 +384,7 @@
         }
     }
 
-    fn checked_name(&mut self, text: PlacedText) -> Option<String> {
+    fn checked_name(&mut self, text: LocatedText) -> Option<String> {
         if LabelValue::new(&text.text).is_some() {
             return Some(text.text);
         }
@@ -412,7 +413,7 @@
 }
 
 /// A label as written.
-pub(super) struct PlacedLabel {
+pub(super) struct LocatedLabel {
     pub(super) place: Place,
     pub(super) key: LabelKey,
     pub(super) value: LabelValue,
@@ -420,16 +421,16 @@
 
 /// Reads a map of labels; each entry that is no label is a finding.
 pub(super) fn read_pairs(
-    node: PlacedNode,
+    node: LocatedNode,
     what: &str,
     findings: &mut FindingList,
-) -> Vec<PlacedLabel> {
+) -> Vec<LocatedLabel> {
     let super::document::NodeValue::Map(entries) = node.value else {
         let message = format!("{what} is {}", node.value.kind());
         findings.error(node.place, message, "a map of keys and values");
         return Vec::new();
     };
-    let entries = super::reader::without_repeats(entries, findings);
+    let entries = super::reader::without_duplicates(entries, findings);
     let mut labels = Vec::with_capacity(entries.len());
     for entry in entries {
         let key = LabelKey::new(&entry.key);
@@ -446,7 +447,7 @@
             findings.error(text.place.clone(), message, VALUE_RULE);
         }
         if let (Some(key), Some(value)) = (key, value) {
-            labels.push(PlacedLabel {
+            labels.push(LocatedLabel {
                 place: text.place,
                 key,
                 value,
--- a/crates/coordination/src/configuration/parse_expression.rs
+++ b/crates/coordination/src/configuration/parse_expression.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use super::document::{NodeValue, PlacedEntry, PlacedNode};
+use super::document::{LocatedEntry, LocatedNode, NodeValue};
 use super::expression::{LabelExpression, RequirementTest};
 use super::label::{KEY_RULE, LabelKey, LabelValue, VALUE_RULE};
 use super::parse::read_pairs;
-use super::reader::{FieldReader, PlacedText, texts_of};
+use super::reader::{FieldReader, LocatedText, texts_of};
 use crate::base::{FindingList, Place};
 
 /// Most requirements in one expression.
@@ -16,7 +16,7 @@
 
 /// Reads an expression; an absent one matches everything.
 pub(super) fn read_expression(
-    entry: Option<PlacedEntry>,
+    entry: Option<LocatedEntry>,
     findings: &mut FindingList,
 ) -> LabelExpression {
     let mut expression = LabelExpression::default();
@@ -46,7 +46,7 @@
 }
 
 fn read_requirements(
-    node: PlacedNode,
+    node: LocatedNode,
     expression: &mut LabelExpression,
     findings: &mut FindingList,
 ) {
@@ -63,12 +63,12 @@
 }
 
 fn read_requirement(
-    node: PlacedNode,
+    node: LocatedNode,
     findings: &mut FindingList,
 ) -> Option<(LabelKey, RequirementTest)> {
     let mut reader = FieldReader::open(node, "the requirement", findings)?;
-    let key = reader.need_text("key", "a label key", findings);
-    let operator = reader.need_text("operator", RequirementTest::NAMES, findings);
+    let key = reader.require_text("key", "a label key", findings);
+    let operator = reader.require_text("operator", RequirementTest::NAMES, findings);
     let values = reader
         .take("values")
         .map(|entry| (entry.key_place, texts_of(entry.node, "values", findings)));
@@ -78,7 +78,7 @@
     Some((key?, test?))
 }
 
-fn checked_key(text: PlacedText, findings: &mut FindingList) -> Option<LabelKey> {
+fn checked_key(text: LocatedText, findings: &mut FindingList) -> Option<LabelKey> {
     let key = LabelKey::new(&text.text);
     if key.is_none() {
         let message = format!("{} is no label key", text.text);
@@ -88,8 +88,8 @@
 }
 
 fn read_test(
-    operator: PlacedText,
-    values: Option<(Place, Option<Vec<PlacedText>>)>,
+    operator: LocatedText,
+    values: Option<(Place, Option<Vec<LocatedText>>)>,
     findings: &mut FindingList,
 ) -> Option<RequirementTest> {
     let place = operator.place;
@@ -117,7 +117,7 @@
 
 fn need_values(
     place: Place,
-    values: Option<(Place, Option<Vec<PlacedText>>)>,
+    values: Option<(Place, Option<Vec<LocatedText>>)>,
     findings: &mut FindingList,
 ) -> Option<BTreeSet<LabelValue>> {
     let expected = format!("values: a list of 1 to {MAX_VALUES} label values");
@@ -144,7 +144,7 @@
 
 fn need_number(
     place: Place,
-    values: Option<(Place, Option<Vec<PlacedText>>)>,
+    values: Option<(Place, Option<Vec<LocatedText>>)>,
     findings: &mut FindingList,
 ) -> Option<i64> {
     let expected = "values: a list of one whole number";
--- a/crates/coordination/src/configuration/reader.rs
+++ b/crates/coordination/src/configuration/reader.rs
@@ -2,27 +2,27 @@
 
 use std::collections::BTreeMap;
 
-use super::document::{NodeValue, PlacedEntry, PlacedNode};
+use super::document::{LocatedEntry, LocatedNode, NodeValue};
 use crate::base::{FindingList, Place};
 
 /// The fields of one map, taken one by one.
 pub(super) struct FieldReader {
     place: Place,
-    entries: Vec<PlacedEntry>,
+    entries: Vec<LocatedEntry>,
     /// Keys asked for so far; what an unknown key could have been.
     accepted: Vec<&'static str>,
 }
 
 /// A scalar and its place.
 #[derive(Clone, Debug)]
-pub(super) struct PlacedText {
+pub(super) struct LocatedText {
     pub(super) place: Place,
     pub(super) text: String,
 }
 
 impl FieldReader {
     /// A reader of `node`, or a finding that says what it is instead of a map.
-    pub(super) fn open(node: PlacedNode, what: &str, findings: &mut FindingList) -> Option<Self> {
+    pub(super) fn open(node: LocatedNode, what: &str, findings: &mut FindingList) -> Option<Self> {
         let NodeValue::Map(entries) = node.value else {
             let message = format!("{what} is {}", node.value.kind());
             findings.error(node.place, message, "a map of keys and values");
@@ -30,7 +30,7 @@
         };
         Some(Self {
             place: node.place,
-            entries: without_repeats(entries, findings),
+            entries: without_duplicates(entries, findings),
             accepted: Vec::new(),
         })
     }
@@ -41,7 +41,7 @@
     }
 
     /// Takes a field.
-    pub(super) fn take(&mut self, key: &'static str) -> Option<PlacedEntry> {
+    pub(super) fn take(&mut self, key: &'static str) -> Option<LocatedEntry> {
         self.accepted.push(key);
         let index = self.entries.iter().position(|entry| entry.key == key)?;
         Some(self.entries.remove(index))
@@ -52,18 +52,18 @@
         &mut self,
         key: &'static str,
         findings: &mut FindingList,
-    ) -> Option<PlacedText> {
+    ) -> Option<LocatedText> {
         let entry = self.take(key)?;
         text_of(entry.node, key, findings)
     }
 
     /// Takes a scalar that must be there.
-    pub(super) fn need_text(
+    pub(super) fn require_text(
         &mut self,
         key: &'static str,
         expected: &str,
         findings: &mut FindingList,
-    ) -> Option<PlacedText> {
+    ) -> Option<LocatedText> {
         if self.entries.iter().any(|entry| entry.key == key) {
             return self.take_text(key, findings);
         }
@@ -83,11 +83,11 @@
 }
 
 /// The entries of a map without repeated keys, each of which is a finding.
-pub(super) fn without_repeats(
-    entries: Vec<PlacedEntry>,
+pub(super) fn without_duplicates(
+    entries: Vec<LocatedEntry>,
     findings: &mut FindingList,
-) -> Vec<PlacedEntry> {
-    let mut kept: Vec<PlacedEntry> = Vec::with_capacity(entries.len());
+) -> Vec<LocatedEntry> {
+    let mut kept: Vec<LocatedEntry> = Vec::with_capacity(entries.len());
     let mut first_lines = BTreeMap::new();
     for entry in entries {
         let Some(line) = first_lines.get(&entry.key) else {
@@ -103,12 +103,12 @@
 
 /// The scalar in `node`, or a finding.
 pub(super) fn text_of(
-    node: PlacedNode,
+    node: LocatedNode,
     what: &str,
     findings: &mut FindingList,
-) -> Option<PlacedText> {
+) -> Option<LocatedText> {
     match node.value {
-        NodeValue::Text(text) => Some(PlacedText {
+        NodeValue::Text(text) => Some(LocatedText {
             place: node.place,
             text,
         }),
@@ -122,10 +122,10 @@
 
 /// The scalars of a list, or findings for each that is none.
 pub(super) fn texts_of(
-    node: PlacedNode,
+    node: LocatedNode,
     what: &str,
     findings: &mut FindingList,
-) -> Option<Vec<PlacedText>> {
+) -> Option<Vec<LocatedText>> {
     let NodeValue::List(nodes) = node.value else {
         let message = format!("{what} is {}", node.value.kind());
         findings.error(node.place, message, "a list of plain values");
