--- a/crates/coordination/benches/configuration.rs
+++ b/crates/coordination/benches/configuration.rs
@@ -232,7 +232,7 @@
             return;
         };
         for delta in first {
-            let _ = follower.take_delta(delta);
+            let _ = follower.apply_delta(delta);
         }
         let text = log.canonical().text();
         let changed: usize = last
@@ -249,12 +249,12 @@
         group.bench_function(BenchmarkId::new("delta", customers), |bencher| {
             bencher.iter_batched(
                 || follower.clone(),
-                |mut follower| follower.take_delta(last),
+                |mut follower| follower.apply_delta(last),
                 BatchSize::LargeInput,
             );
         });
         group.bench_function(BenchmarkId::new("whole", customers), |bencher| {
-            bencher.iter(|| FollowedConfiguration::default().take_whole(Revision(2), &text));
+            bencher.iter(|| FollowedConfiguration::default().apply_text(Revision(2), &text));
         });
     }
     group.finish();
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -38,7 +38,7 @@
 pub use document::{MAX_DEPTH, MAX_DOCUMENTS, MAX_TEXT_BYTES};
 pub use expression::{LabelExpression, Mismatch, Requirement, RequirementTest};
 pub use facts::{HostFacts, RequestFacts, RequestTarget, ServerFacts};
-pub use followed::{FollowFailure, FollowedConfiguration};
+pub use followed::{ApplyError, FollowedConfiguration};
 pub use interface::{
     ChangeBody, ChangeReply, ConfigurationView, DaemonRevision, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, InForceView, MAX_HISTORY_PAGE,
--- a/crates/coordination/src/configuration/followed.rs
+++ b/crates/coordination/src/configuration/followed.rs
@@ -13,7 +13,7 @@
 
 /// Why a delta or text was not taken; the copy is unchanged and the whole is to be pulled.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum FollowFailure {
+pub enum ApplyError {
     /// The delta starts from another revision.
     #[display("the delta starts from revision {from}, not {held}")]
     OtherStart {
@@ -69,10 +69,10 @@
     pub fn adopt(
         &mut self,
         configuration: Arc<Configuration>,
-    ) -> Result<Arc<Configuration>, FollowFailure> {
+    ) -> Result<Arc<Configuration>, ApplyError> {
         let (held, offered) = (self.current.revision(), configuration.revision());
         if offered < held {
-            return Err(FollowFailure::Older { held, offered });
+            return Err(ApplyError::Older { held, offered });
         }
         self.current = configuration;
         Ok(self.current.clone())
@@ -82,15 +82,15 @@
     ///
     /// # Errors
     /// Why it was not taken.
-    pub fn take_whole(
+    pub fn apply_text(
         &mut self,
         revision: Revision,
         text: &str,
-    ) -> Result<Arc<Configuration>, FollowFailure> {
+    ) -> Result<Arc<Configuration>, ApplyError> {
         let held = self.current.revision();
         if revision < held {
             let offered = revision;
-            return Err(FollowFailure::Older { held, offered });
+            return Err(ApplyError::Older { held, offered });
         }
         self.take(revision, text)
     }
@@ -99,34 +99,30 @@
     ///
     /// # Errors
     /// Why it was not taken.
-    pub fn take_delta(
+    pub fn apply_delta(
         &mut self,
         delta: &ConfigurationDelta,
-    ) -> Result<Arc<Configuration>, FollowFailure> {
+    ) -> Result<Arc<Configuration>, ApplyError> {
         let held = self.current.revision();
         let (from, offered) = (delta.from, delta.to);
         if offered < held {
-            return Err(FollowFailure::Older { held, offered });
+            return Err(ApplyError::Older { held, offered });
         }
         if from != held {
-            return Err(FollowFailure::OtherStart { held, from });
+            return Err(ApplyError::OtherStart { held, from });
         }
         let mut canonical: CanonicalText = self.current.canonical().clone();
         canonical.set(&delta.changes);
         if canonical.digest() != delta.digest {
-            return Err(FollowFailure::OtherContent { offered });
+            return Err(ApplyError::OtherContent { offered });
         }
         self.take(offered, &canonical.text())
     }
 
-    fn take(
-        &mut self,
-        revision: Revision,
-        text: &str,
-    ) -> Result<Arc<Configuration>, FollowFailure> {
+    fn take(&mut self, revision: Revision, text: &str) -> Result<Arc<Configuration>, ApplyError> {
         let name = format!("revision {revision}");
         let parsed = ParsedConfiguration::parse_after(&name, text, &mut self.cache);
-        let parsed = parsed.map_err(|findings| FollowFailure::NotReadable {
+        let parsed = parsed.map_err(|findings| ApplyError::NotReadable {
             offered: revision,
             findings,
         })?;
--- a/crates/coordination/tests/configuration_change.rs
+++ b/crates/coordination/tests/configuration_change.rs
@@ -202,19 +202,19 @@
         );
         log.decide(&request, WallTime(0), NOW);
         steady
-            .take_delta(&log.delta_since(Revision(based_on)).unwrap())
+            .apply_delta(&log.delta_since(Revision(based_on)).unwrap())
             .unwrap();
         held.push(steady.clone());
     }
     for (from, mut follower) in held.into_iter().enumerate() {
         let delta = log.delta_since(Revision(from as u64)).unwrap();
-        follower.take_delta(&delta).unwrap();
+        follower.apply_delta(&delta).unwrap();
         assert_eq!(follower.current().canonical(), log.canonical());
         assert_eq!(follower.current().revision(), Revision(4));
     }
     let mut whole = FollowedConfiguration::default();
     whole
-        .take_whole(Revision(4), &log.canonical().text())
+        .apply_text(Revision(4), &log.canonical().text())
         .unwrap();
     assert_eq!(whole.current().digest(), steady.current().digest());
 
@@ -223,10 +223,10 @@
     altered.to = Revision(5);
     altered.changes[0].text = None;
     let refusals = [
-        steady.take_delta(&log.delta_since(Revision(3)).unwrap()),
-        steady.take_delta(&altered),
-        steady.take_whole(Revision(3), ""),
-        steady.take_whole(Revision(5), "kind: pipeline\n"),
+        steady.apply_delta(&log.delta_since(Revision(3)).unwrap()),
+        steady.apply_delta(&altered),
+        steady.apply_text(Revision(3), ""),
+        steady.apply_text(Revision(5), "kind: pipeline\n"),
     ];
     let refusals: Vec<String> = refusals
         .map(|refusal| refusal.unwrap_err().to_string())
@@ -350,7 +350,7 @@
         let delta = log.delta_since(before).unwrap();
         let mut frame = Vec::new();
         ciborium::into_writer(&delta, &mut frame).unwrap();
-        follower.take_delta(&delta).unwrap();
+        follower.apply_delta(&delta).unwrap();
         let is_equal = follower.current().canonical().text() == text;
         let size = if frame.len() < 2_000 {
             "below 2 kB"
@@ -465,8 +465,8 @@
             assert_eq!(texts[0], texts[1], "revision {revision}");
             let mut follower = FollowedConfiguration::default();
             if let (Some(text), Some(delta)) = (&texts[0], edited.delta_since(revision)) {
-                follower.take_whole(revision, text).unwrap();
-                follower.take_delta(&delta).unwrap();
+                follower.apply_text(revision, text).unwrap();
+                follower.apply_delta(&delta).unwrap();
                 assert_eq!(follower.current().canonical(), edited.canonical());
             }
         }
--- a/crates/daemon/examples/feed_measure.rs
+++ b/crates/daemon/examples/feed_measure.rs
@@ -120,7 +120,7 @@
     // Apart from the wholes, whose freed memory would be tidied up at the deltas' cost.
     let mut follower = FollowedConfiguration::default();
     follower
-        .take_whole(log.revision(), &log.canonical().text())
+        .apply_text(log.revision(), &log.canonical().text())
         .expect("whole is taken");
     for number in CHANGES + 1..=2 * CHANGES {
         change(&mut log, number);
@@ -133,7 +133,7 @@
             let ConfigurationContent::Delta(delta) = content else {
                 panic!("another content");
             };
-            follower.take_delta(&delta).expect("fits");
+            follower.apply_delta(&delta).expect("fits");
         };
         follow(&mut delta, revision, make_delta, take_delta);
     }
--- a/crates/daemon/src/feed/copy.rs
+++ b/crates/daemon/src/feed/copy.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::base::Revision;
 use pollendrift_coordination::configuration::{
-    Configuration, ConfigurationDelta, DocumentChange, FollowFailure, FollowedConfiguration,
+    ApplyError, Configuration, ConfigurationDelta, DocumentChange, FollowedConfiguration,
 };
 
 use crate::peers::{ConfigurationContent, FrameBytes};
@@ -59,7 +59,7 @@
             OfferedContent::Sent(ConfigurationContent::Unchanged) => return CopyVerdict::NotNeeded,
             OfferedContent::Sent(ConfigurationContent::Whole(text)) => {
                 match std::str::from_utf8(&text.0) {
-                    Ok(text) => self.held.take_whole(revision, text),
+                    Ok(text) => self.held.apply_text(revision, text),
                     Err(error) => return CopyVerdict::Refused(error.to_string()),
                 }
             }
@@ -81,11 +81,11 @@
         if delta.from < self.held.current().revision() {
             return CopyVerdict::Crossed;
         }
-        let taken = self.held.take_delta(delta);
+        let taken = self.held.apply_delta(delta);
         self.verdict(taken)
     }
 
-    fn verdict(&mut self, taken: Result<Arc<Configuration>, FollowFailure>) -> CopyVerdict {
+    fn verdict(&mut self, taken: Result<Arc<Configuration>, ApplyError>) -> CopyVerdict {
         match taken {
             Ok(configuration) => {
                 self.begun = true;
--- a/crates/standins/examples/experiment/changes.rs
+++ b/crates/standins/examples/experiment/changes.rs
@@ -25,7 +25,7 @@
         let mut log = ChangeLog::new(ChangeRetention::default());
         accept(&mut log, size, 5);
         let mut follower = FollowedConfiguration::default();
-        let first = follower.take_whole(log.revision(), &log.canonical().text());
+        let first = follower.apply_text(log.revision(), &log.canonical().text());
         if first.is_err() {
             fail("a follower can't read an accepted configuration");
         }
@@ -44,10 +44,10 @@
         );
         take_whole.add(
             size,
-            micros_per_call(|| FollowedConfiguration::default().take_whole(Revision(2), &text)),
+            micros_per_call(|| FollowedConfiguration::default().apply_text(Revision(2), &text)),
         );
         let cloning = micros_per_call(|| follower.clone());
-        let taking = micros_per_call(|| follower.clone().take_delta(&delta));
+        let taking = micros_per_call(|| follower.clone().apply_delta(&delta));
         take_delta.add(size, (taking - cloning).max(0.0));
     }
     vec![whole_bytes, delta_bytes, check, take_whole, take_delta]
--- a/crates/standins/examples/experiment/memory.rs
+++ b/crates/standins/examples/experiment/memory.rs
@@ -55,7 +55,7 @@
 fn follow(customers: usize) -> FollowedConfiguration {
     let mut follower = FollowedConfiguration::default();
     if follower
-        .take_whole(Revision(1), &customers_text(customers, 5))
+        .apply_text(Revision(1), &customers_text(customers, 5))
         .is_err()
     {
         fail("a follower can't read the experiment's configuration");
