--- a/crates/coordination/src/routes.rs
+++ b/crates/coordination/src/routes.rs
@@ -4,12 +4,12 @@
 //! their own. [`RouteTable`] is the document laid out for requests.
 
 mod document;
-mod editions;
+mod generations;
 mod table;
 
 pub use document::{
     AcceleratorSpec, CallerBounds, CustomerKeys, EngineSpec, Route, RouteDocument, RouteKind,
-    ServiceSpec, SourceVersion, SplitPart,
+    ServiceSpec, SourceVersion, WeightedService,
 };
-pub use editions::{SpecEdition, SpecEditions};
+pub use generations::{SpecGeneration, SpecGenerations};
 pub use table::{RouteTable, TableError};
--- a/crates/coordination/src/routes/document.rs
+++ b/crates/coordination/src/routes/document.rs
@@ -40,7 +40,7 @@
 
 /// A part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SplitPart {
+pub struct WeightedService {
     /// Service that takes the part.
     pub service: ServiceName,
     /// Share relative to the other parts.
@@ -67,7 +67,7 @@
     /// Rank; 0 goes first.
     pub priority: u8,
     /// Services that share its requests. Invariant: the weights add up to more than 0.
-    pub split: Vec<SplitPart>,
+    pub split: Vec<WeightedService>,
     /// Most servers that one attempt of a caller is sent to.
     pub max_attempts: u32,
     /// Whether no key is needed.
--- a/crates/coordination/src/routes/editions.rs
+++ b/crates/coordination/src/routes/generations.rs
@@ -9,7 +9,7 @@
 
 number_type!(
     /// Number of a specification; equal for equal specifications that follow each other.
-    SpecEdition(u64)
+    SpecGeneration(u64)
 );
 
 /// Editions of the specifications in force.
@@ -17,13 +17,13 @@
 /// Most changes of a document touch a few routes and no specification of a service. Told of all engines
 /// anew at each of them, a host worked out all its pipelines again, and its streams paused.
 #[derive(Clone, Debug, Default)]
-pub struct SpecEditions {
+pub struct SpecGenerations {
     version: Option<SourceVersion>,
-    editions: HashMap<ServiceName, (Arc<ServiceSpec>, SpecEdition)>,
-    last: SpecEdition,
+    editions: HashMap<ServiceName, (Arc<ServiceSpec>, SpecGeneration)>,
+    last: SpecGeneration,
 }
 
-impl SpecEditions {
+impl SpecGenerations {
     /// Follows the table in force; says whether it is another one than before.
     pub fn follow(&mut self, table: &RouteTable) -> bool {
         if self.version == Some(table.version()) {
@@ -44,11 +44,11 @@
     }
 
     /// Edition of a service's specification; `None` where it is not published.
-    pub fn get(&self, service: &ServiceName) -> Option<SpecEdition> {
+    pub fn get(&self, service: &ServiceName) -> Option<SpecGeneration> {
         self.editions.get(service).map(|(_, edition)| *edition)
     }
 
-    fn next(&mut self) -> SpecEdition {
+    fn next(&mut self) -> SpecGeneration {
         self.last = self.last.next();
         self.last
     }
--- a/crates/coordination/tests/routes_editions.rs
+++ b/crates/coordination/tests/routes_editions.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::routes::{
     CallerBounds, Route, RouteDocument, RouteKind, RouteTable, ServiceSpec, SourceVersion,
-    SpecEditions, SplitPart,
+    SpecGenerations, WeightedService,
 };
 
 fn service(name: &str, connections: u32) -> ServiceSpec {
@@ -25,7 +25,7 @@
         target: Duration::from_millis(100),
         pause_target: None,
         priority: 1,
-        split: vec![SplitPart {
+        split: vec![WeightedService {
             service: "x".into(),
             weight: 1,
         }],
@@ -81,7 +81,7 @@
             vec![service("x", 10), service("y", 20)],
         ),
     ];
-    let mut editions = SpecEditions::default();
+    let mut editions = SpecGenerations::default();
     let lines = changes.map(|(name, version, routes, services)| {
         let table = table(version, routes, services);
         let is_other = editions.follow(&table);
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -15,7 +15,7 @@
     DataCentreName, Incarnation, LayerRange, ModelName, MonotonicTime, SequenceNumber, ServerName,
 };
 use pollendrift_coordination::leases::WorkerLayers;
-use pollendrift_coordination::routes::{RouteTable, SpecEdition, SpecEditions};
+use pollendrift_coordination::routes::{RouteTable, SpecGeneration, SpecGenerations};
 use pollendrift_coordination::routing::{
     ByteRate, DegradedLinks, DegradedSettings, EngineFilter, EngineRecord, FleetPlanner, FlightKey,
     LinkFigures, LoadFigures, LoadReport, NoRoute, NoRouteReason, RoutePlan, RoutePlanner,
@@ -86,7 +86,7 @@
     layers: WorkerLayers,
     address: SocketAddr,
     /// Specification that its figures were made from.
-    edition: Option<SpecEdition>,
+    edition: Option<SpecGeneration>,
     /// How many times slower than its kind it is.
     slowness: u32,
 }
@@ -101,7 +101,7 @@
     /// Data centres with engines.
     centres: BTreeSet<DataCentreName>,
     /// Specifications that the planner's figures were made from.
-    editions: SpecEditions,
+    editions: SpecGenerations,
     sequence: u64,
 }
 
@@ -114,7 +114,7 @@
             data_centre,
             links: DegradedLinks::new(DegradedSettings::default()),
             centres: BTreeSet::new(),
-            editions: SpecEditions::default(),
+            editions: SpecGenerations::default(),
             sequence: 0,
         }
     }
