--- a/crates/coordination/src/following.rs
+++ b/crates/coordination/src/revision_follower.rs
@@ -44,7 +44,7 @@
 /// Why no configuration may be served.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum FollowGap {
+pub enum UnconfirmedRevision {
     /// No keeper has answered since this process started.
     #[display("no keeper has confirmed a configuration since this process started")]
     NeverConfirmed,
@@ -156,7 +156,7 @@
     }
 
     /// The keeper that is asked now.
-    pub fn followed(&self) -> Option<&HostName> {
+    pub fn followed_keeper(&self) -> Option<&HostName> {
         self.keeper()
     }
 
@@ -197,7 +197,7 @@
     /// Failure: operators change routes ten times a second, and a host takes each change for itself, a
     /// document of thousands of routes each time. Symptom: all its streams paused for as long as that
     /// went on. Changes within [`FollowSettings::spacing`] are taken together.
-    pub fn hear(&mut self, now: MonotonicTime, revision: Revision) {
+    pub fn observe(&mut self, now: MonotonicTime, revision: Revision) {
         self.heard = self.heard.max(Some(revision));
         if !self.is_behind() {
             return;
@@ -246,13 +246,13 @@
     ///
     /// # Errors
     /// The host must refuse new work: it may be cut off and not know of changes.
-    pub fn current(&self, now: MonotonicTime) -> Result<Revision, FollowGap> {
+    pub fn current(&self, now: MonotonicTime) -> Result<Revision, UnconfirmedRevision> {
         let (Some(held), Some(confirmed_at)) = (self.held, self.confirmed_at) else {
-            return Err(FollowGap::NeverConfirmed);
+            return Err(UnconfirmedRevision::NeverConfirmed);
         };
         let since = now.since(confirmed_at);
         if since >= self.settings.lease {
-            return Err(FollowGap::LeaseOver { held, since });
+            return Err(UnconfirmedRevision::LeaseOver { held, since });
         }
         Ok(held)
     }
--- a/crates/coordination/src/following/followers.rs
+++ b/crates/coordination/src/revision_follower/followers.rs
@@ -20,7 +20,7 @@
 
 impl FollowerTable {
     /// A host asked.
-    pub fn asked(&mut self, now: MonotonicTime, host: &HostName) {
+    pub fn record_question(&mut self, now: MonotonicTime, host: &HostName) {
         self.asked_at.insert(host.clone(), now);
     }
 
--- a/crates/coordination/src/following/tests.rs
+++ b/crates/coordination/src/revision_follower/tests.rs
@@ -4,7 +4,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{
-    AnswerVerdict, FollowGap, FollowSettings, FollowerTable, RevisionFollower, RevisionQuestion,
+    AnswerVerdict, FollowSettings, FollowerTable, RevisionFollower, RevisionQuestion,
+    UnconfirmedRevision,
 };
 use crate::base::{MonotonicTime, Revision};
 
@@ -52,7 +53,7 @@
     follower.answer(question.asked_at, Revision(1), true);
     assert_eq!(
         follower.current(at(3_000)),
-        Err(FollowGap::LeaseOver {
+        Err(UnconfirmedRevision::LeaseOver {
             held: Revision(1),
             since: Duration::from_secs(3)
         })
@@ -126,7 +127,7 @@
     follower.answer(first.asked_at, Revision(1), true);
     for now in (1_000..3_000).step_by(10) {
         let newest = Revision(1 + (now.min(2_500) - 1_000) / 60);
-        follower.hear(at(now), newest);
+        follower.observe(at(now), newest);
         if let Some(question) = follower.tick(at(now)) {
             follower.answer(question.asked_at, newest, true);
             taken.push(format!("{now}: {newest}"));
@@ -143,9 +144,9 @@
 #[test]
 fn a_host_follows_for_two_questions() {
     let mut table = FollowerTable::default();
-    table.asked(at(0), &"a".into());
-    table.asked(at(1_000), &"b".into());
-    table.asked(at(2_000), &"a".into());
+    table.record_question(at(0), &"a".into());
+    table.record_question(at(1_000), &"b".into());
+    table.record_question(at(2_000), &"a".into());
     let seen = [2_400, 3_499, 3_500, 4_500].map(|now| format!("{now}: {:?}", table.hosts(at(now))));
     insta::assert_snapshot!(seen.join("\n"), @r#"
     2400: [HostName("a"), HostName("b")]
@@ -239,7 +240,7 @@
     // The change before it was taken longer ago than changes are taken together.
     for now in (400..1_300).step_by(10) {
         if now < 600 || now == 1_000 {
-            follower.hear(at(now), Revision(2));
+            follower.observe(at(now), Revision(2));
         }
         if let Some(question) = follower.tick(at(now)) {
             seen.push(format!("{now}: asks {}", question.keeper));
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -13,7 +13,7 @@
 use pollendrift_coordination::base::{HostName, MonotonicTime, Revision};
 use pollendrift_coordination::configuration::Configuration;
 use pollendrift_coordination::evidence::{EvidenceEvent, RevisionInForce};
-use pollendrift_coordination::following::{
+use pollendrift_coordination::revision_follower::{
     AnswerVerdict, FollowSettings, RevisionFollower, RevisionQuestion,
 };
 use serde::Serialize;
@@ -172,7 +172,7 @@
 
     /// The keeper that this host asks; `None` before it knows one.
     pub(crate) fn followed(&self) -> Option<HostName> {
-        self.lock().follower.followed().cloned()
+        self.lock().follower.followed_keeper().cloned()
     }
 
     /// Revisions that hosts serve, this one included.
@@ -198,7 +198,7 @@
         };
         let heard_at = self.clock.now();
         let mut state = self.lock();
-        state.follower.hear(heard_at, revision);
+        state.follower.observe(heard_at, revision);
         let statement = PeerRevision {
             host: from.clone(),
             revision,
@@ -317,7 +317,7 @@
                     state.ask_whole = false;
                 }
                 AnswerVerdict::ContentMissing => {
-                    state.follower.hear(self.clock.now(), fresh.revision);
+                    state.follower.observe(self.clock.now(), fresh.revision);
                     self.wake.notify_one();
                 }
                 AnswerVerdict::Renewed | AnswerVerdict::Stale => {}
@@ -405,7 +405,7 @@
     while revisions.changed().await.is_ok() {
         let revision = *revisions.borrow_and_update();
         let now = feed.clock.now();
-        feed.lock().follower.hear(now, revision);
+        feed.lock().follower.observe(now, revision);
         feed.wake.notify_one();
     }
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -10,10 +10,10 @@
 use derive_more::{Display, Error, From};
 use pollendrift_coordination::base::{Incarnation, MonotonicTime};
 use pollendrift_coordination::configuration::Configuration;
-use pollendrift_coordination::following::FollowSettings;
 use pollendrift_coordination::replicated::{
     CommandAnswer, ProcessNonce, ReplicatedCommand, StartHost,
 };
+use pollendrift_coordination::revision_follower::FollowSettings;
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
--- a/crates/daemon/src/spread/audience.rs
+++ b/crates/daemon/src/spread/audience.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use pollendrift_coordination::base::{HostName, MonotonicTime};
-use pollendrift_coordination::following::FollowerTable;
 use pollendrift_coordination::leases::{HeardFrom, LeaseScope};
+use pollendrift_coordination::revision_follower::FollowerTable;
 
 use crate::feed::ConfigurationFeed;
 use crate::keeper::KeeperList;
@@ -45,7 +45,7 @@
 
     /// A host asked this one for the configuration.
     pub(super) fn followed_by(&self, now: MonotonicTime, host: &HostName) {
-        self.table().asked(now, host);
+        self.table().record_question(now, host);
     }
 
     /// Hosts that follow this keeper and are no keepers themselves.
