--- a/crates/coordination/src/hosts.rs
+++ b/crates/coordination/src/hosts.rs
@@ -29,7 +29,7 @@
 
 /// What one host tells another of a third.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HostNote {
+pub struct HostGossip {
     /// The host that is spoken of.
     pub host: HostName,
     /// Where it is.
@@ -57,7 +57,7 @@
 
 /// A change of the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HostNews {
+pub enum DirectoryChange {
     /// A host is new, or is reached elsewhere than before.
     Reach {
         /// The host.
@@ -97,18 +97,22 @@
     }
 
     /// A host spoke for itself. It moves to where it says it is.
-    pub fn hear(
+    pub fn observe(
         &mut self,
         now: MonotonicTime,
         host: &HostName,
         reach: HostReach,
-    ) -> Option<HostNews> {
+    ) -> Option<DirectoryChange> {
         self.merge(host, reach, now)
     }
 
     /// A host spoke of another. An older word than what is known changes nothing: a host that was
     /// replaced at another address would else be sent back to the old one.
-    pub fn hear_of(&mut self, now: MonotonicTime, note: &HostNote) -> Option<HostNews> {
+    pub fn observe_gossip(
+        &mut self,
+        now: MonotonicTime,
+        note: &HostGossip,
+    ) -> Option<DirectoryChange> {
         if note.age >= self.settings.retention {
             return None;
         }
@@ -128,7 +132,7 @@
     }
 
     /// Forgets hosts that were silent for the retention.
-    pub fn tick(&mut self, now: MonotonicTime) -> Vec<HostNews> {
+    pub fn tick(&mut self, now: MonotonicTime) -> Vec<DirectoryChange> {
         let retention = self.settings.retention;
         let silent = |entry: &DirectoryEntry| now.since(entry.heard_at) >= retention;
         let gone: Vec<HostName> = self
@@ -141,15 +145,15 @@
             self.entries.remove(host);
         }
         gone.into_iter()
-            .map(|host| HostNews::Forgotten { host })
+            .map(|host| DirectoryChange::Forgotten { host })
             .collect()
     }
 
     /// What to tell others: keepers only, since entries are linked to keepers and to nobody else.
-    pub fn notes(&self, now: MonotonicTime) -> Vec<HostNote> {
+    pub fn gossip(&self, now: MonotonicTime) -> Vec<HostGossip> {
         let keepers = self.entries.iter().filter(|(_, entry)| entry.reach.keeper);
         keepers
-            .map(|(host, entry)| HostNote {
+            .map(|(host, entry)| HostGossip {
                 host: host.clone(),
                 reach: entry.reach.clone(),
                 age: now.since(entry.heard_at),
@@ -170,13 +174,13 @@
     }
 
     /// Number of hosts that are no keepers: they take callers.
-    pub fn entries(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         let entries = self.entries.values().filter(|entry| !entry.reach.keeper);
         u32::try_from(entries.count()).unwrap_or(u32::MAX)
     }
 
     /// The host that is reached at `address`.
-    pub fn find(&self, address: SocketAddr) -> Option<&HostName> {
+    pub fn find_by_address(&self, address: SocketAddr) -> Option<&HostName> {
         let mut entries = self.entries.iter();
         let found = entries.find(|(_, entry)| entry.reach.address == address);
         found.map(|(host, _)| host)
@@ -205,7 +209,7 @@
         host: &HostName,
         reach: HostReach,
         heard_at: MonotonicTime,
-    ) -> Option<HostNews> {
+    ) -> Option<DirectoryChange> {
         if *host == self.own {
             return None;
         }
@@ -219,7 +223,7 @@
         if is_known {
             return None;
         }
-        Some(HostNews::Reach {
+        Some(DirectoryChange::Reach {
             host: host.clone(),
             reach,
         })
--- a/crates/coordination/tests/hosts_found.rs
+++ b/crates/coordination/tests/hosts_found.rs
@@ -6,7 +6,7 @@
 
 use pollendrift_coordination::agreement::{KeeperId, Membership};
 use pollendrift_coordination::base::{HostName, Incarnation, MonotonicTime};
-use pollendrift_coordination::hosts::{DirectorySettings, HostDirectory, HostNote, HostReach};
+use pollendrift_coordination::hosts::{DirectorySettings, HostDirectory, HostGossip, HostReach};
 
 fn at(seconds: u64) -> MonotonicTime {
     MonotonicTime::from_millis(seconds * 1_000)
@@ -21,8 +21,8 @@
     }
 }
 
-fn note(host: &str, port: u16, age: u64) -> HostNote {
-    HostNote {
+fn note(host: &str, port: u16, age: u64) -> HostGossip {
+    HostGossip {
         host: HostName::from(host),
         reach: reach(port, true),
         age: Duration::from_secs(age),
@@ -83,7 +83,7 @@
 // before. Gossip that was older than what is known would else send links back to the dead address.
 #[test]
 fn the_newer_word_on_a_host_wins_whatever_the_order() {
-    let steps: [(u64, HostNote); 5] = [
+    let steps: [(u64, HostGossip); 5] = [
         (1, note("k", 1, 0)),
         (2, note("k", 2, 0)),
         (3, note("k", 1, 2)),
@@ -97,7 +97,7 @@
             "{} at {} aged {:?}",
             note.host, note.reach.address, note.age
         );
-        let news = directory.hear_of(at(second), &note);
+        let news = directory.observe_gossip(at(second), &note);
         lines.push(format!("{second} s, {told}: {news:?}"));
     }
     insta::assert_snapshot!(lines.join("\n"), @r#"
@@ -114,14 +114,14 @@
 #[test]
 fn a_dead_host_is_forgotten_however_often_it_is_told_on() {
     let (mut left, mut right) = (directory(), directory());
-    left.hear(at(0), &HostName::from("dead"), reach(1, true));
+    left.observe(at(0), &HostName::from("dead"), reach(1, true));
     let mut forgotten = Vec::new();
     for second in 1..=40 {
-        for note in left.notes(at(second)) {
-            right.hear_of(at(second), &note);
+        for note in left.gossip(at(second)) {
+            right.observe_gossip(at(second), &note);
         }
-        for note in right.notes(at(second)) {
-            left.hear_of(at(second), &note);
+        for note in right.gossip(at(second)) {
+            left.observe_gossip(at(second), &note);
         }
         let gone = left.tick(at(second)).len() + right.tick(at(second)).len();
         if gone > 0 {
@@ -136,10 +136,10 @@
 #[test]
 fn only_hosts_that_take_callers_share_the_budget() {
     let mut directory = directory();
-    directory.hear(at(0), &HostName::from("k"), reach(1, true));
-    directory.hear(at(0), &HostName::from("e1"), reach(2, false));
-    directory.hear(at(20), &HostName::from("e2"), reach(3, false));
-    let before = directory.entries();
+    directory.observe(at(0), &HostName::from("k"), reach(1, true));
+    directory.observe(at(0), &HostName::from("e1"), reach(2, false));
+    directory.observe(at(20), &HostName::from("e2"), reach(3, false));
+    let before = directory.entry_count();
     directory.tick(at(30));
-    assert_eq!((before, directory.entries()), (2, 1));
+    assert_eq!((before, directory.entry_count()), (2, 1));
 }
--- a/crates/daemon/src/peers/discovery.rs
+++ b/crates/daemon/src/peers/discovery.rs
@@ -7,7 +7,7 @@
 
 use pollendrift_coordination::base::HostName;
 use pollendrift_coordination::hosts::{
-    DirectorySettings, HostDirectory, HostNews, HostNote, HostReach,
+    DirectoryChange, DirectorySettings, HostDirectory, HostGossip, HostReach,
 };
 use pollendrift_coordination::leases::HeartbeatHost;
 use rand::seq::SliceRandom;
@@ -49,7 +49,7 @@
 
 impl ToldHosts {
     /// Who of `peers` is to be told now: all if keepers changed, who has just come, and all once in a while.
-    fn due(&mut self, keepers: &[HostNote], peers: Vec<HostName>) -> Vec<HostName> {
+    fn due(&mut self, keepers: &[HostGossip], peers: Vec<HostName>) -> Vec<HostName> {
         let known = keepers.iter().map(|note| (&note.host, &note.reach));
         let is_same = known.eq(self.keepers.iter().map(|(host, reach)| (host, reach)));
         self.ticks += 1;
@@ -158,16 +158,16 @@
 
     /// A host said hello.
     pub(super) fn greet(&self, hub: &PeerHub, host: &HostName, reach: HostReach) {
-        let news = self.lock().hear(self.clock.now(), host, reach);
+        let news = self.lock().observe(self.clock.now(), host, reach);
         self.apply(hub, news);
     }
 
     /// A host told of others.
-    pub(super) fn take(&self, hub: &PeerHub, notes: &[HostNote], entries: u32) {
+    pub(super) fn take(&self, hub: &PeerHub, notes: &[HostGossip], entries: u32) {
         let now = self.clock.now();
         self.entries.store(entries, Ordering::Relaxed);
         for note in notes {
-            let news = self.lock().hear_of(now, note);
+            let news = self.lock().observe_gossip(now, note);
             self.apply(hub, news);
         }
     }
@@ -255,7 +255,7 @@
         }
         let (keepers, entries) = {
             let directory = self.lock();
-            (directory.notes(now), directory.entries())
+            (directory.gossip(now), directory.entry_count())
         };
         let due = told.due(&keepers, hub.up_hosts());
         if !due.is_empty() {
@@ -264,14 +264,14 @@
         }
     }
 
-    fn apply(&self, hub: &PeerHub, news: Option<HostNews>) {
+    fn apply(&self, hub: &PeerHub, news: Option<DirectoryChange>) {
         match news {
-            Some(HostNews::Reach { host, reach }) => {
+            Some(DirectoryChange::Reach { host, reach }) => {
                 log::info!(host:% = host, address:% = reach.address, keeper = reach.keeper; "peer found");
                 let address = reach.address;
                 hub.add_peer(PeerAddress { host, address });
             }
-            Some(HostNews::Forgotten { host }) => {
+            Some(DirectoryChange::Forgotten { host }) => {
                 log::info!(host:% = host; "peer forgotten");
                 hub.remove_peer(&host);
             }
@@ -287,7 +287,7 @@
         }
         let (keepers, entries) = {
             let directory = self.lock();
-            (directory.notes(self.clock.now()), directory.entries())
+            (directory.gossip(self.clock.now()), directory.entry_count())
         };
         // It is told again with the next tick.
         let _ = hub.send(host, &PeerFrame::Hosts { keepers, entries });
@@ -305,7 +305,7 @@
         if address == self.reach.address {
             return Some(self.host.clone());
         }
-        directory.find(address).cloned()
+        directory.find_by_address(address).cloned()
     }
 
     fn lock(&self) -> MutexGuard<'_, HostDirectory> {
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -7,7 +7,7 @@
 use pollendrift_coordination::agreement::{AgreementEnvelope, KeeperId};
 use pollendrift_coordination::base::{HostName, Incarnation, RequestId, Revision, ServerName};
 use pollendrift_coordination::configuration::ConfigurationDelta;
-use pollendrift_coordination::hosts::{HostNote, HostReach};
+use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{LeaseBatch, LeaseNumber};
 use pollendrift_coordination::routing::EngineNote;
 use pollendrift_coordination::streams::StreamNote;
@@ -239,7 +239,7 @@
     /// Hosts that the sender, a keeper, knows of.
     Hosts {
         /// Keepers.
-        keepers: Vec<HostNote>,
+        keepers: Vec<HostGossip>,
         /// Number of the others, which take callers.
         entries: u32,
     },
