--- a/crates/coordination/src/agreement/leader.rs
+++ b/crates/coordination/src/agreement/leader.rs
@@ -248,7 +248,7 @@
             return;
         };
         let is_due = self.now >= leader.heartbeat_due;
-        let reads_wait = can_read && leader.reads.wants_round();
+        let reads_wait = can_read && leader.reads.needs_round();
         if !is_due && !reads_wait {
             return;
         }
@@ -407,7 +407,7 @@
         if let Some(progress) = leader.peers.get_mut(from) {
             progress.contact_at = progress.contact_at.max(reply.sent_at.min(self.now));
             progress.answered_round = progress.answered_round.max(reply.round);
-            progress.told_commit = progress.told_commit.min(reply.commit);
+            progress.sent_commit = progress.sent_commit.min(reply.commit);
             progress.known_commit = progress.known_commit.max(reply.commit);
         }
     }
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -37,7 +37,7 @@
     /// Whether a probe or a chunk is unanswered.
     pub(super) waiting: bool,
     /// Commit index that the peer was told last.
-    pub(super) told_commit: LogIndex,
+    pub(super) sent_commit: LogIndex,
     /// When something was last answered, or sent after nothing was unanswered.
     pub(super) advanced_at: MonotonicTime,
     /// Sending time of the latest heartbeat that the peer answered.
@@ -73,7 +73,7 @@
             mode: SendMode::Probe,
             inflight: VecDeque::new(),
             waiting: false,
-            told_commit: LogIndex(0),
+            sent_commit: LogIndex(0),
             advanced_at: now,
             contact_at: now,
             answered_round: HeartbeatRound(0),
--- a/crates/coordination/src/agreement/read.rs
+++ b/crates/coordination/src/agreement/read.rs
@@ -30,7 +30,7 @@
 
 impl ReadQueue {
     /// Whether a round should be sent for reads: some wait, and none is on its way.
-    pub(super) fn wants_round(&self) -> bool {
+    pub(super) fn needs_round(&self) -> bool {
         !self.waiting.is_empty() && self.checking.is_empty()
     }
 
--- a/crates/coordination/src/agreement/replicate.rs
+++ b/crates/coordination/src/agreement/replicate.rs
@@ -86,10 +86,10 @@
     let told = context.commit.min(last);
     let must_probe =
         progress.mode == SendMode::Probe && progress.matched < context.log.last_index();
-    if entries.is_empty() && !must_probe && progress.told_commit >= told {
+    if entries.is_empty() && !must_probe && progress.sent_commit >= told {
         return None;
     }
-    progress.told_commit = told;
+    progress.sent_commit = told;
     match progress.mode {
         SendMode::Probe => progress.note_waiting(context.now),
         _ if !entries.is_empty() => progress.note_streamed(last, context.now),
