--- a/crates/coordination/benches/evidence.rs
+++ b/crates/coordination/benches/evidence.rs
@@ -52,7 +52,7 @@
             .unwrap();
     }
     let due = buffer
-        .due(MonotonicTime::from_millis(100), WallTime(0))
+        .due_batches(MonotonicTime::from_millis(100), WallTime(0))
         .unwrap();
     due.into_iter().next().unwrap().batch
 }
@@ -73,7 +73,7 @@
             buffer
                 .finish(MonotonicTime::START, WallTime(0), event())
                 .unwrap();
-            buffer.stored(&"k1".into(), &writer(), sequence.next());
+            buffer.acknowledge(&"k1".into(), &writer(), sequence.next());
         });
     });
     group.throughput(Throughput::Elements(RECORDS));
--- a/crates/coordination/src/evidence/buffer.rs
+++ b/crates/coordination/src/evidence/buffer.rs
@@ -287,7 +287,7 @@
     }
 
     /// Batches that are due at `now`, at most one for each keeper, and marks them as sent.
-    pub fn due(
+    pub fn due_batches(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
@@ -302,7 +302,7 @@
             .collect())
     }
 
-    /// Time at which [`EvidenceBuffer::due`] next has something to send, if nothing else happens.
+    /// Time at which [`EvidenceBuffer::due_batches`] next has something to send, if nothing else happens.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let next = |progress: &KeeperProgress| match progress.in_flight {
             Some(sent) => Some(sent.at.after(self.bounds.resend_delay)),
@@ -319,7 +319,12 @@
     ///
     /// A word about another life of this process, or about records that were never written, is
     /// ignored: it would drop records that nobody holds.
-    pub fn stored(&mut self, keeper: &HostName, writer: &ChainWriter, through: SequenceNumber) {
+    pub fn acknowledge(
+        &mut self,
+        keeper: &HostName,
+        writer: &ChainWriter,
+        through: SequenceNumber,
+    ) {
         if *writer != self.head.writer || through > self.head.sequence {
             return;
         }
--- a/crates/coordination/src/evidence/export.rs
+++ b/crates/coordination/src/evidence/export.rs
@@ -61,7 +61,7 @@
 
 impl EvidenceExport {
     /// Counts a record's line, which is exported as it is stored.
-    pub fn record(&mut self) {
+    pub fn count_record(&mut self) {
         self.lines += 1;
     }
 
--- a/crates/coordination/src/evidence/report.rs
+++ b/crates/coordination/src/evidence/report.rs
@@ -1,7 +1,7 @@
 //! One self-contained HTML page over an evidence export: what was verified, counted and plotted.
 
-mod figures;
 mod plots;
+mod statistics;
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
 use super::timeline::format_time;
 use super::verify::{VerifyReport, verify};
 use crate::base::WallTime;
-use figures::ReportFigures;
+use statistics::ReportStatistics;
 
 /// Most findings that the page lists; it says how many there are.
 const MAX_LISTED: usize = 50;
@@ -45,7 +45,7 @@
     I: IntoIterator<Item = &'a str> + Clone,
 {
     let verified = verify(file, lines.clone(), &[]);
-    let mut figures = ReportFigures::default();
+    let mut figures = ReportStatistics::default();
     for line in lines {
         if let Some(sealed) = read(line) {
             figures.add(&sealed.record);
@@ -117,7 +117,7 @@
     page.push_str("</table>");
 }
 
-fn push_tables(page: &mut String, figures: &ReportFigures) {
+fn push_tables(page: &mut String, figures: &ReportStatistics) {
     page.push_str("<h2>Outcomes</h2><table><tr><th>Outcome</th><th>Requests</th></tr>");
     for (outcome, count) in &figures.outcomes {
         let _ = write!(
--- a/crates/coordination/src/evidence/report/plots.rs
+++ b/crates/coordination/src/evidence/report/plots.rs
@@ -11,7 +11,7 @@
 use plotters::series::LineSeries;
 use plotters::style::{BLACK, Color, RGBColor, WHITE};
 
-use super::figures::{Latencies, ReportBucket, ReportFigures};
+use super::statistics::{Latencies, ReportBucket, ReportStatistics};
 use super::{ReportError, seconds_between};
 use crate::base::WallTime;
 use crate::evidence::record::OutcomeKind;
@@ -55,7 +55,7 @@
 }
 
 /// The plots of a report.
-pub(super) fn draw(figures: &ReportFigures) -> Result<Vec<ReportPlot>, ReportError> {
+pub(super) fn draw(figures: &ReportStatistics) -> Result<Vec<ReportPlot>, ReportError> {
     let width = std::time::Duration::from_millis(figures.width()).as_secs_f64();
     let mut plots = vec![ReportPlot {
         title: "Requests",
@@ -102,12 +102,12 @@
     &bucket.total
 }
 
-fn start(figures: &ReportFigures) -> WallTime {
+fn start(figures: &ReportStatistics) -> WallTime {
     let first = figures.buckets().next().map(|(time, _)| time);
     first.or(figures.first).unwrap_or_default()
 }
 
-fn outcome_lines(figures: &ReportFigures) -> Vec<PlotLine> {
+fn outcome_lines(figures: &ReportStatistics) -> Vec<PlotLine> {
     let kinds = [
         OutcomeKind::Complete,
         OutcomeKind::Incomplete,
@@ -147,7 +147,7 @@
     filled
 }
 
-fn latency_lines<F>(figures: &ReportFigures, pick: F) -> Vec<PlotLine>
+fn latency_lines<F>(figures: &ReportStatistics, pick: F) -> Vec<PlotLine>
 where
     F: Fn(&ReportBucket) -> &Latencies,
 {
@@ -164,7 +164,7 @@
 }
 
 /// Steps: a revision holds until the next one.
-fn revision_lines(figures: &ReportFigures) -> Vec<PlotLine> {
+fn revision_lines(figures: &ReportStatistics) -> Vec<PlotLine> {
     let origin = start(figures);
     let mut lines: BTreeMap<_, PlotLine> = BTreeMap::new();
     for (time, bucket) in figures.buckets() {
@@ -189,7 +189,7 @@
     lines.into_values().collect()
 }
 
-fn points<F>(figures: &ReportFigures, value: F) -> Vec<(f64, f64)>
+fn points<F>(figures: &ReportStatistics, value: F) -> Vec<(f64, f64)>
 where
     F: Fn(&ReportBucket) -> Option<f64>,
 {
@@ -208,7 +208,7 @@
 }
 
 fn line_plot(
-    figures: &ReportFigures,
+    figures: &ReportStatistics,
     unit: &str,
     lines: &[PlotLine],
 ) -> Result<String, ReportError> {
@@ -263,7 +263,7 @@
         .map_err(failed)
 }
 
-fn bar_plot(figures: &ReportFigures) -> Result<String, ReportError> {
+fn bar_plot(figures: &ReportStatistics) -> Result<String, ReportError> {
     let highest = figures.refusals.values().copied().max().unwrap_or(0);
     let rows = i32::try_from(figures.refusals.len()).unwrap_or(i32::MAX);
     let names: Vec<_> = figures.refusals.keys().cloned().collect();
--- a/crates/coordination/src/evidence/report/figures.rs
+++ b/crates/coordination/src/evidence/report/statistics.rs
@@ -38,7 +38,7 @@
 
 /// Figures of a whole export.
 #[derive(Debug, Default)]
-pub(super) struct ReportFigures {
+pub(super) struct ReportStatistics {
     /// Time of the oldest record.
     pub(super) first: Option<WallTime>,
     /// Time of the newest record.
@@ -89,7 +89,7 @@
     }
 }
 
-impl ReportFigures {
+impl ReportStatistics {
     /// Counts a record.
     pub(super) fn add(&mut self, record: &EvidenceRecord) {
         let time = record.time;
--- a/crates/coordination/tests/evidence_buffer.rs
+++ b/crates/coordination/tests/evidence_buffer.rs
@@ -68,17 +68,23 @@
     }
     let own = writer("brest-1");
     let mut log = Vec::new();
-    log.push(format!("1 ms: {}", show(&buffer.due(at(1), WALL).unwrap())));
-    log.push(format!("5 ms: {}", show(&buffer.due(at(5), WALL).unwrap())));
-    buffer.stored(&keeper("k1"), &own, SequenceNumber(3));
+    log.push(format!(
+        "1 ms: {}",
+        show(&buffer.due_batches(at(1), WALL).unwrap())
+    ));
+    log.push(format!(
+        "5 ms: {}",
+        show(&buffer.due_batches(at(5), WALL).unwrap())
+    ));
+    buffer.acknowledge(&keeper("k1"), &own, SequenceNumber(3));
     log.push(format!("k1 stored: durable {}", buffer.durable()));
-    buffer.stored(&keeper("k2"), &own, SequenceNumber(2));
+    buffer.acknowledge(&keeper("k2"), &own, SequenceNumber(2));
     log.push(format!("k2 stored 2: durable {}", buffer.durable()));
     log.push(format!(
         "105 ms: {}",
-        show(&buffer.due(at(105), WALL).unwrap())
+        show(&buffer.due_batches(at(105), WALL).unwrap())
     ));
-    buffer.stored(&keeper("k3"), &own, SequenceNumber(3));
+    buffer.acknowledge(&keeper("k3"), &own, SequenceNumber(3));
     log.push(format!("k3 stored: durable {}", buffer.durable()));
     log.push(format!("next due: {:?}", buffer.next_due()));
     insta::assert_snapshot!(log.join("\n"), @"
@@ -102,13 +108,13 @@
     let mut earlier = own.clone();
     earlier.incarnation = 6.into();
     for name in ["k1", "k2"] {
-        buffer.stored(&keeper(name), &earlier, SequenceNumber(1));
-        buffer.stored(&keeper(name), &own, SequenceNumber(2));
+        buffer.acknowledge(&keeper(name), &earlier, SequenceNumber(1));
+        buffer.acknowledge(&keeper(name), &own, SequenceNumber(2));
     }
-    buffer.stored(&keeper("k1"), &own, SequenceNumber(1));
-    buffer.stored(&keeper("k9"), &own, SequenceNumber(1));
+    buffer.acknowledge(&keeper("k1"), &own, SequenceNumber(1));
+    buffer.acknowledge(&keeper("k9"), &own, SequenceNumber(1));
     assert_eq!(buffer.durable(), SequenceNumber(0));
-    buffer.stored(&keeper("k2"), &own, SequenceNumber(1));
+    buffer.acknowledge(&keeper("k2"), &own, SequenceNumber(1));
     assert_eq!(buffer.durable(), SequenceNumber(1));
 }
 
@@ -140,12 +146,12 @@
         status.records, status.reserved
     ));
     for name in ["k1", "k2"] {
-        buffer.stored(&keeper(name), &writer("brest-1"), SequenceNumber(8));
+        buffer.acknowledge(&keeper(name), &writer("brest-1"), SequenceNumber(8));
     }
-    let batches = buffer.due(at(10), WALL).unwrap();
+    let batches = buffer.due_batches(at(10), WALL).unwrap();
     log.push(format!("after the keepers answered: {}", show(&batches)));
-    buffer.due(at(15), WALL).unwrap();
-    let batches = buffer.due(at(200), WALL).unwrap();
+    buffer.due_batches(at(15), WALL).unwrap();
+    let batches = buffer.due_batches(at(200), WALL).unwrap();
     log.push(batches[0].batch.lines[0].to_string());
     insta::assert_snapshot!(log.join("\n"), @r#"
     begun as 1
@@ -302,10 +308,10 @@
             let event = in_force(now);
             buffer.note(at(now), WALL, event).unwrap();
         }
-        for sent in buffer.due(at(now), WALL).unwrap() {
+        for sent in buffer.due_batches(at(now), WALL).unwrap() {
             seen.push(format!("{now} ms: {}", show(std::slice::from_ref(&sent))));
             let last = sent.batch.first.0 + sent.batch.lines.len() as u64 - 1;
-            buffer.stored(&keeper("k1"), &sent.batch.writer, SequenceNumber(last));
+            buffer.acknowledge(&keeper("k1"), &sent.batch.writer, SequenceNumber(last));
         }
     }
     insta::assert_snapshot!(seen.join("\n"), @r"
--- a/crates/coordination/tests/evidence_support/mod.rs
+++ b/crates/coordination/tests/evidence_support/mod.rs
@@ -122,7 +122,7 @@
         lines.push(export.anchor(anchor).unwrap());
     }
     for sealed in chains.iter().flatten() {
-        export.record();
+        export.count_record();
         lines.push(sealed.line.to_string());
     }
     for sealed in chains.iter().filter_map(|chain| chain.last()) {
--- a/crates/daemon/src/telemetry/journal.rs
+++ b/crates/daemon/src/telemetry/journal.rs
@@ -206,7 +206,7 @@
                 if let Ok(sealed) = SealedRecord::parse(&line) {
                     heads.insert(sealed.record.writer.clone(), sealed.head());
                 }
-                export.record();
+                export.count_record();
                 self.write(out, &line)?;
             }
         }
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -177,7 +177,10 @@
     }
 
     fn due(&self) -> Vec<KeeperBatch> {
-        match self.buffer().due(self.clock.now(), self.clock.wall()) {
+        match self
+            .buffer()
+            .due_batches(self.clock.now(), self.clock.wall())
+        {
             Ok(batches) => batches,
             Err(error) => {
                 log::error!("evidence can't be written: {error}");
@@ -208,7 +211,7 @@
     fn note_stored(&self, keeper: &HostName, through: SequenceNumber) {
         let mut buffer = self.buffer();
         let writer = buffer.status().head.writer;
-        buffer.stored(keeper, &writer, through);
+        buffer.acknowledge(keeper, &writer, through);
         let durable = buffer.durable();
         drop(buffer);
         self.durable.send_if_modified(|known| {
--- a/crates/standins/examples/experiment/records.rs
+++ b/crates/standins/examples/experiment/records.rs
@@ -112,7 +112,7 @@
     for size in RECORD_SIZES {
         let lines = || {
             let mut buffer = filled_buffer(size);
-            let due = buffer.due(MonotonicTime::from_millis(100), WallTime(0));
+            let due = buffer.due_batches(MonotonicTime::from_millis(100), WallTime(0));
             let batches = due.ok().unwrap_or_default();
             let lines = batches.first().map(|due| due.batch.lines.clone());
             lines.unwrap_or_default()
