--- a/crates/coordination/src/agreement/port.rs
+++ b/crates/coordination/src/agreement/interface.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use super::entry::{HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMark, Term};
+use super::entry::{HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term};
 use super::message::AgreementEnvelope;
 use super::redundancy::RedundancyReport;
 use crate::base::{HostName, number_type};
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot {
     /// What it stands for.
-    pub mark: SnapshotMark,
+    pub mark: SnapshotMetadata,
     /// The state machine's encoding.
     pub bytes: Arc<[u8]>,
 }
@@ -104,7 +104,7 @@
     /// Send a message. It may be lost, delayed or doubled.
     Send(AgreementEnvelope),
     /// Write and sync, then report [`AgreementInput::Persisted`].
-    Persist(PersistOrder),
+    Persist(PersistRequest),
     /// Apply these entries, in order; each index is delivered once in the life of a process. Only
     /// [`EntryPayload::Command`](super::EntryPayload::Command) carries something for the state
     /// machine; the others still move the applied index.
@@ -151,7 +151,7 @@
     /// What the group can lose changed; only a leader tells.
     RedundancyChanged(RedundancyReport),
     /// Enough entries were delivered since the last snapshot: encode the state.
-    SnapshotWanted {
+    SnapshotRequested {
         /// Entry that the snapshot should contain at least.
         index: LogIndex,
     },
@@ -159,7 +159,7 @@
     /// sets the data aside and returns under a new incarnation.
     IdentityLost {
         /// Keeper that noticed.
-        witness: KeeperId,
+        detected_by: KeeperId,
         /// Term in which more was acknowledged.
         term: Term,
         /// Index that was acknowledged.
@@ -178,7 +178,7 @@
 ///
 /// A crash may leave any prefix of that order; nothing that depends on the order was sent yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PersistOrder {
+pub struct PersistRequest {
     /// Number to report.
     pub sequence: PersistSequence,
     /// New hard state.
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -8,15 +8,15 @@
 use super::election::VoteCount;
 use super::entry::{EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, Term};
 use super::identity::IdentityTable;
-use super::lead::LeaderState;
-use super::log::ReplicatedLog;
-use super::message::{AgreementEnvelope, AgreementMessage, StartMark};
-use super::persist::{HeldAction, PersistQueue};
-use super::port::{
+use super::interface::{
     AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
 };
+use super::leader::LeaderState;
+use super::log::ReplicatedLog;
+use super::message::{AgreementEnvelope, AgreementMessage, ProcessStart};
+use super::persist::{HeldAction, PersistQueue};
 use super::settings::AgreementSettings;
-use super::transfer::SnapshotAssembly;
+use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
 
 /// Part of the election timeout after which a candidate without an answer tries again.
@@ -43,7 +43,7 @@
 pub struct AgreementNode {
     pub(super) settings: AgreementSettings,
     pub(super) id: KeeperId,
-    pub(super) start: StartMark,
+    pub(super) start: ProcessStart,
     pub(super) random: ChaCha8Rng,
     pub(super) now: MonotonicTime,
     pub(super) hard_state: HardState,
@@ -61,10 +61,10 @@
     pub(super) assembly: Option<SnapshotAssembly>,
     pub(super) identities: IdentityTable,
     /// Index at which a snapshot was last asked for.
-    pub(super) snapshot_wanted_at: LogIndex,
-    pub(super) told_role: Option<RoleStatus>,
+    pub(super) snapshot_requested_at: LogIndex,
+    pub(super) reported_role: Option<RoleStatus>,
     /// Count of membership changes in the log that was told last.
-    pub(super) told_membership: u64,
+    pub(super) reported_membership: u64,
     pub(super) effects: Vec<AgreementEffect>,
 }
 
@@ -90,7 +90,7 @@
             None => RoleState::Retired,
         };
         let log = restored_log.unwrap_or_default();
-        let start = StartMark {
+        let start = ProcessStart {
             nonce: random.random(),
             term: hard_state.term,
             last_index: log.last_index(),
@@ -112,9 +112,9 @@
             installs_pending: 0,
             assembly: None,
             identities: IdentityTable::default(),
-            snapshot_wanted_at: log.snapshot_index(),
-            told_role: None,
-            told_membership: 0,
+            snapshot_requested_at: log.snapshot_index(),
+            reported_role: None,
+            reported_membership: 0,
             log,
             effects: Vec::new(),
         };
@@ -335,14 +335,14 @@
             .collect();
         self.delivered = self.commit;
         self.effects.push(AgreementEffect::Committed(entries));
-        self.settle_committed();
-        self.want_snapshot();
+        self.resolve_committed();
+        self.request_snapshot();
     }
 
     fn tell_changes(&mut self) {
         let change_count = self.log.change_count();
-        if change_count != self.told_membership {
-            self.told_membership = change_count;
+        if change_count != self.reported_membership {
+            self.reported_membership = change_count;
             let membership = self.log.membership();
             self.identities.retain(|keeper| membership.contains(keeper));
             self.effects.push(AgreementEffect::MembershipChanged {
@@ -351,11 +351,11 @@
             });
         }
         let status = self.status();
-        if self.told_role.as_ref() != Some(&status) {
-            self.told_role = Some(status.clone());
+        if self.reported_role.as_ref() != Some(&status) {
+            self.reported_role = Some(status.clone());
             self.effects.push(AgreementEffect::RoleChanged(status));
         }
-        self.tell_redundancy();
+        self.report_redundancy();
     }
 }
 
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::entry::{LogIndex, SnapshotMark};
+use super::entry::{LogIndex, SnapshotMetadata};
 use super::message::HeartbeatRound;
 use super::settings::AgreementSettings;
 use crate::base::MonotonicTime;
@@ -18,7 +18,7 @@
     Stream,
     /// A snapshot, one chunk at a time.
     Snapshot {
-        mark: SnapshotMark,
+        mark: SnapshotMetadata,
         bytes: Arc<[u8]>,
         offset: u64,
     },
@@ -37,7 +37,7 @@
     /// Whether a probe or a chunk is unanswered.
     pub(super) waiting: bool,
     /// Commit index that the peer was told last.
-    pub(super) told_commit: LogIndex,
+    pub(super) sent_commit: LogIndex,
     /// When something was last answered, or sent after nothing was unanswered.
     pub(super) advanced_at: MonotonicTime,
     /// Sending time of the latest heartbeat that the peer answered.
@@ -73,7 +73,7 @@
             mode: SendMode::Probe,
             inflight: VecDeque::new(),
             waiting: false,
-            told_commit: LogIndex(0),
+            sent_commit: LogIndex(0),
             advanced_at: now,
             contact_at: now,
             answered_round: HeartbeatRound(0),
--- a/crates/coordination/src/agreement/read.rs
+++ b/crates/coordination/src/agreement/read.rs
@@ -6,10 +6,10 @@
 use std::collections::VecDeque;
 
 use super::entry::LogIndex;
-use super::lead::QuorumView;
+use super::interface::{AgreementEffect, ReadOutcome, RefusalReason, RequestToken};
+use super::leader::QuorumView;
 use super::message::HeartbeatRound;
 use super::node::{AgreementNode, RoleState};
-use super::port::{AgreementEffect, ReadOutcome, RefusalReason, RequestToken};
 
 /// A read whose round was sent.
 #[derive(Clone, Copy, Debug)]
@@ -30,7 +30,7 @@
 
 impl ReadQueue {
     /// Whether a round should be sent for reads: some wait, and none is on its way.
-    pub(super) fn wants_round(&self) -> bool {
+    pub(super) fn needs_round(&self) -> bool {
         !self.waiting.is_empty() && self.checking.is_empty()
     }
 
--- a/crates/coordination/src/agreement/replicate.rs
+++ b/crates/coordination/src/agreement/replicate.rs
@@ -6,7 +6,7 @@
 use super::node::{AgreementNode, RoleState};
 use super::progress::{PeerProgress, SendMode};
 use super::settings::AgreementSettings;
-use super::transfer::next_chunk;
+use super::snapshot_transfer::next_chunk;
 use crate::base::MonotonicTime;
 
 /// What a leader reads while it decides what to send.
@@ -86,10 +86,10 @@
     let told = context.commit.min(last);
     let must_probe =
         progress.mode == SendMode::Probe && progress.matched < context.log.last_index();
-    if entries.is_empty() && !must_probe && progress.told_commit >= told {
+    if entries.is_empty() && !must_probe && progress.sent_commit >= told {
         return None;
     }
-    progress.told_commit = told;
+    progress.sent_commit = told;
     match progress.mode {
         SendMode::Probe => progress.note_waiting(context.now),
         _ if !entries.is_empty() => progress.note_streamed(last, context.now),
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -16,8 +16,8 @@
 mod facts;
 mod followed;
 mod interface;
-mod known;
 mod label;
+mod label_settings;
 mod lint;
 mod model;
 mod parse;
@@ -38,15 +38,15 @@
 pub use document::{MAX_DEPTH, MAX_DOCUMENTS, MAX_TEXT_BYTES};
 pub use expression::{LabelExpression, Mismatch, Requirement, RequirementTest};
 pub use facts::{HostFacts, RequestFacts, RequestTarget, ServerFacts};
-pub use followed::{FollowFailure, FollowedConfiguration};
+pub use followed::{ApplyError, FollowedConfiguration};
 pub use interface::{
     ChangeBody, ChangeReply, ConfigurationView, DaemonRevision, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, InForceView, MAX_HISTORY_PAGE,
 };
-pub use known::{KnownSettings, ServiceState};
 pub use label::{
     LabelKey, LabelSet, LabelSubject, LabelValue, MAX_KEY_BYTES, MAX_VALUE_BYTES, NamePattern,
 };
+pub use label_settings::{LabelSettings, ServiceState};
 pub use model::{DEFAULT_ORDER, DocumentKey, LabelRule, PublishedSource, Selector, SelectorTarget};
 pub use parse::ParsedConfiguration;
 pub use select::{
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -6,8 +6,8 @@
 
 use pollendrift_coordination::base::{HostName, Incarnation, WallTime};
 use pollendrift_coordination::evidence::{
-    BufferBounds, ChainWriter, EvidenceBuffer, EvidenceEvent, EvidenceFilter, EvidenceRecord,
-    KeeperBatch, RetentionPolicy, agreed_through,
+    BufferSettings, ChainWriter, EvidenceBuffer, EvidenceEvent, EvidenceFilter, EvidenceRecord,
+    KeeperBatch, RetentionPolicy, replicated_through,
 };
 use pollendrift_coordination::replicated::{CommandAnswer, IndexedRecord, ReplicatedCommand};
 
@@ -40,10 +40,10 @@
     fn store(&self, batch: KeeperBatch) -> StoreFuture {
         let agreed = Arc::clone(&self.agreed);
         Box::pin(async move {
-            let command = ReplicatedCommand::RecordEvidence(batch.batch.to_agreed());
+            let command = ReplicatedCommand::RecordEvidence(batch.batch.to_replicated());
             match agreed.submit(command).await {
                 Ok(CommandAnswer::Evidence(answer)) => {
-                    agreed_through(&answer).ok_or(SinkError::Superseded)
+                    replicated_through(&answer).ok_or(SinkError::Superseded)
                 }
                 Ok(_) => Err(SinkError::Later {
                     reason: "keepers answered another command".to_owned(),
@@ -87,9 +87,9 @@
     }
 }
 
-fn buffer_bounds(settings: &EvidenceSettings) -> BufferBounds {
+fn buffer_bounds(settings: &EvidenceSettings) -> BufferSettings {
     let size = |count: u64| usize::try_from(count).unwrap_or(usize::MAX);
-    BufferBounds {
+    BufferSettings {
         max_records: size(settings.max_buffer_records),
         max_bytes: size(settings.max_buffer_bytes),
         max_batch_records: size(settings.max_batch_records),
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -5,8 +5,8 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEffect, AgreementEnvelope, AgreementInput, EntryPayload, HandOverOutcome, LogEntry,
-    LogIndex, MachineError, PersistOrder, ProposalOutcome, ReadOutcome, RefusalReason,
-    RequestToken, StoredSnapshot,
+    LogIndex, PersistRequest, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
+    StateMachineError, StoredSnapshot,
 };
 use pollendrift_store::CommitRequest;
 
@@ -19,7 +19,7 @@
 /// Answer of the state machine to one entry.
 pub(super) struct AppliedAnswer {
     index: LogIndex,
-    answer: Result<Vec<u8>, MachineError>,
+    answer: Result<Vec<u8>, StateMachineError>,
 }
 
 impl KeeperRuntime {
@@ -69,7 +69,7 @@
             AgreementEffect::MembershipChange { token, outcome } => {
                 self.settle_change(token, outcome);
             }
-            AgreementEffect::SnapshotWanted { .. } => {
+            AgreementEffect::SnapshotRequested { .. } => {
                 let snapshot = self.take_snapshot()?;
                 self.follow_up.push(snapshot);
             }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn persist(&mut self, order: PersistOrder) -> Result<(), KeeperError> {
+    fn persist(&mut self, order: PersistRequest) -> Result<(), KeeperError> {
         self.syncing = Some(AgreementInput::Persisted(order.sequence));
         let queued = self.commit.submit(CommitRequest::Order(order));
         queued.map(drop).map_err(|refusal| KeeperError::Refused {
