--- a/crates/store/tests/store/outer_files.rs
+++ b/crates/store/tests/store/outer_files.rs
@@ -6,7 +6,7 @@
 
 use ciborium::Value;
 use pollendrift_coordination::agreement::{
-    EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMark, Term,
+    EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
 use pollendrift_coordination::base::Incarnation;
 use pollendrift_store::{
@@ -79,7 +79,7 @@
 
 fn snapshot(index: u64) -> StoreSnapshot {
     StoreSnapshot {
-        mark: SnapshotMark {
+        mark: SnapshotMetadata {
             index: LogIndex(index),
             term: Term(4),
             membership: membership(),
