--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -5,9 +5,9 @@
 use pollendrift_coordination::base::HostName;
 
 use crate::feed::ConfigurationFeed;
+use crate::lease_broadcast::LeaseBroadcaster;
 use crate::operators::KeeperDesk;
 use crate::peers::{PeerAnswer, PeerCall, PeerFrame, PeerHandler, PeerHub, PeerQuestion};
-use crate::spread::LeaseSpreader;
 use crate::streams::StreamKeeper;
 
 /// Parts that take frames.
@@ -19,7 +19,7 @@
     /// Streams that can go on elsewhere.
     pub streams: Arc<StreamKeeper>,
     /// Leases.
-    pub spreader: Arc<LeaseSpreader>,
+    pub broadcaster: Arc<LeaseBroadcaster>,
 }
 
 /// Hands frames to the parts of the daemon, once they stand.
@@ -45,12 +45,18 @@
         };
         match frame {
             PeerFrame::Configuration(frame) => targets.feed.take(from, frame),
-            PeerFrame::Leases(batch) => targets.spreader.take(hub, from, batch),
-            PeerFrame::LeaseQuestion(servers) => targets.spreader.answer(hub, from, &servers),
+            PeerFrame::Leases(batch) => targets.broadcaster.receive_leases(hub, from, batch),
+            PeerFrame::LeaseQuestion(servers) => targets
+                .broadcaster
+                .answer_lease_question(hub, from, &servers),
             PeerFrame::LeaseNumbers(numbers) => {
-                targets.spreader.answer_numbers(hub, from, &numbers);
+                targets
+                    .broadcaster
+                    .answer_number_question(hub, from, &numbers);
+            }
+            PeerFrame::Survey { notes, pass_on } => {
+                targets.broadcaster.receive_survey(notes, pass_on)
             }
-            PeerFrame::Survey { notes, pass_on } => targets.spreader.take_survey(notes, pass_on),
             PeerFrame::Stream(note) => targets.streams.take(note),
             PeerFrame::Call(call) => answer_call(targets, hub, from, call),
             _ => {}
@@ -59,7 +65,7 @@
 
     fn link_changed(&self, _hub: &PeerHub, host: &HostName, up: bool) {
         if let Some(targets) = self.targets.get().filter(|_| up) {
-            targets.spreader.restart(host);
+            targets.broadcaster.reset_peer(host);
         }
     }
 }
@@ -67,7 +73,7 @@
 fn answer_call(targets: &FrameTargets, hub: &PeerHub, from: &HostName, call: PeerCall) {
     let feed = Arc::clone(&targets.feed);
     let desk = Arc::clone(&targets.desk);
-    let spreader = Arc::clone(&targets.spreader);
+    let broadcaster = Arc::clone(&targets.broadcaster);
     let streams = Arc::clone(&targets.streams);
     let hub = hub.clone();
     let from = from.clone();
@@ -75,7 +81,7 @@
         let work = async {
             match call.question {
                 PeerQuestion::ConfigurationAfter { have } => {
-                    spreader.followed_by(&from);
+                    broadcaster.record_follower(&from);
                     feed.answer(have).await
                 }
                 PeerQuestion::RequestLookUp(request) => streams.answer(&request),
--- a/crates/daemon/src/spread.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -9,7 +9,7 @@
 //! much get the same frame, encoded once. A peer is told again from the start when its link comes up,
 //! since what was queued for the broken link is lost, and asks for what it turns out to lack.
 
-mod audience;
+mod recipients;
 mod surveys;
 
 use std::collections::BTreeMap;
@@ -29,11 +29,11 @@
 use crate::keeper::KeeperList;
 use crate::peers::{PeerFrame, PeerHub};
 
-use audience::LeaseAudience;
+use recipients::LeaseRecipients;
 use surveys::SurveyRelay;
 
 /// Time between two ticks; adds to the time in which a leave is known everywhere.
-pub const SPREAD_TICK: Duration = Duration::from_millis(200);
+pub const BROADCAST_TICK: Duration = Duration::from_millis(200);
 /// Ticks between two tellings of what only renews leases: a third of a usual heartbeat, as renewals
 /// pass through three hosts.
 const RENEWAL_TICKS: u32 = 2;
@@ -49,10 +49,10 @@
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(200);
 
 /// Tells peers what this host heard.
-pub struct LeaseSpreader {
+pub struct LeaseBroadcaster {
     fleet: Arc<BackendFleet>,
     clock: Arc<dyn TimeSource>,
-    audience: LeaseAudience,
+    recipients: LeaseRecipients,
     cursors: Mutex<BTreeMap<HostName, ToldHost>>,
     /// When the link to each host came up last.
     linked: Mutex<BTreeMap<HostName, MonotonicTime>>,
@@ -69,8 +69,8 @@
     cursor: DeltaCursor,
 }
 
-impl LeaseSpreader {
-    /// A spreader that has told nobody anything.
+impl LeaseBroadcaster {
+    /// A broadcaster that has told nobody anything.
     pub fn new(
         fleet: Arc<BackendFleet>,
         clock: Arc<dyn TimeSource>,
@@ -79,7 +79,7 @@
     ) -> Self {
         Self {
             fleet,
-            audience: LeaseAudience::new(keepers, feed),
+            recipients: LeaseRecipients::new(keepers, feed),
             clock,
             cursors: Mutex::default(),
             linked: Mutex::default(),
@@ -91,9 +91,9 @@
     /// Takes what the peer `from` knows, and asks for what it takes to be known here and is not.
     ///
     /// A question or its answer that is lost is made up for by the next renewal.
-    pub fn take(&self, hub: &PeerHub, from: &HostName, batch: LeaseBatch) {
+    pub fn receive_leases(&self, hub: &PeerHub, from: &HostName, batch: LeaseBatch) {
         let now = self.clock.now();
-        let sender = (from, self.audience.kind_of(from));
+        let sender = (from, self.recipients.kind_of(from));
         let outcome = self.fleet.take_batch(now, sender, batch, TRANSIT_ALLOWANCE);
         if let Some(fault) = outcome.fault {
             log::warn!(host:% = from, reason:% = fault; "renewals not taken");
@@ -107,29 +107,29 @@
     }
 
     /// A host asked this keeper for the configuration: it follows this one.
-    pub fn followed_by(&self, host: &HostName) {
-        self.audience.followed_by(self.clock.now(), host);
+    pub fn record_follower(&self, host: &HostName) {
+        self.recipients.record_follower(self.clock.now(), host);
     }
 
     /// Tells keepers what this one's survey of engines found; those that follow it hear it with the
     /// next tick.
-    pub fn spread_survey(&self, hub: &PeerHub, notes: &[EngineNote]) {
-        let keepers = self.audience.other_keepers(hub);
-        self.surveys.tell_keepers(hub, &keepers, notes);
-        self.surveys.note(self.clock.now(), notes.to_vec());
+    pub fn broadcast_survey(&self, hub: &PeerHub, notes: &[EngineNote]) {
+        let keepers = self.recipients.other_keepers(hub);
+        self.surveys.send_to_keepers(hub, &keepers, notes);
+        self.surveys.enqueue(self.clock.now(), notes.to_vec());
     }
 
     /// Takes what another keeper's survey found, and passes it on with the next tick.
-    pub fn take_survey(&self, notes: Vec<EngineNote>, pass_on: bool) {
+    pub fn receive_survey(&self, notes: Vec<EngineNote>, pass_on: bool) {
         let now = self.clock.now();
         if pass_on {
-            self.surveys.note(now, notes.clone());
+            self.surveys.enqueue(now, notes.clone());
         }
         self.fleet.take_survey(now, notes);
     }
 
     /// Answers a peer's question for full announcements.
-    pub fn answer(&self, hub: &PeerHub, from: &HostName, servers: &[ServerName]) {
+    pub fn answer_lease_question(&self, hub: &PeerHub, from: &HostName, servers: &[ServerName]) {
         let now = self.clock.now();
         for servers in servers.chunks(FRAME_LEASES) {
             let named = self.fleet.named_in_full(now, servers);
@@ -138,7 +138,7 @@
     }
 
     /// Answers a peer's question for the names of leases that it was told by number.
-    pub fn answer_numbers(&self, hub: &PeerHub, from: &HostName, numbers: &[LeaseNumber]) {
+    pub fn answer_number_question(&self, hub: &PeerHub, from: &HostName, numbers: &[LeaseNumber]) {
         let now = self.clock.now();
         let named = self.fleet.named_by_number(now, numbers);
         for named in named.chunks(FRAME_LEASES) {
@@ -147,7 +147,7 @@
     }
 
     /// The link to `host` came up: it is told everything again.
-    pub fn restart(&self, host: &HostName) {
+    pub fn reset_peer(&self, host: &HostName) {
         self.lock().remove(host);
         let mut linked = self.linked.lock().unwrap_or_else(PoisonError::into_inner);
         linked.insert(host.clone(), self.clock.now());
@@ -169,7 +169,7 @@
 
     /// Spreads for as long as the host runs.
     pub async fn run(self: Arc<Self>, hub: PeerHub) {
-        let mut ticks = tokio::time::interval(SPREAD_TICK);
+        let mut ticks = tokio::time::interval(BROADCAST_TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         for tick in 0_u32.. {
             ticks.tick().await;
@@ -179,15 +179,15 @@
     }
 
     fn tick(&self, hub: &PeerHub, now: MonotonicTime, has_renewals: bool) {
-        let told = self.audience.hosts(hub, now);
+        let told = self.recipients.hosts(hub, now);
         for (told, hosts) in self.group(now, &told) {
             self.tell(hub, now, told, &hosts, has_renewals);
         }
         let others = hub.hosts().into_iter();
         let others: Vec<HostName> = others.filter(|host| !told.contains_key(host)).collect();
         self.tell_left(hub, now, &others);
-        let followers = self.audience.followers(now);
-        self.surveys.tell_followers(hub, now, &followers);
+        let followers = self.recipients.followers(now);
+        self.surveys.send_to_followers(hub, now, &followers);
     }
 
     /// Hosts that are to be told, grouped by what they were told so far. One that is to be told another
@@ -253,7 +253,7 @@
     /// it has turned to another one. Symptom: it sent work to a server whose leave had been acknowledged
     /// long before. A leave is a frame of one lease, so every keeper tells it to everyone.
     fn tell_left(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
-        if !self.audience.is_keeper() {
+        if !self.recipients.is_keeper() {
             return;
         }
         let left = {
--- a/crates/daemon/src/spread/audience.rs
+++ b/crates/daemon/src/lease_broadcast/recipients.rs
@@ -12,13 +12,13 @@
 use crate::peers::PeerHub;
 
 /// The hosts around this one: keepers, those that follow it, and the keeper that it follows.
-pub(super) struct LeaseAudience {
+pub(super) struct LeaseRecipients {
     keepers: KeeperList,
     feed: Arc<ConfigurationFeed>,
     followers: Mutex<FollowerTable>,
 }
 
-impl LeaseAudience {
+impl LeaseRecipients {
     pub(super) fn new(keepers: KeeperList, feed: Arc<ConfigurationFeed>) -> Self {
         Self {
             keepers,
@@ -44,7 +44,7 @@
     }
 
     /// A host asked this one for the configuration.
-    pub(super) fn followed_by(&self, now: MonotonicTime, host: &HostName) {
+    pub(super) fn record_follower(&self, now: MonotonicTime, host: &HostName) {
         self.table().asked(now, host);
     }
 
--- a/crates/daemon/src/spread/surveys.rs
+++ b/crates/daemon/src/lease_broadcast/surveys.rs
@@ -20,12 +20,17 @@
 
 impl SurveyRelay {
     /// Tells keepers at once; they pass it on to the hosts that follow them.
-    pub(super) fn tell_keepers(&self, hub: &PeerHub, keepers: &[HostName], notes: &[EngineNote]) {
+    pub(super) fn send_to_keepers(
+        &self,
+        hub: &PeerHub,
+        keepers: &[HostName],
+        notes: &[EngineNote],
+    ) {
         tell(hub, keepers, notes, true);
     }
 
     /// Keeps notes for the next tick.
-    pub(super) fn note(&self, now: MonotonicTime, notes: Vec<EngineNote>) {
+    pub(super) fn enqueue(&self, now: MonotonicTime, notes: Vec<EngineNote>) {
         let mut waiting = self.lock();
         for note in notes {
             let taken = now.before(note.age);
@@ -38,7 +43,7 @@
 
     /// Tells hosts that follow this keeper what came in since the last tick. Who misses it is told
     /// again with the next survey.
-    pub(super) fn tell_followers(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
+    pub(super) fn send_to_followers(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
         let waiting = std::mem::take(&mut *self.lock());
         let notes = waiting.into_values().map(|(taken, note)| EngineNote {
             age: now.since(taken),
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -32,10 +32,10 @@
     KeeperClient, KeeperError, KeeperFrames, KeeperHandle, KeeperList, KeeperSettings, KeeperStart,
     KeeperStatus, RetryPermission, RunningKeeper, SubmitError, keeper_queue, start_keeper,
 };
+use crate::lease_broadcast::LeaseBroadcaster;
 use crate::operators::KeeperDesk;
 use crate::peers::{PeerHandler, PeerHub, PeerTasks};
 use crate::settings::DaemonSettings;
-use crate::spread::LeaseSpreader;
 use crate::state::SharedState;
 use crate::streams::StreamKeeper;
 use crate::telemetry::{JournalError, RecorderSlot};
@@ -75,7 +75,7 @@
     shared: Option<SharedState>,
     desk: Arc<KeeperDesk>,
     streams: Arc<StreamKeeper>,
-    spreader: Arc<LeaseSpreader>,
+    broadcaster: Arc<LeaseBroadcaster>,
     peers: PeerTasks,
     tasks: Vec<JoinHandle<()>>,
     life: tokio::sync::watch::Receiver<Option<Incarnation>>,
@@ -162,7 +162,7 @@
             Arc::clone(&parts.clock),
             Arc::clone(&parts.recorder),
         ));
-        let spreader = Arc::new(LeaseSpreader::new(
+        let broadcaster = Arc::new(LeaseBroadcaster::new(
             Arc::clone(&parts.fleet),
             Arc::clone(&parts.clock),
             keepers.clone(),
@@ -185,11 +185,11 @@
             streams: Arc::clone(&streams),
             desk: Arc::clone(&desk),
             feed: Arc::clone(&feed),
-            spreader: Arc::clone(&spreader),
+            broadcaster: Arc::clone(&broadcaster),
         });
         let mut tasks = vec![
             tokio::spawn(Arc::clone(&feed).run()),
-            tokio::spawn(Arc::clone(&spreader).run(hub.clone())),
+            tokio::spawn(Arc::clone(&broadcaster).run(hub.clone())),
         ];
         if let Some(shared) = &shared {
             if let Some(files) = files {
@@ -218,7 +218,7 @@
             shared,
             desk,
             streams,
-            spreader,
+            broadcaster,
             peers,
             tasks,
             life,
@@ -257,8 +257,8 @@
     }
 
     /// Tells other hosts of backend servers.
-    pub(crate) fn spreader(&self) -> &Arc<LeaseSpreader> {
-        &self.spreader
+    pub(crate) fn broadcaster(&self) -> &Arc<LeaseBroadcaster> {
+        &self.broadcaster
     }
 
     /// Answers operators' questions that need a keeper.
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -28,9 +28,9 @@
 use crate::agreed::AgreedState;
 use crate::clock::since_boot;
 use crate::fleet::WorkerView;
+use crate::lease_broadcast::LeaseBroadcaster;
 use crate::peers::PeerHub;
 use crate::placement::RightKeeper;
-use crate::spread::LeaseSpreader;
 
 /// Time between two ticks.
 const PLACE_TICK: Duration = Duration::from_millis(200);
@@ -56,7 +56,7 @@
     pub(crate) context: Arc<RelayContext>,
     pub(crate) agreed: Arc<dyn AgreedState>,
     pub(crate) hub: PeerHub,
-    pub(crate) spreader: Arc<LeaseSpreader>,
+    pub(crate) broadcaster: Arc<LeaseBroadcaster>,
 }
 
 /// Places layers for as long as the process lives.
@@ -173,7 +173,7 @@
         }
         let notes = survey(&context, &self.client, &asked).await;
         let hub = &self.parts.hub;
-        self.parts.spreader.spread_survey(hub, &notes);
+        self.parts.broadcaster.broadcast_survey(hub, &notes);
         for note in &notes {
             match note.load {
                 Some(_) => {
--- a/crates/daemon/src/relay/start.rs
+++ b/crates/daemon/src/relay/start.rs
@@ -66,7 +66,7 @@
         context: relay,
         agreed: Arc::clone(agreed),
         hub: node.hub().clone(),
-        spreader: Arc::clone(node.spreader()),
+        broadcaster: Arc::clone(node.broadcaster()),
     };
     vec![tokio::spawn(run_placer(placer))]
 }
