--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -17,7 +17,7 @@
 use crate::fleet::BackendFleet;
 use crate::lifecycle::{LifeStep, LifeWatch};
 use crate::resend::ResendDesk;
-use crate::streams::StreamKeeper;
+use crate::streams::StreamStore;
 use crate::tasks::TaskGroup;
 use crate::telemetry::{MetricRegistry, RecorderSlot};
 
@@ -54,7 +54,7 @@
     /// Admits requests.
     pub gate: Arc<AdmissionGate>,
     /// Streams that can go on at another entry.
-    pub streams: Arc<StreamKeeper>,
+    pub streams: Arc<StreamStore>,
     /// Decides on resends.
     pub resends: ResendDesk,
     /// Evidence of this process; empty until the keepers gave it its life.
--- a/crates/daemon/src/entry/draft/telling.rs
+++ b/crates/daemon/src/entry/draft/telling.rs
@@ -49,7 +49,7 @@
             ),
             None => (ledger.next_position(), Vec::new()),
         };
-        self.context.streams.tell(StreamNote {
+        self.context.streams.replicate(StreamNote {
             request: self.job.id.clone(),
             customer: self.job.customer.clone(),
             digest: self.job.digest,
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -8,7 +8,7 @@
 use crate::lease_broadcast::LeaseBroadcaster;
 use crate::operators::KeeperDesk;
 use crate::peers::{PeerAnswer, PeerCall, PeerFrame, PeerHandler, PeerHub, PeerQuestion};
-use crate::streams::StreamKeeper;
+use crate::streams::StreamStore;
 
 /// Parts that take frames.
 pub struct FrameTargets {
@@ -17,7 +17,7 @@
     /// Operators' questions.
     pub desk: Arc<KeeperDesk>,
     /// Streams that can go on elsewhere.
-    pub streams: Arc<StreamKeeper>,
+    pub streams: Arc<StreamStore>,
     /// Leases.
     pub broadcaster: Arc<LeaseBroadcaster>,
 }
@@ -57,7 +57,7 @@
             PeerFrame::Survey { notes, pass_on } => {
                 targets.broadcaster.receive_survey(notes, pass_on)
             }
-            PeerFrame::Stream(note) => targets.streams.take(note),
+            PeerFrame::Stream(note) => targets.streams.receive_note(note),
             PeerFrame::Call(call) => answer_call(targets, hub, from, call),
             _ => {}
         }
@@ -84,7 +84,7 @@
                     broadcaster.record_follower(&from);
                     feed.answer(have).await
                 }
-                PeerQuestion::RequestLookUp(request) => streams.answer(&request),
+                PeerQuestion::RequestLookUp(request) => streams.answer_look_up(&request),
                 PeerQuestion::Operator(question) => desk.serve(&question.0).await,
                 _ => PeerAnswer::NotRun {
                     reason: "this host does not answer that".to_owned(),
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -37,7 +37,7 @@
 use crate::peers::{PeerHandler, PeerHub, PeerTasks};
 use crate::settings::DaemonSettings;
 use crate::state::SharedState;
-use crate::streams::StreamKeeper;
+use crate::streams::StreamStore;
 use crate::telemetry::{JournalError, RecorderSlot};
 
 /// Pause between two tries to announce this process's life to the keepers.
@@ -74,7 +74,7 @@
     keeper: Mutex<Option<RunningKeeper>>,
     shared: Option<SharedState>,
     desk: Arc<KeeperDesk>,
-    streams: Arc<StreamKeeper>,
+    streams: Arc<StreamStore>,
     broadcaster: Arc<LeaseBroadcaster>,
     peers: PeerTasks,
     tasks: Vec<JoinHandle<()>>,
@@ -180,7 +180,7 @@
             files.clone(),
             Arc::clone(&parts.clock),
         ));
-        let streams = Arc::new(StreamKeeper::new(hub.clone(), Arc::clone(&parts.clock)));
+        let streams = Arc::new(StreamStore::new(hub.clone(), Arc::clone(&parts.clock)));
         frames.connect(FrameTargets {
             streams: Arc::clone(&streams),
             desk: Arc::clone(&desk),
@@ -252,7 +252,7 @@
     }
 
     /// Streams that can go on at another entry.
-    pub fn streams(&self) -> &Arc<StreamKeeper> {
+    pub fn streams(&self) -> &Arc<StreamStore> {
         &self.streams
     }
 
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -17,13 +17,13 @@
 const HOLDERS: usize = 2;
 
 /// This host's part in remembering streams.
-pub struct StreamKeeper {
+pub struct StreamStore {
     table: Mutex<StreamTable>,
     hub: PeerHub,
     clock: Arc<dyn TimeSource>,
 }
 
-impl StreamKeeper {
+impl StreamStore {
     /// A keeper of no streams.
     pub fn new(hub: PeerHub, clock: Arc<dyn TimeSource>) -> Self {
         Self {
@@ -34,7 +34,7 @@
     }
 
     /// Tells the request's host of tokens that are about to go to the caller; waits for nothing.
-    pub fn tell(&self, note: StreamNote) {
+    pub fn replicate(&self, note: StreamNote) {
         let Some(holder) = self
             .ranked(&note.request)
             .into_iter()
@@ -47,7 +47,7 @@
     }
 
     /// Takes what an entry tells.
-    pub fn take(&self, note: StreamNote) {
+    pub fn receive_note(&self, note: StreamNote) {
         let now = self.clock.now();
         let mut table = self.lock();
         table.note(now, note);
@@ -55,7 +55,7 @@
     }
 
     /// What this host knows of a stream, for a peer.
-    pub fn answer(&self, request: &RequestId) -> PeerAnswer {
+    pub fn answer_look_up(&self, request: &RequestId) -> PeerAnswer {
         let record = self.lock().look_up(request).cloned();
         let encoded = record.and_then(|record| {
             let mut bytes = Vec::new();
