--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -36,7 +36,7 @@
 use crate::placement::{PlacementParts, run_placement};
 use crate::platform::{DumpSource, PlatformHandler};
 use crate::relay::{RelayContext, RelayParts, relay_faces, start_relay};
-use crate::resend::ResendDesk;
+use crate::resend::ResendPolicy;
 use crate::settings::{DaemonSettings, DrainSettings, EntrySettings, RetrySettings};
 use crate::tasks::TaskGroup;
 use crate::telemetry::{EvidenceSink, MetricError, MetricRegistry, RecorderSlot};
@@ -169,7 +169,7 @@
             life: life.watch(),
             gate: Arc::clone(&gate),
             streams: Arc::clone(node.streams()),
-            resends: ResendDesk::new(retry_settings(&settings.retries), Arc::clone(&clock)),
+            resends: ResendPolicy::new(retry_settings(&settings.retries), Arc::clone(&clock)),
             recorder: Arc::clone(&recorder),
             metrics: Arc::clone(&metrics),
             tasks: TaskGroup::default(),
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -16,7 +16,7 @@
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
 use crate::lifecycle::{LifeStep, LifeWatch};
-use crate::resend::ResendDesk;
+use crate::resend::ResendPolicy;
 use crate::streams::StreamStore;
 use crate::tasks::TaskGroup;
 use crate::telemetry::{MetricRegistry, RecorderSlot};
@@ -56,7 +56,7 @@
     /// Streams that can go on at another entry.
     pub streams: Arc<StreamStore>,
     /// Decides on resends.
-    pub resends: ResendDesk,
+    pub resends: ResendPolicy,
     /// Evidence of this process; empty until the keepers gave it its life.
     pub recorder: Arc<RecorderSlot>,
     /// Metrics of this process.
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -268,7 +268,7 @@
             attempts: self.fruitless,
             deadline: self.job.deadline,
         };
-        match self.context.resends.wait(query) {
+        match self.context.resends.next_delay(query) {
             Ok(wait) => {
                 tokio::time::sleep(wait).await;
                 Ok(())
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -115,7 +115,7 @@
             .begin(begun)
             .map_err(|full| Refusal::not_ready(&format!("the keepers take no evidence: {full}")))?;
         context.metrics.request_begun();
-        context.resends.called(&caller);
+        context.resends.record_first_attempt(&caller);
         let queued = context.clock.now().since(arrival.arrived);
         open.update(|end| end.timings.queued_us = micros(queued));
         Ok(Self {
--- a/crates/daemon/src/entry/services.rs
+++ b/crates/daemon/src/entry/services.rs
@@ -144,7 +144,7 @@
             attempts: u32::try_from(turn).unwrap_or(u32::MAX).saturating_add(1),
             deadline: self.deadline,
         };
-        match self.context.resends.wait(query) {
+        match self.context.resends.next_delay(query) {
             Ok(wait) => {
                 tokio::time::sleep(wait).await;
                 true
--- a/crates/daemon/src/relay/control.rs
+++ b/crates/daemon/src/relay/control.rs
@@ -17,7 +17,7 @@
     HandlerFuture, HttpHandler, ResponseBody, full_body, read_bounded, read_within, text_response,
 };
 
-use super::heartbeats::HeartbeatDesk;
+use super::heartbeats::HeartbeatAssigner;
 use super::publish::Publisher;
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
@@ -37,7 +37,7 @@
     pub(crate) fleet: Arc<BackendFleet>,
     pub(crate) publisher: Publisher,
     pub(crate) node: Arc<AgreedNode>,
-    pub(super) heartbeats: HeartbeatDesk,
+    pub(super) heartbeats: HeartbeatAssigner,
     pub(crate) clock: Arc<dyn TimeSource>,
 }
 
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -107,20 +107,20 @@
 }
 
 /// Names hosts to servers that a keeper has heard.
-pub(super) struct HeartbeatDesk {
+pub(super) struct HeartbeatAssigner {
     node: Arc<AgreedNode>,
-    state: Mutex<DeskState>,
+    state: Mutex<AssignerState>,
 }
 
-struct DeskState {
+struct AssignerState {
     table: AssignmentTable,
     hosts: Vec<HeartbeatHost>,
     looked_at: Option<MonotonicTime>,
 }
 
-impl HeartbeatDesk {
+impl HeartbeatAssigner {
     pub(super) fn new(node: Arc<AgreedNode>) -> Self {
-        let state = DeskState {
+        let state = AssignerState {
             table: AssignmentTable::new(AssignmentSettings::default()),
             hosts: Vec::new(),
             looked_at: None,
@@ -143,14 +143,14 @@
         let is_back = verdict == MergeVerdict::Renewed && known_for >= RETURN_TIME;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.look(now, &self.node);
-        let DeskState { table, hosts, .. } = &mut *state;
+        let AssignerState { table, hosts, .. } = &mut *state;
         let host = table.assign(now, &note.server, &note.data_centre, is_back, hosts)?;
         log::info!(server:% = note.server, host:% = host.host, is_back = is_back; "heartbeats assigned");
         Some(host.address)
     }
 }
 
-impl DeskState {
+impl AssignerState {
     /// Looks up the hosts that take heartbeats and are linked to this one.
     fn look(&mut self, now: MonotonicTime, node: &AgreedNode) {
         let is_fresh = |at: MonotonicTime| now.since(at) < HOSTS_PERIOD;
--- a/crates/daemon/src/relay/start.rs
+++ b/crates/daemon/src/relay/start.rs
@@ -7,7 +7,7 @@
 use super::chains::run_chains;
 use super::context::RelayContext;
 use super::control::ControlHandler;
-use super::heartbeats::{HeartbeatDesk, HeartbeatHandler};
+use super::heartbeats::{HeartbeatAssigner, HeartbeatHandler};
 use super::placer::{PlacerParts, run_placer};
 use super::publish::Publisher;
 use super::{RelayFaces, RelayHandler};
@@ -38,7 +38,7 @@
             fleet: Arc::clone(fleet),
             publisher,
             node: Arc::clone(node),
-            heartbeats: HeartbeatDesk::new(Arc::clone(node)),
+            heartbeats: HeartbeatAssigner::new(Arc::clone(node)),
             clock: Arc::clone(clock),
         }),
         heartbeats: Arc::new(HeartbeatHandler {
--- a/crates/daemon/src/resend.rs
+++ b/crates/daemon/src/resend.rs
@@ -28,12 +28,12 @@
 }
 
 /// Decides on resends within the customers' budgets.
-pub struct ResendDesk {
+pub struct ResendPolicy {
     budgets: Mutex<BudgetTable>,
     clock: Arc<dyn TimeSource>,
 }
 
-impl ResendDesk {
+impl ResendPolicy {
     /// A desk with full budgets.
     pub fn new(settings: RetrySettings, clock: Arc<dyn TimeSource>) -> Self {
         Self {
@@ -43,7 +43,7 @@
     }
 
     /// Notes a first attempt, which earns a part of a retry.
-    pub fn called(&self, customer: &CustomerName) {
+    pub fn record_first_attempt(&self, customer: &CustomerName) {
         let now = self.clock.now();
         self.budgets
             .lock()
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// The request is not sent again; the text says why.
-    pub fn wait(&self, query: ResendQuery<'_>) -> Result<Duration, String> {
+    pub fn next_delay(&self, query: ResendQuery<'_>) -> Result<Duration, String> {
         let failed = FailedAttempt {
             customer: query.customer,
             kind: query.kind,
