--- a/crates/daemon/src/peers/backoff.rs
+++ b/crates/daemon/src/peers/backoff.rs
@@ -20,8 +20,8 @@
 impl RetryBackoff {
     pub(super) fn new(settings: &LinkSettings, salt: u64) -> Self {
         Self {
-            first: settings.retry_first,
-            next: settings.retry_first,
+            first: settings.base_backoff,
+            next: settings.base_backoff,
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ salt),
         }
     }
@@ -47,10 +47,10 @@
     fn waits_double_up_to_the_bound_and_start_over() {
         let settings = LinkSettings::default();
         let mut backoff = RetryBackoff::new(&settings, 7);
-        let mut next = || backoff.next_wait(settings.retry_most).as_millis();
+        let mut next = || backoff.next_wait(settings.max_backoff).as_millis();
         let mut waits: Vec<u128> = (0..8).map(|_| next()).collect();
         backoff.reset();
-        waits.push(backoff.next_wait(settings.retry_most).as_millis());
+        waits.push(backoff.next_wait(settings.max_backoff).as_millis());
         insta::assert_compact_json_snapshot!(waits, @"[11, 23, 68, 138, 256, 434, 541, 924, 13]");
     }
 }
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -51,13 +51,13 @@
 
 /// How often a link is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct LinkPace {
+pub(super) struct LinkTiming {
     /// Time between two heartbeats.
     pub(super) heartbeat: Duration,
     /// Silence after which the link counts as broken.
-    pub(super) silence: Duration,
+    pub(super) silence_timeout: Duration,
     /// Longest wait between two attempts to open it.
-    pub(super) longest_wait: Duration,
+    pub(super) max_backoff: Duration,
     /// Time for opening it.
     pub(super) handshake: Duration,
 }
@@ -206,9 +206,9 @@
         node,
         dialer,
         handler,
-        handshakes: Semaphore::new(settings.handshakes),
-        dials: Semaphore::new(settings.dials),
-        calls: CallTable::new(settings.open_calls),
+        handshakes: Semaphore::new(settings.max_handshakes),
+        dials: Semaphore::new(settings.max_dials),
+        calls: CallTable::new(settings.max_open_calls),
         slots: RwLock::default(),
         settings,
     };
@@ -307,17 +307,19 @@
 
     /// How often the link to `host` is tried. Keepers depend on each other and try theirs often. All other
     /// links together cost a keeper the same, however many there are.
-    pub(super) fn pace_of(&self, host: &HostName) -> LinkPace {
+    pub(super) fn timing_of(&self, host: &HostName) -> LinkTiming {
         let settings = &self.shared.settings;
         let is_between_keepers =
             |discovery: &PeerDiscovery| discovery.own_reach().keeper && discovery.is_keeper(host);
         let far = self.discovery().filter(|found| !is_between_keepers(found));
         let entries = far.and_then(|found| found.entries()).unwrap_or(0);
-        let heartbeat = settings.heartbeat.max(settings.heartbeat_share * entries);
-        LinkPace {
+        let heartbeat = settings
+            .heartbeat
+            .max(settings.heartbeat_per_entry * entries);
+        LinkTiming {
             heartbeat,
-            silence: settings.silence.max(heartbeat * SILENT_HEARTBEATS),
-            longest_wait: settings.retry_most.max(heartbeat * WAITED_HEARTBEATS),
+            silence_timeout: settings.silence_timeout.max(heartbeat * SILENT_HEARTBEATS),
+            max_backoff: settings.max_backoff.max(heartbeat * WAITED_HEARTBEATS),
             handshake: match far {
                 Some(_) => settings.entry_handshake_timeout,
                 None => settings.handshake_timeout,
@@ -435,7 +437,7 @@
     }
 
     fn encode(&self, frame: &PeerFrame) -> Result<Bytes, SendRefusal> {
-        let bound = self.shared.settings.frame_bytes;
+        let bound = self.shared.settings.max_frame_bytes;
         encode_frame(frame, bound).map_err(|error| SendRefusal::TooLarge {
             reason: error.to_string(),
         })
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -168,7 +168,7 @@
             }
             _ = checks.tick() => {
                 // The other end may have been told of more hosts, and so beat more slowly.
-                let silence = hub.pace_of(&link.host).silence * 2;
+                let silence = hub.timing_of(&link.host).silence_timeout * 2;
                 if clock.now().since(heard_at) > silence {
                     Err(LinkError::Silent)
                 } else {
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -42,7 +42,7 @@
             }
         };
         log::debug!(peer:% = host, error:% = error; "link to a peer ended");
-        sleep(backoff.next_wait(hub.pace_of(host).longest_wait)).await;
+        sleep(backoff.next_wait(hub.timing_of(host).max_backoff)).await;
     }
 }
 
@@ -60,7 +60,7 @@
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
     let _permit = hub.shared.dials.acquire().await;
     let opening = connect(hub, slot);
-    timeout(hub.pace_of(&slot.peer.host).handshake, opening)
+    timeout(hub.timing_of(&slot.peer.host).handshake, opening)
         .await
         .map_err(|_| LinkError::Timeout {
             step: "the handshake",
@@ -109,7 +109,7 @@
     let dialing = hub.shared.dialer.dial(expected, address);
     let stream = dialing.await.map_err(LinkError::Dial)?;
     let handshake = client_async_with_config(HANDSHAKE_URL, stream, Some(socket_config(settings)));
-    let patience = hub.pace_of(expected).handshake;
+    let patience = hub.timing_of(expected).handshake;
     let (socket, _) = in_time("the handshake", patience, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     sender.send(&hub.hello()).await?;
@@ -135,7 +135,7 @@
     mut receiver: FrameReceiver,
 ) -> LinkError {
     let host = &slot.peer.host;
-    let mut pace = hub.pace_of(host);
+    let mut pace = hub.timing_of(host);
     let mut next_heartbeat = Instant::now();
     let mut sent = HeartbeatNumber::default();
     let mut sent_at = Instant::now();
@@ -152,10 +152,10 @@
             }
             () = slot.queue.ready() => sender.send_queued(&slot.queue).await,
             () = sleep_until(next_heartbeat) => {
-                if clock.now().since(heard_at) > pace.silence {
+                if clock.now().since(heard_at) > pace.silence_timeout {
                     return LinkError::Silent;
                 }
-                pace = hub.pace_of(host);
+                pace = hub.timing_of(host);
                 next_heartbeat = Instant::now() + pace.heartbeat;
                 sent = HeartbeatNumber(sent.0 + 1);
                 sent_at = Instant::now();
--- a/crates/daemon/src/peers/queue.rs
+++ b/crates/daemon/src/peers/queue.rs
@@ -54,9 +54,9 @@
 pub(super) struct FrameQueue {
     state: Mutex<QueueState>,
     wake: Notify,
-    agreement_frames: usize,
-    other_frames: usize,
-    queue_bytes: usize,
+    max_agreement_frames: usize,
+    max_other_frames: usize,
+    max_queue_bytes: usize,
 }
 
 impl FrameQueue {
@@ -64,9 +64,9 @@
         Self {
             state: Mutex::default(),
             wake: Notify::new(),
-            agreement_frames: settings.agreement_frames,
-            other_frames: settings.other_frames,
-            queue_bytes: settings.queue_bytes,
+            max_agreement_frames: settings.max_agreement_frames,
+            max_other_frames: settings.max_other_frames,
+            max_queue_bytes: settings.max_queue_bytes,
         }
     }
 
@@ -96,8 +96,8 @@
         }
         state.agreement_bytes += frame.len();
         state.agreement.push_back(frame);
-        while state.agreement.len() > self.agreement_frames
-            || state.agreement_bytes > self.queue_bytes
+        while state.agreement.len() > self.max_agreement_frames
+            || state.agreement_bytes > self.max_queue_bytes
         {
             let Some(oldest) = state.agreement.pop_front() else {
                 break;
@@ -117,7 +117,7 @@
             return Err(SendRefusal::Down);
         }
         let bytes = state.other_bytes + frame.len();
-        if state.other.len() >= self.other_frames || bytes > self.queue_bytes {
+        if state.other.len() >= self.max_other_frames || bytes > self.max_queue_bytes {
             state.dropped += 1;
             return Err(SendRefusal::Full);
         }
@@ -166,9 +166,9 @@
     #[test]
     fn a_slow_peer_keeps_the_newest_agreement_frames() {
         let settings = LinkSettings {
-            agreement_frames: 2,
-            other_frames: 1,
-            queue_bytes: 10,
+            max_agreement_frames: 2,
+            max_other_frames: 1,
+            max_queue_bytes: 10,
             ..LinkSettings::default()
         };
         let queue = FrameQueue::new(&settings);
--- a/crates/daemon/src/peers/socket.rs
+++ b/crates/daemon/src/peers/socket.rs
@@ -27,8 +27,8 @@
     WebSocketConfig::default()
         .read_buffer_size(READ_AHEAD)
         .write_buffer_size(READ_AHEAD)
-        .max_message_size(Some(settings.frame_bytes))
-        .max_frame_size(Some(settings.frame_bytes))
+        .max_message_size(Some(settings.max_frame_bytes))
+        .max_frame_size(Some(settings.max_frame_bytes))
 }
 
 /// Sending half.
@@ -50,8 +50,8 @@
     let (sink, stream) = socket.split();
     let sender = FrameSender {
         sink,
-        bound: settings.frame_bytes,
-        patience: settings.silence,
+        bound: settings.max_frame_bytes,
+        patience: settings.silence_timeout,
     };
     (sender, FrameReceiver { stream })
 }
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -167,9 +167,9 @@
 pub(crate) fn links() -> LinkSettings {
     LinkSettings {
         heartbeat: Duration::from_millis(50),
-        silence: Duration::from_secs(2),
-        retry_first: Duration::from_millis(2),
-        retry_most: Duration::from_millis(20),
+        silence_timeout: Duration::from_secs(2),
+        base_backoff: Duration::from_millis(2),
+        max_backoff: Duration::from_millis(20),
         ..LinkSettings::default()
     }
 }
--- a/crates/daemon/tests/peers_contract.rs
+++ b/crates/daemon/tests/peers_contract.rs
@@ -36,10 +36,10 @@
     LinkSettings {
         handshake_timeout: Duration::from_millis(200),
         heartbeat: Duration::from_millis(20),
-        silence: Duration::from_millis(200),
-        retry_first: Duration::from_millis(1),
-        retry_most: Duration::from_millis(5),
-        frame_bytes: FRAME_BOUND,
+        silence_timeout: Duration::from_millis(200),
+        base_backoff: Duration::from_millis(1),
+        max_backoff: Duration::from_millis(5),
+        max_frame_bytes: FRAME_BOUND,
         ..LinkSettings::default()
     }
 }
