--- a/crates/daemon/src/keeper/list.rs
+++ b/crates/daemon/src/keeper/list.rs
@@ -36,7 +36,7 @@
         match self {
             Self::Fixed(_) => (hosts, Vec::new()),
             Self::Found(discovery) => {
-                let is_near = |host: &HostName| discovery.is_near(host);
+                let is_near = |host: &HostName| discovery.is_in_own_data_centre(host);
                 hosts.into_iter().partition(is_near)
             }
         }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -6,13 +6,13 @@
 
 mod backoff;
 mod calls;
+mod compression;
 mod discovery;
 mod error;
 mod frame;
 mod hub;
 mod inbound;
 mod outbound;
-mod packing;
 mod queue;
 mod settings;
 mod socket;
--- a/crates/daemon/src/peers/packing/tests.rs
+++ b/crates/daemon/src/peers/compression/tests.rs
@@ -1,4 +1,4 @@
-use super::{MAX_UNPACKED, PACK_FROM, pack, unpack};
+use super::{COMPRESS_FROM, MAX_DECOMPRESSED, compress, decompress};
 
 fn document(routes: usize) -> Vec<u8> {
     let route = |route: usize| {
@@ -14,10 +14,10 @@
 fn a_long_document_shrinks_and_comes_out_to_the_letter() {
     for (routes, is_worth_it) in [(1, true), (2_000, true), (2_000, false)] {
         let frame = document(routes);
-        let sent = pack(&frame, is_worth_it);
-        let is_packed = is_worth_it && frame.len() >= PACK_FROM;
+        let sent = compress(&frame, is_worth_it);
+        let is_packed = is_worth_it && frame.len() >= COMPRESS_FROM;
         assert_eq!(sent.len() < frame.len() / 3, is_packed, "{routes}");
-        assert_eq!(unpack(&sent).expect("unpacks"), frame, "{routes}");
+        assert_eq!(decompress(&sent).expect("unpacks"), frame, "{routes}");
     }
 }
 
@@ -25,9 +25,11 @@
 #[test]
 fn foreign_bytes_are_refused_in_bounded_memory() {
     let huge = [&[1][..], &u32::MAX.to_be_bytes(), b"xyz"].concat();
-    let over = u32::try_from(MAX_UNPACKED + 1).expect("fits").to_be_bytes();
+    let over = u32::try_from(MAX_DECOMPRESSED + 1)
+        .expect("fits")
+        .to_be_bytes();
     let over = [&[1][..], &over, b"xyz"].concat();
-    let cut = pack(&document(2_000), true).slice(..900);
+    let cut = compress(&document(2_000), true).slice(..900);
     let longer = [&[1][..], &9_u32.to_be_bytes(), b"\x10a"].concat();
     let cases: [(&str, &[u8]); 7] = [
         ("nothing", b""),
@@ -39,6 +41,6 @@
         ("shorter than it says", &longer),
     ];
     for (name, bytes) in cases {
-        assert!(unpack(bytes).is_err(), "{name}");
+        assert!(decompress(bytes).is_err(), "{name}");
     }
 }
--- a/crates/daemon/src/peers/discovery.rs
+++ b/crates/daemon/src/peers/discovery.rs
@@ -16,7 +16,7 @@
 
 use super::frame::PeerFrame;
 use super::hub::{PeerAddress, PeerHub};
-use super::outbound::ask_name;
+use super::outbound::request_hello;
 
 /// Time between two looks at seeds that are not known yet, and between two tellings of keepers while
 /// those change: a new keeper is known to every host two tellings after it came.
@@ -138,7 +138,7 @@
     }
 
     /// Whether `host` stands in this host's data centre.
-    pub fn is_near(&self, host: &HostName) -> bool {
+    pub fn is_in_own_data_centre(&self, host: &HostName) -> bool {
         let own = self.reach.data_centre.as_ref();
         *host == self.host || own.is_some_and(|own| self.lock().is_in(host, own))
     }
@@ -157,13 +157,13 @@
     }
 
     /// A host said hello.
-    pub(super) fn greet(&self, hub: &PeerHub, host: &HostName, reach: HostReach) {
+    pub(super) fn record_hello(&self, hub: &PeerHub, host: &HostName, reach: HostReach) {
         let news = self.lock().hear(self.clock.now(), host, reach);
         self.apply(hub, news);
     }
 
     /// A host told of others.
-    pub(super) fn take(&self, hub: &PeerHub, notes: &[HostNote], entries: u32) {
+    pub(super) fn receive_hosts(&self, hub: &PeerHub, notes: &[HostNote], entries: u32) {
         let now = self.clock.now();
         self.entries.store(entries, Ordering::Relaxed);
         for note in notes {
@@ -226,10 +226,10 @@
         // A certificate would have to name the host, which is what is asked; seeds are for networks
         // that are protected otherwise.
         let nameless = HostName::from("seed");
-        match ask_name(hub, &nameless, seed).await {
+        match request_hello(hub, &nameless, seed).await {
             Ok(hello) => {
                 if let Some(reach) = hello.reach {
-                    self.greet(hub, &hello.host, reach);
+                    self.record_hello(hub, &hello.host, reach);
                 }
             }
             Err(error) => log::debug!(seed:% = seed, error:% = error; "seed does not answer"),
@@ -281,7 +281,7 @@
 
     /// Tells a host whose link has just come up which keepers there are, where this host is one. By the
     /// next tick it would have waited for half a second, after each start of the whole system.
-    pub(super) fn welcome(&self, hub: &PeerHub, host: &HostName) {
+    pub(super) fn send_keepers(&self, hub: &PeerHub, host: &HostName) {
         if !self.reach.keeper {
             return;
         }
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -16,8 +16,8 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use super::calls::CallNumber;
+use super::compression::{compress, decompress};
 use super::error::HelloRefusal;
-use super::packing::{pack, unpack};
 
 /// Version of the frames. Peers of another version are refused, never guessed at.
 pub const PEER_PROTOCOL: u32 = 5;
@@ -263,13 +263,13 @@
 
 impl PeerFrame {
     /// Whether a newer frame of the same kind makes up for the loss of this one.
-    pub(super) fn is_repeated(&self) -> bool {
+    pub(super) fn is_retransmitted(&self) -> bool {
         matches!(self, Self::Agreement(_))
     }
 
     /// Whether to pack a large frame. Keepers have wide links to each other, and little processor time
     /// for what each of them gets apart.
-    fn is_worth_packing(&self) -> bool {
+    fn is_worth_compressing(&self) -> bool {
         !matches!(self, Self::Agreement(_))
     }
 }
@@ -306,7 +306,7 @@
         let bytes = bytes.len();
         return Err(FrameError::TooLarge { bytes, bound });
     }
-    Ok(pack(&bytes, frame.is_worth_packing()))
+    Ok(compress(&bytes, frame.is_worth_compressing()))
 }
 
 /// Decodes a frame.
@@ -315,7 +315,7 @@
 /// The bytes are no frame; any bytes are safe.
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame, FrameError> {
     let garbage = |reason: String| FrameError::Garbage { reason };
-    let unpacked = unpack(bytes)?;
+    let unpacked = decompress(bytes)?;
     let mut rest = unpacked.as_ref();
     let frame = ciborium::de::from_reader_with_recursion_limit(&mut rest, FRAME_DEPTH)
         .map_err(|error| garbage(error.to_string()))?;
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -18,7 +18,7 @@
     PEER_PROTOCOL, PeerAnswer, PeerCall, PeerFrame, PeerHello, PeerQuestion, encode_frame,
 };
 use super::inbound::accept_streams;
-use super::outbound::keep_link;
+use super::outbound::maintain_link;
 use super::queue::{FrameQueue, SendRefusal};
 use super::settings::LinkSettings;
 use super::status::PeerStatus;
@@ -110,38 +110,38 @@
         if let Some(task) = task.as_ref() {
             task.abort();
         }
-        self.note_down("the peer was taken out".to_owned());
+        self.mark_down("the peer was taken out".to_owned());
     }
 
     fn notes(&self) -> MutexGuard<'_, LinkNotes> {
         self.notes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn note_round_trip(&self, time: Duration) {
+    pub(super) fn record_round_trip(&self, time: Duration) {
         self.notes().round_trip = Some(time);
     }
 
-    pub(super) fn note_up(&self) {
+    pub(super) fn mark_up(&self) {
         self.notes().links += 1;
-        self.queue.set_up(true);
+        self.queue.set_link_up(true);
         self.up.send_replace(true);
     }
 
-    pub(super) fn note_down(&self, error: String) {
+    pub(super) fn mark_down(&self, error: String) {
         self.notes().last_error = error;
-        self.queue.set_up(false);
+        self.queue.set_link_up(false);
         self.up.send_replace(false);
     }
 
     /// Takes the answers for a link that the peer has just opened.
     pub(super) fn open_replies(&self, queue: &Arc<FrameQueue>) {
-        queue.set_up(true);
+        queue.set_link_up(true);
         *self.replies() = Some(queue.clone());
     }
 
     /// Ends the answers for a link, unless the peer has opened another one since.
     pub(super) fn close_replies(&self, queue: &Arc<FrameQueue>) {
-        queue.set_up(false);
+        queue.set_link_up(false);
         let mut replies = self.replies();
         if replies
             .as_ref()
@@ -288,7 +288,7 @@
             slot.end();
         }
         let slot = Arc::new(PeerSlot::new(peer, &self.shared.settings));
-        let task = tokio::spawn(keep_link(self.clone(), Arc::clone(&slot)));
+        let task = tokio::spawn(maintain_link(self.clone(), Arc::clone(&slot)));
         *slot.task.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
         slots.insert(slot.peer.host.clone(), slot);
     }
@@ -334,8 +334,8 @@
     pub fn send(&self, host: &HostName, frame: &PeerFrame) -> Result<(), SendRefusal> {
         let slot = self.slot(host).ok_or(SendRefusal::UnknownHost)?;
         let bytes = self.encode(frame)?;
-        if frame.is_repeated() {
-            return slot.queue.push_repeated(bytes);
+        if frame.is_retransmitted() {
+            return slot.queue.push_retransmitted(bytes);
         }
         slot.queue.push(bytes)
     }
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -127,7 +127,7 @@
     }
     let host = hello.host.clone();
     if let (Some(discovery), Some(reach)) = (hub.discovery(), hello.reach.clone()) {
-        discovery.greet(hub, &host, reach);
+        discovery.record_hello(hub, &host, reach);
     }
     if hub.slot(&host).is_none() {
         return Err(HelloRefusal::UnknownHost { host });
@@ -199,7 +199,7 @@
         }
         PeerFrame::Hosts { keepers, entries } => {
             if let Some(discovery) = hub.discovery() {
-                discovery.take(hub, &keepers, entries);
+                discovery.receive_hosts(hub, &keepers, entries);
             }
         }
         frame => hub.shared.handler.handle(hub, &link.host, frame),
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -18,26 +18,26 @@
 const HANDSHAKE_URL: &str = "ws://peer/";
 
 /// Keeps one link open for as long as the process runs.
-pub(super) async fn keep_link(hub: PeerHub, slot: Arc<PeerSlot>) {
+pub(super) async fn maintain_link(hub: PeerHub, slot: Arc<PeerSlot>) {
     let host = &slot.peer.host;
     let mut backoff = RetryBackoff::new(&hub.shared.settings, salt_of(&hub, &slot));
     loop {
         let error = match open_link(&hub, &slot).await {
             Ok((sender, receiver)) => {
                 backoff.reset();
-                slot.note_up();
+                slot.mark_up();
                 if let Some(discovery) = hub.discovery() {
-                    discovery.welcome(&hub, host);
+                    discovery.send_keepers(&hub, host);
                 }
                 hub.shared.handler.link_changed(&hub, host, true);
                 let error = run_link(&hub, &slot, sender, receiver).await;
-                slot.note_down(error.to_string());
+                slot.mark_down(error.to_string());
                 hub.shared.calls.fail(host);
                 hub.shared.handler.link_changed(&hub, host, false);
                 error
             }
             Err(error) => {
-                slot.note_down(error.to_string());
+                slot.mark_down(error.to_string());
                 error
             }
         };
@@ -79,13 +79,13 @@
         });
     }
     if let (Some(discovery), Some(reach)) = (hub.discovery(), hello.reach) {
-        discovery.greet(hub, &hello.host, reach);
+        discovery.record_hello(hub, &hello.host, reach);
     }
     Ok((sender, receiver))
 }
 
 /// Asks whoever listens at `address` who it is; the link ends at once.
-pub(super) async fn ask_name(
+pub(super) async fn request_hello(
     hub: &PeerHub,
     expected: &HostName,
     address: SocketAddr,
@@ -177,7 +177,7 @@
     sent_at: Instant,
 ) -> Result<(), LinkError> {
     match frame {
-        PeerFrame::Echo(number) if number == sent => slot.note_round_trip(sent_at.elapsed()),
+        PeerFrame::Echo(number) if number == sent => slot.record_round_trip(sent_at.elapsed()),
         PeerFrame::Echo(_) => {}
         PeerFrame::Answer { number, answer } => {
             hub.shared.calls.answer(&slot.peer.host, number, answer);
--- a/crates/daemon/src/peers/queue.rs
+++ b/crates/daemon/src/peers/queue.rs
@@ -78,7 +78,7 @@
     ///
     /// What waits when a link breaks is thrown away: agreement traffic is out of date by the time
     /// a link is back, and the callers of the rest have been told that the link is gone.
-    pub(super) fn set_up(&self, up: bool) {
+    pub(super) fn set_link_up(&self, up: bool) {
         let mut state = self.lock();
         let dropped = state.dropped + (state.agreement.len() + state.other.len()) as u64;
         *state = QueueState {
@@ -89,7 +89,7 @@
     }
 
     /// Adds a frame that later ones make up for: the oldest go where there is no room.
-    pub(super) fn push_repeated(&self, frame: Bytes) -> Result<(), SendRefusal> {
+    pub(super) fn push_retransmitted(&self, frame: Bytes) -> Result<(), SendRefusal> {
         let mut state = self.lock();
         if !state.up {
             return Err(SendRefusal::Down);
@@ -174,17 +174,17 @@
         let queue = FrameQueue::new(&settings);
         let frame = |text: &'static str| Bytes::from_static(text.as_bytes());
         assert_eq!(queue.push(frame("a")), Err(SendRefusal::Down));
-        queue.set_up(true);
+        queue.set_link_up(true);
         for text in ["a1", "a2", "a3", "a4+6789ab"] {
-            queue.push_repeated(frame(text)).expect("up");
+            queue.push_retransmitted(frame(text)).expect("up");
         }
         assert_eq!(queue.push(frame("b1")), Ok(()));
         assert_eq!(queue.push(frame("b2")), Err(SendRefusal::Full));
         let taken: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
         assert_eq!(taken, [frame("a4+6789ab"), frame("b1")]);
         queue.push(frame("b3")).expect("room again");
-        queue.set_up(false);
-        queue.set_up(true);
+        queue.set_link_up(false);
+        queue.set_link_up(true);
         assert_eq!(queue.pop(), None);
         assert_eq!(queue.usage().dropped, 5);
     }
