--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -27,18 +27,18 @@
 /// The links must stand before the parts that use them, so frames that come first are dropped;
 /// all of them are repeated or asked for again.
 #[derive(Default)]
-pub struct DaemonFrames {
+pub struct DaemonFrameHandler {
     targets: OnceLock<FrameTargets>,
 }
 
-impl DaemonFrames {
+impl DaemonFrameHandler {
     /// Sets the parts; the first call counts.
     pub fn connect(&self, targets: FrameTargets) {
         let _ = self.targets.set(targets);
     }
 }
 
-impl PeerHandler for DaemonFrames {
+impl PeerHandler for DaemonFrameHandler {
     fn handle(&self, hub: &PeerHub, from: &HostName, frame: PeerFrame) {
         let Some(targets) = self.targets.get() else {
             return;
--- a/crates/daemon/src/keeper.rs
+++ b/crates/daemon/src/keeper.rs
@@ -23,12 +23,12 @@
 
 pub use client::{ClientSettings, KeeperClient, RetryPermission};
 pub use error::{KeeperError, SubmitError};
-pub use frames::KeeperFrames;
+pub use frames::KeeperFrameHandler;
 pub use handle::KeeperHandle;
 pub use list::KeeperList;
 pub use port::{KeeperInbox, KeeperPort, keeper_queue};
 pub use replay::ReplayReport;
-pub use schedule::SnapshotBounds;
+pub use schedule::SnapshotThresholds;
 pub use settings::KeeperSettings;
 pub use start::{KeeperStart, RunningKeeper, start_keeper, start_keeper_on};
 pub use status::KeeperStatus;
--- a/crates/daemon/src/keeper/calls.rs
+++ b/crates/daemon/src/keeper/calls.rs
@@ -130,7 +130,7 @@
 }
 
 /// Whether a refusal of a join step only means "ask again later".
-pub(super) fn is_passing(reason: &str) -> bool {
+pub(super) fn is_transient(reason: &str) -> bool {
     [RefusalReason::NotCaughtUp, RefusalReason::ChangePending]
         .iter()
         .any(|passing| passing.to_string() == reason)
--- a/crates/daemon/src/keeper/client.rs
+++ b/crates/daemon/src/keeper/client.rs
@@ -16,13 +16,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
     /// Time for one request, attempts at other keepers included.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// Time for one attempt at one keeper.
-    pub attempt: Duration,
+    pub attempt_timeout: Duration,
     /// First wait before the keepers are asked again while none leads; each further one is twice as long.
-    pub pause: Duration,
+    pub base_backoff: Duration,
     /// Longest such wait.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
 }
 
 /// Least time that must be left for another attempt: within it a busy host answers.
@@ -34,10 +34,10 @@
 impl Default for ClientSettings {
     fn default() -> Self {
         Self {
-            patience: Duration::from_secs(5),
-            attempt: Duration::from_millis(1_500),
-            pause: Duration::from_millis(20),
-            longest_pause: Duration::from_millis(200),
+            request_timeout: Duration::from_secs(5),
+            attempt_timeout: Duration::from_millis(1_500),
+            base_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_millis(200),
         }
     }
 }
@@ -120,7 +120,7 @@
         };
         let index = LogIndex(index);
         if let Some(local) = &self.local {
-            let deadline = Instant::now() + self.settings.patience;
+            let deadline = Instant::now() + self.settings.request_timeout;
             timeout_at(deadline, local.wait_applied(index))
                 .await
                 .map_err(|_| SubmitError::not_run("own keeper lags behind"))??;
@@ -138,11 +138,11 @@
         question: PeerQuestion,
         retry: RetryPermission,
     ) -> Result<PeerAnswer, SubmitError> {
-        let deadline = Instant::now() + self.settings.patience;
+        let deadline = Instant::now() + self.settings.request_timeout;
         let mut unknown = None;
         let mut reason = "no keeper is known".to_owned();
         let mut next = self.first_choice();
-        let mut pause = self.settings.pause;
+        let mut pause = self.settings.base_backoff;
         let mut asked = 0;
         loop {
             let Some(host) = next.take().or_else(|| self.choice(asked)) else {
@@ -168,7 +168,7 @@
                 self.remember(None);
                 // Hundreds of hosts that ask at the same pace would keep keepers from electing a leader.
                 sleep(pause.mul_f64(rand::random_range(0.5..=1.0))).await;
-                pause = (pause * 2).min(self.settings.longest_pause);
+                pause = (pause * 2).min(self.settings.max_backoff);
             }
             if Instant::now() + LEAST_ATTEMPT >= deadline {
                 return Err(
@@ -197,7 +197,7 @@
     }
 
     async fn attempt(&self, host: &HostName, question: PeerQuestion, deadline: Instant) -> Attempt {
-        let attempt_end = deadline.min(Instant::now() + self.settings.attempt);
+        let attempt_end = deadline.min(Instant::now() + self.settings.attempt_timeout);
         match &self.local {
             Some(local) if host == self.hub.host() => {
                 let outcome = timeout_at(attempt_end, ask_local(local, question)).await;
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -17,14 +17,14 @@
 use crate::peers::{PeerFrame, encode_agreement};
 
 /// Answer of the state machine to one entry.
-pub(super) struct AppliedAnswer {
+pub(super) struct AppliedResult {
     index: LogIndex,
     answer: Result<Vec<u8>, MachineError>,
 }
 
 impl KeeperRuntime {
     /// Does at once what does not wait for committed entries; the rest joins the backlog in its order.
-    pub(super) fn perform(&mut self, effects: Vec<AgreementEffect>) -> Result<(), KeeperError> {
+    pub(super) fn run_effects(&mut self, effects: Vec<AgreementEffect>) -> Result<(), KeeperError> {
         for effect in effects {
             match effect {
                 AgreementEffect::Send(envelope) => self.send(&envelope),
@@ -59,7 +59,7 @@
     }
 
     /// Does what waits for the entries before it.
-    pub(super) fn follow(&mut self, effect: AgreementEffect) -> Result<(), KeeperError> {
+    pub(super) fn run_queued_effect(&mut self, effect: AgreementEffect) -> Result<(), KeeperError> {
         match effect {
             AgreementEffect::Committed(entries) => self.apply(entries),
             AgreementEffect::InstallSnapshot(snapshot) => self.install(&snapshot)?,
@@ -73,7 +73,7 @@
                 let snapshot = self.take_snapshot()?;
                 self.follow_up.push(snapshot);
             }
-            at_once => self.perform(vec![at_once])?,
+            at_once => self.run_effects(vec![at_once])?,
         }
         Ok(())
     }
@@ -105,13 +105,13 @@
             self.status.applied = entry.index;
             if let EntryPayload::Command(command) = &entry.payload {
                 let answer = self.machine.apply(entry.index, command);
-                self.answers.push(AppliedAnswer {
+                self.answers.push(AppliedResult {
                     index: entry.index,
                     answer,
                 });
             }
             let work = self.clock.now().since(began);
-            self.schedule.count(work);
+            self.schedule.record_work(work);
             self.count_replay(entry.index, work);
         }
     }
@@ -120,7 +120,7 @@
         let Some(replay) = &mut self.replay else {
             return;
         };
-        let Some(report) = replay.count(index, work) else {
+        let Some(report) = replay.record_entry(index, work) else {
             return;
         };
         log::info!(entries = report.entries, work_ms = millis(report.work); "log replayed");
@@ -132,12 +132,12 @@
         self.machine.restore(&snapshot.bytes)?;
         self.status.applied = snapshot.mark.index;
         self.schedule
-            .installed(snapshot.mark.index, self.status.usage.log_bytes);
+            .record_installed(snapshot.mark.index, self.status.usage.log_bytes);
         Ok(())
     }
 
     fn settle_submit(&mut self, token: RequestToken, outcome: ProposalOutcome) {
-        let Some(sender) = self.open.submits.remove(&token) else {
+        let Some(sender) = self.pending.submits.remove(&token) else {
             return;
         };
         let outcome = match outcome {
@@ -149,7 +149,7 @@
     }
 
     fn settle_read(&mut self, token: RequestToken, outcome: ReadOutcome) {
-        if let Some(sender) = self.open.reads.remove(&token) {
+        if let Some(sender) = self.pending.reads.remove(&token) {
             let outcome = match outcome {
                 ReadOutcome::Ready(index) => LocalOutcome::Done(index),
                 ReadOutcome::Refused(reason) => refused(reason),
@@ -159,13 +159,13 @@
     }
 
     fn settle_hand_over(&mut self, token: RequestToken, outcome: HandOverOutcome) {
-        if let Some(sender) = self.open.hand_overs.remove(&token) {
+        if let Some(sender) = self.pending.hand_overs.remove(&token) {
             tell(sender, LocalOutcome::Done(outcome));
         }
     }
 
     fn settle_change(&mut self, token: RequestToken, outcome: ProposalOutcome) {
-        if let Some(sender) = self.open.changes.remove(&token) {
+        if let Some(sender) = self.pending.changes.remove(&token) {
             let outcome = match outcome {
                 ProposalOutcome::Committed(index) => LocalOutcome::Done(index),
                 ProposalOutcome::NotAppended(reason) => refused(reason),
@@ -181,7 +181,7 @@
 }
 
 /// A command that the state machine can't read changes nothing, on any keeper.
-fn answer_at(index: LogIndex, answers: &mut Vec<AppliedAnswer>) -> LocalOutcome<Vec<u8>> {
+fn answer_at(index: LogIndex, answers: &mut Vec<AppliedResult>) -> LocalOutcome<Vec<u8>> {
     let position = answers.iter().position(|applied| applied.index == index);
     match position.map(|position| answers.swap_remove(position).answer) {
         Some(Ok(answer)) => LocalOutcome::Done(answer),
--- a/crates/daemon/src/keeper/frames.rs
+++ b/crates/daemon/src/keeper/frames.rs
@@ -9,12 +9,12 @@
 use crate::peers::{PeerFrame, PeerHandler, PeerHub};
 
 /// Handles agreement messages and calls to keepers; all other frames go on to `next`.
-pub struct KeeperFrames {
+pub struct KeeperFrameHandler {
     port: KeeperPort,
     next: Arc<dyn PeerHandler>,
 }
 
-impl KeeperFrames {
+impl KeeperFrameHandler {
     /// Frames of the keeper behind `port`.
     #[must_use]
     pub fn new(port: KeeperPort, next: Arc<dyn PeerHandler>) -> Self {
@@ -22,7 +22,7 @@
     }
 }
 
-impl PeerHandler for KeeperFrames {
+impl PeerHandler for KeeperFrameHandler {
     fn handle(&self, hub: &PeerHub, from: &HostName, frame: PeerFrame) {
         match frame {
             PeerFrame::Agreement(bytes) => self.port.take_message(from, &bytes.0),
--- a/crates/daemon/src/keeper/join.rs
+++ b/crates/daemon/src/keeper/join.rs
@@ -4,7 +4,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::calls::is_passing;
+use super::calls::is_transient;
 use super::list::KeeperList;
 use super::port::KeeperPort;
 use super::settings::KeeperSettings;
@@ -29,7 +29,8 @@
         if status.borrow().stopped.is_some() {
             return;
         }
-        if status.borrow().is_voter() && !is_stranded(&mut status, settings.stranded).await {
+        if status.borrow().is_voter() && !is_stranded(&mut status, settings.stranded_timeout).await
+        {
             continue;
         }
         let leader = status.borrow().leader.clone().map(|leader| leader.host);
@@ -44,7 +45,7 @@
         let question = PeerQuestion::Join(keeper.clone());
         let patience = settings.agreement.election_timeout * 4;
         match hub.call(&host, question, 1, patience).await {
-            Ok(PeerAnswer::NotRun { reason }) if !is_passing(&reason) => {
+            Ok(PeerAnswer::NotRun { reason }) if !is_transient(&reason) => {
                 log::warn!(peer:% = host, reason:% = reason; "can't join the group");
             }
             Ok(_) | Err(_) => {}
--- a/crates/daemon/src/keeper/list.rs
+++ b/crates/daemon/src/keeper/list.rs
@@ -13,7 +13,7 @@
     /// Those that the settings name.
     Fixed(Arc<[HostName]>),
     /// Those that were found, from seed addresses on.
-    Found(Arc<PeerDiscovery>),
+    Discovered(Arc<PeerDiscovery>),
 }
 
 impl KeeperList {
@@ -22,7 +22,7 @@
     pub fn hosts(&self) -> Vec<HostName> {
         match self {
             Self::Fixed(hosts) => hosts.to_vec(),
-            Self::Found(discovery) => discovery.keepers(),
+            Self::Discovered(discovery) => discovery.keepers(),
         }
     }
 
@@ -35,7 +35,7 @@
         }
         match self {
             Self::Fixed(_) => (hosts, Vec::new()),
-            Self::Found(discovery) => {
+            Self::Discovered(discovery) => {
                 let is_near = |host: &HostName| discovery.is_in_own_data_centre(host);
                 hosts.into_iter().partition(is_near)
             }
@@ -46,7 +46,7 @@
     pub(super) fn founders(&self) -> Option<Vec<HostName>> {
         let hosts = match self {
             Self::Fixed(hosts) => hosts.to_vec(),
-            Self::Found(discovery) => discovery.seed_hosts()?,
+            Self::Discovered(discovery) => discovery.seed_hosts()?,
         };
         let sorted: BTreeSet<HostName> = hosts.into_iter().collect();
         Some(sorted.into_iter().collect())
--- a/crates/daemon/src/keeper/replay.rs
+++ b/crates/daemon/src/keeper/replay.rs
@@ -33,7 +33,7 @@
     }
 
     /// Counts one entry; gives the report with the last one.
-    pub(super) fn count(&mut self, index: LogIndex, work: Duration) -> Option<ReplayReport> {
+    pub(super) fn record_entry(&mut self, index: LogIndex, work: Duration) -> Option<ReplayReport> {
         self.entries += 1;
         self.work += work;
         (index >= self.until).then_some(ReplayReport {
--- a/crates/daemon/src/keeper/runtime.rs
+++ b/crates/daemon/src/keeper/runtime.rs
@@ -13,7 +13,7 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-use super::effects::AppliedAnswer;
+use super::effects::AppliedResult;
 use super::error::{KeeperError, SubmitError};
 use super::port::{KeeperInbox, KeeperRequest, LocalOutcome, OutcomeSender};
 use super::replay::LogReplay;
@@ -31,7 +31,7 @@
 
 /// Requests whose outcome the core has not told yet.
 #[derive(Default)]
-pub(super) struct OpenRequests {
+pub(super) struct PendingRequests {
     last: u64,
     pub(super) submits: BTreeMap<RequestToken, OutcomeSender<Vec<u8>>>,
     pub(super) reads: BTreeMap<RequestToken, OutcomeSender<LogIndex>>,
@@ -39,7 +39,7 @@
     pub(super) changes: BTreeMap<RequestToken, OutcomeSender<LogIndex>>,
 }
 
-impl OpenRequests {
+impl PendingRequests {
     fn token(&mut self) -> RequestToken {
         self.last = self.last.wrapping_add(1);
         RequestToken(self.last)
@@ -55,12 +55,12 @@
     pub(super) clock: Arc<dyn TimeSource>,
     pub(super) inbox: KeeperInbox,
     pub(super) reports: mpsc::UnboundedReceiver<CommitReport>,
-    pub(super) open: OpenRequests,
+    pub(super) pending: PendingRequests,
     pub(super) status: KeeperStatus,
     /// What follows from committed entries, in its order; see [`KeeperRuntime::work_on`].
     pub(super) backlog: VecDeque<AgreementEffect>,
     /// Answers to entries of the backlog.
-    pub(super) answers: Vec<AppliedAnswer>,
+    pub(super) answers: Vec<AppliedResult>,
     /// Entries of the start that are not applied yet; `None` once all are.
     pub(super) replay: Option<LogReplay>,
     /// Inputs that effects of the last tick led to.
@@ -180,7 +180,7 @@
         let bytes = self.machine.snapshot()?;
         let work = self.clock.now().since(began);
         self.schedule
-            .taken(self.status.applied, self.status.usage.log_bytes, work);
+            .record_taken(self.status.applied, self.status.usage.log_bytes, work);
         log::info!(index:% = self.status.applied, bytes = bytes.len(), work_ms = millis(work);
             "snapshot taken");
         Ok(AgreementInput::SnapshotTaken {
@@ -207,22 +207,22 @@
     }
 
     fn open_request(&mut self, request: KeeperRequest) -> Result<AgreementInput, KeeperError> {
-        let token = self.open.token();
+        let token = self.pending.token();
         Ok(match request {
             KeeperRequest::Submit { command, outcome } => {
-                self.open.submits.insert(token, outcome);
+                self.pending.submits.insert(token, outcome);
                 AgreementInput::Propose { token, command }
             }
             KeeperRequest::Read { outcome } => {
-                self.open.reads.insert(token, outcome);
+                self.pending.reads.insert(token, outcome);
                 AgreementInput::Read { token }
             }
             KeeperRequest::HandOver { target, outcome } => {
-                self.open.hand_overs.insert(token, outcome);
+                self.pending.hand_overs.insert(token, outcome);
                 AgreementInput::HandOver { token, target }
             }
             KeeperRequest::Change { change, outcome } => {
-                self.open.changes.insert(token, outcome);
+                self.pending.changes.insert(token, outcome);
                 AgreementInput::ChangeMembership { token, change }
             }
             KeeperRequest::Stop => {
@@ -238,7 +238,7 @@
         let mut inputs = inputs;
         loop {
             let effects = self.node.tick(self.clock.now(), inputs);
-            self.perform(effects)?;
+            self.run_effects(effects)?;
             self.work_on()?;
             if self.follow_up.is_empty() {
                 break;
@@ -259,7 +259,7 @@
     fn work_on(&mut self) -> Result<(), KeeperError> {
         let until = self.clock.now().after(APPLY_SLICE);
         while let Some(effect) = self.backlog.pop_front() {
-            self.follow(effect)?;
+            self.run_queued_effect(effect)?;
             if self.clock.now() >= until {
                 break;
             }
@@ -301,7 +301,7 @@
 
     /// Requests that the core took may yet be committed by the others; reads were not answered.
     fn abandon_open(&mut self, reason: &str) {
-        let open = std::mem::take(&mut self.open);
+        let open = std::mem::take(&mut self.pending);
         let reason = format!("keeper has stopped: {reason}");
         for outcome in open.submits.into_values() {
             settle(outcome, SubmitError::unknown(&reason));
--- a/crates/daemon/src/keeper/schedule.rs
+++ b/crates/daemon/src/keeper/schedule.rs
@@ -10,14 +10,14 @@
 
 /// Bounds of what a start has to read and apply again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SnapshotBounds {
+pub struct SnapshotThresholds {
     /// Bytes of log since the last snapshot after which the next one is taken.
     pub log_bytes: u64,
     /// Work of applying the log since the last snapshot after which the next one is taken.
     pub replay_work: Duration,
 }
 
-impl Default for SnapshotBounds {
+impl Default for SnapshotThresholds {
     fn default() -> Self {
         Self {
             log_bytes: 16 * 1024 * 1024,
@@ -35,7 +35,7 @@
 /// whatever the entries are, so a snapshot at that bound keeps the next start within it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SnapshotSchedule {
-    bounds: SnapshotBounds,
+    bounds: SnapshotThresholds,
     /// Last entry in the snapshot.
     taken_at: LogIndex,
     /// Bytes of log when the last snapshot was taken; falls with the log.
@@ -48,7 +48,7 @@
 
 impl SnapshotSchedule {
     /// The schedule of a keeper that holds a snapshot up to `taken_at`.
-    pub(super) fn new(bounds: SnapshotBounds, taken_at: LogIndex, log_bytes: u64) -> Self {
+    pub(super) fn new(bounds: SnapshotThresholds, taken_at: LogIndex, log_bytes: u64) -> Self {
         Self {
             bounds,
             taken_at,
@@ -59,7 +59,7 @@
     }
 
     /// Counts the work of an entry that was applied.
-    pub(super) fn count(&mut self, work: Duration) {
+    pub(super) fn record_work(&mut self, work: Duration) {
         self.replay_work += work;
     }
 
@@ -75,13 +75,13 @@
     }
 
     /// Notes a snapshot up to `applied`, taken here with `work`.
-    pub(super) fn taken(&mut self, applied: LogIndex, log_bytes: u64, work: Duration) {
-        self.installed(applied, log_bytes);
+    pub(super) fn record_taken(&mut self, applied: LogIndex, log_bytes: u64, work: Duration) {
+        self.record_installed(applied, log_bytes);
         self.snapshot_work = work;
     }
 
     /// Notes a snapshot up to `applied` that a peer sent.
-    pub(super) fn installed(&mut self, applied: LogIndex, log_bytes: u64) {
+    pub(super) fn record_installed(&mut self, applied: LogIndex, log_bytes: u64) {
         self.taken_at = applied;
         self.log_bytes_then = log_bytes;
         self.replay_work = Duration::ZERO;
--- a/crates/daemon/src/keeper/start.rs
+++ b/crates/daemon/src/keeper/start.rs
@@ -22,7 +22,7 @@
 use super::list::KeeperList;
 use super::port::{KeeperInbox, KeeperPort};
 use super::replay::{LogReplay, ReplayReport};
-use super::runtime::{KeeperRuntime, OpenRequests};
+use super::runtime::{KeeperRuntime, PendingRequests};
 use super::schedule::SnapshotSchedule;
 use super::settings::KeeperSettings;
 use super::status::KeeperStatus;
@@ -39,7 +39,7 @@
     pub client: ClientSettings,
     /// The keepers, this host included.
     pub keepers: KeeperList,
-    /// Links to the peers; their handler feeds `port` by [`super::KeeperFrames`].
+    /// Links to the peers; their handler feeds `port` by [`super::KeeperFrameHandler`].
     pub hub: PeerHub,
     /// Sending side of `inbox`.
     pub port: KeeperPort,
@@ -264,7 +264,7 @@
         clock: start.clock,
         inbox: start.inbox,
         reports,
-        open: OpenRequests::default(),
+        pending: PendingRequests::default(),
         schedule: SnapshotSchedule::new(start.settings.snapshots, applied, status.usage.log_bytes),
         status,
         backlog: VecDeque::new(),
--- a/crates/daemon/src/lease_broadcast/recipients.rs
+++ b/crates/daemon/src/lease_broadcast/recipients.rs
@@ -31,14 +31,14 @@
     pub(super) fn is_keeper(&self) -> bool {
         match &self.keepers {
             KeeperList::Fixed(_) => false,
-            KeeperList::Found(discovery) => discovery.own_reach().keeper,
+            KeeperList::Discovered(discovery) => discovery.own_reach().keeper,
         }
     }
 
     /// What `host` is to the leases that it tells of.
     pub(super) fn kind_of(&self, host: &HostName) -> HeardFrom {
         match &self.keepers {
-            KeeperList::Found(discovery) if discovery.is_keeper(host) => HeardFrom::Keeper,
+            KeeperList::Discovered(discovery) if discovery.is_keeper(host) => HeardFrom::Keeper,
             _ => HeardFrom::Peer,
         }
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -27,10 +27,11 @@
 use crate::evidence::{EvidenceFiles, retention_policy};
 use crate::feed::{ConfigurationFeed, follow_own_keeper};
 use crate::fleet::BackendFleet;
-use crate::frames::{DaemonFrames, FrameTargets};
+use crate::frames::{DaemonFrameHandler, FrameTargets};
 use crate::keeper::{
-    KeeperClient, KeeperError, KeeperFrames, KeeperHandle, KeeperList, KeeperSettings, KeeperStart,
-    KeeperStatus, RetryPermission, RunningKeeper, SubmitError, keeper_queue, start_keeper,
+    KeeperClient, KeeperError, KeeperFrameHandler, KeeperHandle, KeeperList, KeeperSettings,
+    KeeperStart, KeeperStatus, RetryPermission, RunningKeeper, SubmitError, keeper_queue,
+    start_keeper,
 };
 use crate::lease_broadcast::LeaseBroadcaster;
 use crate::operators::KeeperDesk;
@@ -107,14 +108,14 @@
             .map_err(|error| NodeError::Listen { address, error })?;
         let discovery = start_discovery(settings, &parts);
         let keepers = match &discovery {
-            Some(discovery) => KeeperList::Found(Arc::clone(discovery)),
+            Some(discovery) => KeeperList::Discovered(Arc::clone(discovery)),
             None => initial_keepers(settings).into(),
         };
         let is_keeper = settings.is_keeper();
-        let frames = Arc::new(DaemonFrames::default());
+        let frames = Arc::new(DaemonFrameHandler::default());
         let queue = is_keeper.then(|| keeper_queue(KeeperSettings::default().queue));
         let handler: Arc<dyn PeerHandler> = match &queue {
-            Some((port, _)) => Arc::new(KeeperFrames::new(port.clone(), frames.clone())),
+            Some((port, _)) => Arc::new(KeeperFrameHandler::new(port.clone(), frames.clone())),
             None => frames.clone(),
         };
         let mut peers = connect_peers(settings, &parts, discovery, handler);
--- a/crates/daemon/src/node/parts.rs
+++ b/crates/daemon/src/node/parts.rs
@@ -10,7 +10,7 @@
 use pollendrift_coordination::replicated::{ProcessNonce, ReplicatedSettings};
 
 use super::NodeParts;
-use crate::keeper::{ClientSettings, KeeperSettings, SnapshotBounds};
+use crate::keeper::{ClientSettings, KeeperSettings, SnapshotThresholds};
 use crate::peers::{
     DiscoveryStart, LinkSettings, PeerAddress, PeerDiscovery, PeerHandler, PeerNode, PeerTasks,
     start_peers,
@@ -130,7 +130,7 @@
             ..AgreementSettings::default()
         },
         may_found: agreement.may_found,
-        snapshots: SnapshotBounds {
+        snapshots: SnapshotThresholds {
             log_bytes: settings.snapshots.every_bytes,
             replay_work: settings.snapshots.replay_within,
         },
@@ -142,11 +142,11 @@
 pub(super) fn client_settings(settings: &DaemonSettings) -> ClientSettings {
     let default = ClientSettings::default();
     ClientSettings {
-        patience: settings.agreement.commit_timeout,
-        longest_pause: if settings.is_keeper() {
+        request_timeout: settings.agreement.commit_timeout,
+        max_backoff: if settings.is_keeper() {
             KEEPER_PAUSE
         } else {
-            default.longest_pause
+            default.max_backoff
         },
         ..default
     }
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -9,7 +9,7 @@
 
 use pollendrift::clock::{SystemClock, TimeSource};
 use pollendrift::keeper::{
-    ClientSettings, KeeperError, KeeperFrames, KeeperSettings, KeeperStart, KeeperStatus,
+    ClientSettings, KeeperError, KeeperFrameHandler, KeeperSettings, KeeperStart, KeeperStatus,
     RunningKeeper, SubmitError, keeper_queue, start_keeper_on,
 };
 use pollendrift::peers::{
@@ -216,7 +216,7 @@
 
     pub(crate) async fn try_start(&mut self, name: &'static str) -> Result<(), KeeperError> {
         let (port, inbox) = keeper_queue(self.settings.queue);
-        let handler = Arc::new(KeeperFrames::new(port.clone(), Arc::new(NoFrames)));
+        let handler = Arc::new(KeeperFrameHandler::new(port.clone(), Arc::new(NoFrames)));
         let peers = self.dialer.link(name, handler).await;
         let list = SharedList::default();
         let start = KeeperStart {
--- a/crates/daemon/tests/keeper_cluster/losses.rs
+++ b/crates/daemon/tests/keeper_cluster/losses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pollendrift::keeper::{KeeperSettings, KeeperStatus, SnapshotBounds, SubmitError};
+use pollendrift::keeper::{KeeperSettings, KeeperStatus, SnapshotThresholds, SubmitError};
 use pollendrift_coordination::agreement::KeeperRole;
 use pollendrift_store::StoreSettings;
 
@@ -41,9 +41,9 @@
         store: StoreSettings {
             segment_bytes: 2_000,
         },
-        snapshots: SnapshotBounds {
+        snapshots: SnapshotThresholds {
             log_bytes: 4_000,
-            ..SnapshotBounds::default()
+            ..SnapshotThresholds::default()
         },
         ..settings()
     };
@@ -172,9 +172,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_leader_leads_on_while_it_applies_a_long_log() {
     let no_snapshot = KeeperSettings {
-        snapshots: SnapshotBounds {
+        snapshots: SnapshotThresholds {
             replay_work: Duration::MAX,
-            ..SnapshotBounds::default()
+            ..SnapshotThresholds::default()
         },
         ..settings()
     };
--- a/crates/daemon/tests/keeper_cluster/service.rs
+++ b/crates/daemon/tests/keeper_cluster/service.rs
@@ -105,7 +105,7 @@
         vec![HostName::from("b")].into(),
         None,
         ClientSettings {
-            patience: Duration::from_secs(1),
+            request_timeout: Duration::from_secs(1),
             ..ClientSettings::default()
         },
     );
@@ -169,8 +169,8 @@
         keepers().into(),
         None,
         ClientSettings {
-            patience: Duration::from_millis(700),
-            pause: Duration::from_millis(1),
+            request_timeout: Duration::from_millis(700),
+            base_backoff: Duration::from_millis(1),
             ..ClientSettings::default()
         },
     );
