--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -243,7 +243,7 @@
     pub fn copy(&self, shared: &SharedState) -> Result<(), JournalError> {
         loop {
             let next = self.lock().next();
-            let records: Vec<IndexedRecord> = shared.look(|state| {
+            let records: Vec<IndexedRecord> = shared.read(|state| {
                 state
                     .evidence()
                     .since(next)
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -19,7 +19,7 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-use self::barrier::SharedBarrier;
+use self::barrier::CoalescedBarrier;
 use self::copy::{ConfigurationCopy, CopyVerdict, OfferedContent, content_for};
 use crate::agreed::StaleConfiguration;
 use crate::clock::TimeSource;
@@ -61,7 +61,7 @@
     recorder: Arc<RecorderSlot>,
     wake: Notify,
     patience: Duration,
-    barriers: SharedBarrier,
+    barriers: CoalescedBarrier,
 }
 
 /// The content that was answered last. After a change all hosts ask from the same revision; without it
@@ -130,7 +130,7 @@
             recorder,
             wake: Notify::new(),
             patience: settings.period,
-            barriers: SharedBarrier::default(),
+            barriers: CoalescedBarrier::default(),
         }
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The keeper that this host asks; `None` before it knows one.
-    pub(crate) fn followed(&self) -> Option<HostName> {
+    pub(crate) fn followed_keeper(&self) -> Option<HostName> {
         self.lock().follower.followed().cloned()
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Takes what a peer says of the configuration.
-    pub fn take(&self, from: &HostName, frame: ConfigurationFrame) {
+    pub fn receive_frame(&self, from: &HostName, frame: ConfigurationFrame) {
         let ConfigurationFrame::Holds { revision } = frame else {
             return;
         };
@@ -216,7 +216,7 @@
             Ok(shared) => shared,
             Err(reason) => return not_run(reason),
         };
-        let revision = shared.look(|state| state.configuration().revision());
+        let revision = shared.read(|state| state.configuration().revision());
         if have == Some(revision) {
             let content = ConfigurationContent::Unchanged;
             return PeerAnswer::Configuration { revision, content };
@@ -227,7 +227,7 @@
         {
             return last.answer();
         }
-        let (configuration, delta) = shared.look(|state| {
+        let (configuration, delta) = shared.read(|state| {
             let delta = have.and_then(|have| state.changes().delta_since(have));
             (state.configuration(), delta)
         });
@@ -297,9 +297,9 @@
 
     fn take_answer(&self, asked_at: MonotonicTime, fresh: FreshRevision) {
         let mut copy = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = match copy.take(fresh.revision, fresh.content) {
-            CopyVerdict::Taken(configuration) => Some(configuration),
-            CopyVerdict::NotNeeded | CopyVerdict::Crossed => None,
+        let taken = match copy.apply(fresh.revision, fresh.content) {
+            CopyVerdict::Applied(configuration) => Some(configuration),
+            CopyVerdict::NotNeeded | CopyVerdict::StaleBase => None,
             CopyVerdict::Refused(reason) => {
                 // As if unanswered: the next question goes to another keeper.
                 self.lock().ask_whole = true;
@@ -338,7 +338,7 @@
             let index = self.client.read_barrier().await;
             index.map(drop).map_err(|error| error.to_string())
         };
-        self.barriers.pass(read).await?;
+        self.barriers.wait(read).await?;
         Ok(shared)
     }
 
@@ -346,7 +346,7 @@
         let configuration = self.read_barrier().await?.configuration();
         Ok(FreshRevision {
             revision: configuration.revision(),
-            content: OfferedContent::Built(configuration),
+            content: OfferedContent::Local(configuration),
         })
     }
 
@@ -357,7 +357,7 @@
         let answer = self.hub.call(&question.keeper, ask, 0, self.patience).await;
         match answer.map_err(|error| error.to_string())? {
             PeerAnswer::Configuration { revision, content } => {
-                let content = OfferedContent::Sent(content);
+                let content = OfferedContent::Remote(content);
                 Ok(FreshRevision { revision, content })
             }
             PeerAnswer::NotRun { reason } | PeerAnswer::Unknown { reason } => Err(reason),
--- a/crates/daemon/src/feed/barrier.rs
+++ b/crates/daemon/src/feed/barrier.rs
@@ -10,7 +10,7 @@
 /// those questions asked all keepers again and again. Symptom: hundreds of hosts kept the keepers so busy
 /// that none was elected. Shared, the questions cost one read at a time, however many wait.
 #[derive(Default)]
-pub(super) struct SharedBarrier {
+pub(super) struct CoalescedBarrier {
     arrivals: AtomicU64,
     last: Mutex<LastBarrier>,
 }
@@ -31,12 +31,12 @@
     }
 }
 
-impl SharedBarrier {
+impl CoalescedBarrier {
     /// Waits for a read that began after this call.
     ///
     /// # Errors
     /// That read's.
-    pub(super) async fn pass<R>(&self, read: R) -> Result<(), String>
+    pub(super) async fn wait<R>(&self, read: R) -> Result<(), String>
     where
         R: AsyncFnOnce() -> Result<(), String>,
     {
--- a/crates/daemon/src/feed/barrier/tests.rs
+++ b/crates/daemon/src/feed/barrier/tests.rs
@@ -5,7 +5,7 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use super::SharedBarrier;
+use super::CoalescedBarrier;
 
 /// Time of one read.
 const READ_TIME: Duration = Duration::from_millis(100);
@@ -13,7 +13,7 @@
 // Guards against hundreds of hosts that keep keepers from electing a leader by their questions.
 #[tokio::test(start_paused = true)]
 async fn a_storm_of_questions_costs_one_read_at_a_time() {
-    let barrier = Arc::new(SharedBarrier::default());
+    let barrier = Arc::new(CoalescedBarrier::default());
     let reads = Arc::new(AtomicU32::new(0));
     let mut questions = JoinSet::new();
     for question in 0..300_u64 {
@@ -25,7 +25,7 @@
                 sleep(READ_TIME).await;
                 Ok(())
             };
-            barrier.pass(read).await
+            barrier.wait(read).await
         });
     }
     let outcomes = questions.join_all().await;
@@ -37,10 +37,10 @@
 // Guards against an answer by a read that began before its question: it would lack a change in between.
 #[tokio::test(start_paused = true)]
 async fn a_question_is_answered_by_a_read_that_began_after_it() {
-    let barrier = Arc::new(SharedBarrier::default());
+    let barrier = Arc::new(CoalescedBarrier::default());
     let accepted = Arc::new(AtomicU32::new(0));
     let seen = Arc::new(AtomicU32::new(0));
-    let ask = |barrier: Arc<SharedBarrier>| {
+    let ask = |barrier: Arc<CoalescedBarrier>| {
         let (accepted, seen) = (Arc::clone(&accepted), Arc::clone(&seen));
         tokio::spawn(async move {
             let read = async || {
@@ -49,7 +49,7 @@
                 seen.store(now, Ordering::Relaxed);
                 Ok(())
             };
-            barrier.pass(read).await
+            barrier.wait(read).await
         })
     };
     let first = ask(Arc::clone(&barrier));
--- a/crates/daemon/src/feed/copy.rs
+++ b/crates/daemon/src/feed/copy.rs
@@ -22,20 +22,20 @@
 #[derive(Debug)]
 pub(super) enum OfferedContent {
     /// As this host's keeper laid it out.
-    Built(Arc<Configuration>),
+    Local(Arc<Configuration>),
     /// As another host sent it.
-    Sent(ConfigurationContent),
+    Remote(ConfigurationContent),
 }
 
 /// What became of an answer's content.
 #[derive(Debug)]
 pub(super) enum CopyVerdict {
     /// The copy moved on to it.
-    Taken(Arc<Configuration>),
+    Applied(Arc<Configuration>),
     /// It is not needed: the copy is as new, or the answer left the content out.
     NotNeeded,
     /// Another answer moved the copy while this one was on its way; a delta from there is due.
-    Crossed,
+    StaleBase,
     /// It can't be trusted; the copy is unchanged and the whole is to be asked for.
     Refused(String),
 }
@@ -50,27 +50,29 @@
 
 impl ConfigurationCopy {
     /// Takes the content of `revision`, unless the copy is as new.
-    pub(super) fn take(&mut self, revision: Revision, content: OfferedContent) -> CopyVerdict {
+    pub(super) fn apply(&mut self, revision: Revision, content: OfferedContent) -> CopyVerdict {
         if self.begun && revision <= self.held.current().revision() {
             return CopyVerdict::NotNeeded;
         }
         let taken = match content {
-            OfferedContent::Built(built) => self.held.adopt(built),
-            OfferedContent::Sent(ConfigurationContent::Unchanged) => return CopyVerdict::NotNeeded,
-            OfferedContent::Sent(ConfigurationContent::Whole(text)) => {
+            OfferedContent::Local(built) => self.held.adopt(built),
+            OfferedContent::Remote(ConfigurationContent::Unchanged) => {
+                return CopyVerdict::NotNeeded;
+            }
+            OfferedContent::Remote(ConfigurationContent::Whole(text)) => {
                 match std::str::from_utf8(&text.0) {
                     Ok(text) => self.held.take_whole(revision, text),
                     Err(error) => return CopyVerdict::Refused(error.to_string()),
                 }
             }
-            OfferedContent::Sent(ConfigurationContent::Delta(delta)) => {
-                return self.take_delta(revision, &delta);
+            OfferedContent::Remote(ConfigurationContent::Delta(delta)) => {
+                return self.apply_delta(revision, &delta);
             }
         };
         self.verdict(taken)
     }
 
-    fn take_delta(&mut self, revision: Revision, delta: &ConfigurationDelta) -> CopyVerdict {
+    fn apply_delta(&mut self, revision: Revision, delta: &ConfigurationDelta) -> CopyVerdict {
         if !self.begun {
             return CopyVerdict::Refused("a delta came before any whole".to_owned());
         }
@@ -79,7 +81,7 @@
             return CopyVerdict::Refused(reason);
         }
         if delta.from < self.held.current().revision() {
-            return CopyVerdict::Crossed;
+            return CopyVerdict::StaleBase;
         }
         let taken = self.held.take_delta(delta);
         self.verdict(taken)
@@ -89,7 +91,7 @@
         match taken {
             Ok(configuration) => {
                 self.begun = true;
-                CopyVerdict::Taken(configuration)
+                CopyVerdict::Applied(configuration)
             }
             Err(failure) => CopyVerdict::Refused(failure.to_string()),
         }
--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -32,14 +32,14 @@
 
 fn sent_whole(log: &ChangeLog) -> OfferedContent {
     let text = log.canonical().text().into_bytes();
-    OfferedContent::Sent(ConfigurationContent::Whole(text.into()))
+    OfferedContent::Remote(ConfigurationContent::Whole(text.into()))
 }
 
 fn show(verdict: CopyVerdict) -> String {
     match verdict {
-        CopyVerdict::Taken(taken) => format!("taken, serves {}", taken.revision()),
+        CopyVerdict::Applied(taken) => format!("taken, serves {}", taken.revision()),
         CopyVerdict::NotNeeded => "not needed".to_owned(),
-        CopyVerdict::Crossed => "crossed, asks for a delta".to_owned(),
+        CopyVerdict::StaleBase => "crossed, asks for a delta".to_owned(),
         CopyVerdict::Refused(reason) => format!("refused, asks for the whole: {reason}"),
     }
 }
@@ -77,16 +77,16 @@
     let mut shown = String::new();
     for (case, revision, delta) in cases {
         let mut copy = ConfigurationCopy::default();
-        copy.take(Revision(2), sent_whole(&log(2)));
-        let content = OfferedContent::Sent(ConfigurationContent::Delta(delta));
-        let verdict = show(copy.take(Revision(revision), content));
+        copy.apply(Revision(2), sent_whole(&log(2)));
+        let content = OfferedContent::Remote(ConfigurationContent::Delta(delta));
+        let verdict = show(copy.apply(Revision(revision), content));
         let after = copy.held.current().revision();
-        let mended = show(copy.take(Revision(4), sent_whole(&log(4))));
+        let mended = show(copy.apply(Revision(4), sent_whole(&log(4))));
         shown += &format!("{case}: {verdict}; holds {after}; whole of 4: {mended}\n");
     }
     let mut empty = ConfigurationCopy::default();
-    let content = OfferedContent::Sent(ConfigurationContent::Delta(good));
-    shown += &format!("first: {}\n", show(empty.take(Revision(4), content)));
+    let content = OfferedContent::Remote(ConfigurationContent::Delta(good));
+    shown += &format!("first: {}\n", show(empty.apply(Revision(4), content)));
     insta::assert_snapshot!(shown, @r"
     fits: taken, serves 4; holds 4; whole of 4: not needed
     digest: refused, asks for the whole: revision 4 has another content than its digest says; holds 2; whole of 4: taken, serves 4
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -44,7 +44,7 @@
             return;
         };
         match frame {
-            PeerFrame::Configuration(frame) => targets.feed.take(from, frame),
+            PeerFrame::Configuration(frame) => targets.feed.receive_frame(from, frame),
             PeerFrame::Leases(batch) => targets.broadcaster.receive_leases(hub, from, batch),
             PeerFrame::LeaseQuestion(servers) => targets
                 .broadcaster
--- a/crates/daemon/src/lease_broadcast/recipients.rs
+++ b/crates/daemon/src/lease_broadcast/recipients.rs
@@ -73,7 +73,7 @@
             return hosts.map(|host| (host, LeaseScope::Own)).collect();
         }
         if !self.is_keeper() {
-            let followed = self.feed.followed();
+            let followed = self.feed.followed_keeper();
             return followed
                 .map(|host| (host, LeaseScope::Own))
                 .into_iter()
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -323,7 +323,7 @@
 }
 
 fn read_state(shared: &SharedState, question: &KeeperQuestion) -> KeeperAnswer {
-    shared.look(|state| {
+    shared.read(|state| {
         let changes = state.changes();
         match question {
             KeeperQuestion::Configuration { revision } => {
--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -42,12 +42,12 @@
         self.revision.subscribe()
     }
 
-    /// Looks at the state; `look` must not block.
-    pub fn look<F, R>(&self, look: F) -> R
+    /// Looks at the state; `read` must not block.
+    pub fn read<F, R>(&self, read: F) -> R
     where
         F: FnOnce(&ReplicatedState) -> R,
     {
-        look(&self.lock())
+        read(&self.lock())
     }
 
     fn lock(&self) -> MutexGuard<'_, ReplicatedState> {
