--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -30,7 +30,7 @@
     fn confirmed_at(&self) -> Option<MonotonicTime>;
 
     /// Life of this process, once the keepers gave it one; nothing is claimed without it.
-    fn life(&self) -> Option<Incarnation>;
+    fn incarnation(&self) -> Option<Incarnation>;
 
     /// Runs a command through the agreement group. All commands are idempotent by their own ids,
     /// so one whose answer was lost is sent again until the time for it is up.
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -166,7 +166,7 @@
             agreed: Arc::clone(&agreed),
             client: HttpClient::new(MAX_ANSWER_BYTES),
             drafts: DraftSettings::default(),
-            life: life.watch(),
+            lifecycle: life.watch(),
             gate: Arc::clone(&gate),
             streams: Arc::clone(node.streams()),
             resends: ResendPolicy::new(retry_settings(&settings.retries), Arc::clone(&clock)),
@@ -184,7 +184,7 @@
                 agreed: Arc::clone(&agreed),
                 fleet: Arc::clone(&fleet),
                 clock: Arc::clone(&clock),
-                life: life.watch(),
+                lifecycle: life.watch(),
                 metrics: Arc::clone(&metrics),
                 seed,
             })
--- a/crates/daemon/src/entry/services/claimed.rs
+++ b/crates/daemon/src/entry/services/claimed.rs
@@ -42,7 +42,7 @@
     record: RunningRequest,
     key: String,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let Some(life) = call.context.agreed.life() else {
+    let Some(life) = call.context.agreed.incarnation() else {
         return Err(Refusal::not_ready(
             "the keepers have not yet given this process its life",
         ));
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -80,7 +80,7 @@
 
 async fn wait_for_life(agreed: &Arc<dyn AgreedState>) -> Incarnation {
     loop {
-        if let Some(life) = agreed.life() {
+        if let Some(life) = agreed.incarnation() {
             return life;
         }
         tokio::time::sleep(LIFE_PAUSE).await;
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -269,7 +269,7 @@
     }
 
     fn statement_period(&self) -> Duration {
-        let entries = self.hub.discovery().and_then(|found| found.entries());
+        let entries = self.hub.discovery().and_then(|found| found.entry_count());
         STATEMENT_PERIOD.max(STATEMENT_SHARE * entries.unwrap_or(0))
     }
 
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -57,7 +57,7 @@
             PeerFrame::Survey { notes, pass_on } => {
                 targets.broadcaster.receive_survey(notes, pass_on)
             }
-            PeerFrame::Stream(note) => targets.streams.receive_note(note),
+            PeerFrame::Stream(note) => targets.streams.receive_update(note),
             PeerFrame::Call(call) => answer_call(targets, hub, from, call),
             _ => {}
         }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -329,7 +329,7 @@
         self.feed.confirmed_at()
     }
 
-    fn life(&self) -> Option<Incarnation> {
+    fn incarnation(&self) -> Option<Incarnation> {
         *self.life.borrow()
     }
 
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -31,7 +31,7 @@
         "unready": entry.unready_reason(),
         "revision": configuration.as_ref().ok().map(|held| held.revision().0),
         "configuration": configuration.err().map(|stale| stale.to_string()),
-        "life": context.node.life().map(|life| life.0),
+        "life": context.node.incarnation().map(|life| life.0),
         "backend_servers": entry.fleet.serving(entry.clock.now()).len(),
         "access": value_of(context.access.status()),
         "evidence": entry.recorder.get().map(|recorder| value_of(recorder.status())),
--- a/crates/daemon/src/peers/discovery.rs
+++ b/crates/daemon/src/peers/discovery.rs
@@ -110,7 +110,7 @@
     }
 
     /// Hosts that take callers, this one included; `None` before a keeper told of them.
-    pub fn entries(&self) -> Option<u32> {
+    pub fn entry_count(&self) -> Option<u32> {
         Some(self.entries.load(Ordering::Relaxed)).filter(|entries| *entries > 0)
     }
 
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -312,7 +312,7 @@
         let is_between_keepers =
             |discovery: &PeerDiscovery| discovery.own_reach().keeper && discovery.is_keeper(host);
         let far = self.discovery().filter(|found| !is_between_keepers(found));
-        let entries = far.and_then(|found| found.entries()).unwrap_or(0);
+        let entries = far.and_then(|found| found.entry_count()).unwrap_or(0);
         let heartbeat = settings
             .heartbeat
             .max(settings.heartbeat_per_entry * entries);
--- a/crates/daemon/src/placement/right.rs
+++ b/crates/daemon/src/placement/right.rs
@@ -47,7 +47,7 @@
         }
         let holder = OrderHolder {
             host: self.host.clone(),
-            incarnation: agreed.life()?,
+            incarnation: agreed.incarnation()?,
         };
         self.ask_at = asked.after(self.lease / RENEW_PARTS);
         let request = GrantOrderRight {
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -93,7 +93,7 @@
             }
             Err(fault) => context.refuse(&refused(RefusalKind::Malformed, fault.reason), None),
         };
-        if context.life.step() != LifeStep::Serving {
+        if context.lifecycle.step() != LifeStep::Serving {
             // The caller's next request should go to a host that stays.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
@@ -116,7 +116,7 @@
     meter: &RequestMeter,
 ) -> Result<Response<ResponseBody>, Refused> {
     let arrived = context.clock.now();
-    if context.life.step() == LifeStep::Closed {
+    if context.lifecycle.step() == LifeStep::Closed {
         let stopping = refused(RefusalKind::NotRun, "this host is stopping as planned");
         return Err(stopping.retry_after(RETRY_ELSEWHERE));
     }
--- a/crates/daemon/src/relay/chains/following.rs
+++ b/crates/daemon/src/relay/chains/following.rs
@@ -18,7 +18,9 @@
         ticks.tick().await;
         let now = context.clock.now();
         context.loads().tick(now);
-        let entries = hub.discovery().and_then(|discovery| discovery.entries());
+        let entries = hub
+            .discovery()
+            .and_then(|discovery| discovery.entry_count());
         if let Some(entries) = entries {
             context.share_budget(now, entries);
         }
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -33,7 +33,7 @@
     pub(crate) agreed: Arc<dyn AgreedState>,
     pub(crate) fleet: Arc<BackendFleet>,
     pub(crate) clock: Arc<dyn TimeSource>,
-    pub(crate) life: LifeWatch,
+    pub(crate) lifecycle: LifeWatch,
     pub(crate) metrics: Arc<MetricRegistry>,
     pub(crate) seed: u64,
 }
@@ -46,7 +46,7 @@
     pub(super) fleet: Arc<BackendFleet>,
     pub(super) pool: ConnectionPool,
     pub(super) clock: Arc<dyn TimeSource>,
-    pub(super) life: LifeWatch,
+    pub(super) lifecycle: LifeWatch,
     pub(super) metrics: Arc<MetricRegistry>,
     loads: Mutex<ServerLoads>,
     chains: Mutex<ChainTable>,
@@ -78,7 +78,7 @@
             fleet: parts.fleet,
             pool: ConnectionPool::new(PoolSettings::default(), since_boot),
             clock: parts.clock,
-            life: parts.life,
+            lifecycle: parts.lifecycle,
             metrics: parts.metrics,
             loads: Mutex::new(ServerLoads::new(outliers())),
             chains: Mutex::new(ChainTable::new(parts.data_centre.clone(), parts.seed)),
@@ -101,7 +101,7 @@
 
     /// Why the balancer should send nothing here; `None` if it should.
     pub(crate) fn unready_reason(&self) -> Option<String> {
-        if self.life.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifeStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
         self.routes.gap(self.clock.now())
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -47,7 +47,7 @@
     }
 
     /// Takes what an entry tells.
-    pub fn receive_note(&self, note: StreamNote) {
+    pub fn receive_update(&self, note: StreamNote) {
         let now = self.clock.now();
         let mut table = self.lock();
         table.note(now, note);
