--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -48,17 +48,17 @@
 
 /// A chain that was taken, and counts as running until it is ended.
 #[derive(Clone, Debug)]
-pub(super) struct TakenChain {
+pub(super) struct ReservedChain {
     pub(super) plan: RoutePlan,
     pub(super) flight: FlightKey,
     pub(super) hops: Vec<StageHop>,
     /// Server of the first stage, which takes the request.
     pub(super) first: ServerName,
     /// Data centre of all its engines, where that is another than this host's.
-    pub(super) away: Option<DataCentreName>,
+    pub(super) remote_data_centre: Option<DataCentreName>,
 }
 
-impl TakenChain {
+impl ReservedChain {
     /// Servers of all stages.
     pub(super) fn servers(&self) -> impl Iterator<Item = &ServerName> {
         self.plan.stages.iter().map(|stage| &stage.server)
@@ -120,7 +120,7 @@
     }
 
     /// Brings the planner in line with what engines announced and operators published.
-    pub(super) fn follow(
+    pub(super) fn sync_engines(
         &mut self,
         now: MonotonicTime,
         table: &RouteTable,
@@ -239,7 +239,7 @@
     /// the pipe that all share takes about 40 of those a second; a caller's request and events are a
     /// few kilobytes. So whole requests go to another data centre, and chains cross only where none
     /// lies in one.
-    pub(super) fn take<F, H>(
+    pub(super) fn reserve<F, H>(
         &mut self,
         now: MonotonicTime,
         request: &RelayRequest,
@@ -247,7 +247,7 @@
         is_resume: bool,
         may_take_work: F,
         is_healthy: H,
-    ) -> Result<TakenChain, NoRoute>
+    ) -> Result<ReservedChain, NoRoute>
     where
         F: Fn(&ServerName) -> bool,
         H: Fn(&ServerName) -> bool,
@@ -276,16 +276,18 @@
             let Ok(plan) = self.planner.choose(now, &query) else {
                 continue;
             };
-            let away = (centre != self.data_centre).then_some(centre);
-            let penalty = away.as_ref().map(|centre| self.links.penalty(now, centre));
+            let remote_data_centre = (centre != self.data_centre).then_some(centre);
+            let penalty = remote_data_centre
+                .as_ref()
+                .map(|centre| self.links.penalty(now, centre));
             let stream = plan.finish.saturating_sub(plan.first_token);
             let cost = plan.first_token + stream / STREAM_PART + penalty.unwrap_or_default();
             if best.as_ref().is_none_or(|(other, ..)| cost < *other) {
-                best = Some((cost, plan, away));
+                best = Some((cost, plan, remote_data_centre));
             }
         }
-        let (plan, away) = match best {
-            Some((_, plan, away)) => (plan, away),
+        let (plan, remote_data_centre) = match best {
+            Some((_, plan, remote_data_centre)) => (plan, remote_data_centre),
             None => (self.planner.choose(now, &query)?, None),
         };
         let layers = request
@@ -294,14 +296,17 @@
             .as_ref()
             .map_or(0, |spec| spec.layers);
         let chain = self.start(now, plan, layers)?;
-        if let Some(centre) = &away {
+        if let Some(centre) = &remote_data_centre {
             self.links.started(now, centre);
         }
-        Ok(TakenChain { away, ..chain })
+        Ok(ReservedChain {
+            remote_data_centre,
+            ..chain
+        })
     }
 
     /// A stream over a chain in another data centre broke its pauses.
-    pub(super) fn late(&mut self, now: MonotonicTime, centre: &DataCentreName) {
+    pub(super) fn record_late(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.links.late(now, centre);
     }
 
@@ -314,7 +319,7 @@
         now: MonotonicTime,
         plan: RoutePlan,
         layers: u32,
-    ) -> Result<TakenChain, NoRoute> {
+    ) -> Result<ReservedChain, NoRoute> {
         let hops = plan.stages.iter().filter_map(|stage| {
             let known = self.known.get(&stage.server)?;
             Some(StageHop {
@@ -331,32 +336,32 @@
             return Err(NoRoute { reasons });
         };
         let flight = self.planner.started(now, &plan);
-        Ok(TakenChain {
+        Ok(ReservedChain {
             hops,
             flight,
             first,
             plan,
-            away: None,
+            remote_data_centre: None,
         })
     }
 
     /// The first event of a running chain came.
-    pub(super) fn first_event(&mut self, now: MonotonicTime, flight: FlightKey) {
+    pub(super) fn record_first_event(&mut self, now: MonotonicTime, flight: FlightKey) {
         self.planner.first_token(now, flight);
     }
 
     /// A chain ended well, or its caller went away.
-    pub(super) fn finished(&mut self, now: MonotonicTime, flight: FlightKey) {
+    pub(super) fn record_finished(&mut self, now: MonotonicTime, flight: FlightKey) {
         self.planner.finished(now, flight);
     }
 
     /// An engine declined a draft: it is full, whatever it last told.
-    pub(super) fn declined(&mut self, now: MonotonicTime, server: &ServerName) {
+    pub(super) fn record_declined(&mut self, now: MonotonicTime, server: &ServerName) {
         self.planner.declined(now, server);
     }
 
     /// A chain failed, by the fault of `culprit` where that is known.
-    pub(super) fn failed(
+    pub(super) fn record_failed(
         &mut self,
         now: MonotonicTime,
         flight: FlightKey,
--- a/crates/daemon/src/relay/chains/following.rs
+++ b/crates/daemon/src/relay/chains/following.rs
@@ -30,7 +30,7 @@
         let workers = context.fleet.workers(now);
         context
             .chains()
-            .follow(now, &table, &workers, &context.fleet);
+            .sync_engines(now, &table, &workers, &context.fleet);
         clear_suspects(&context, now, &workers);
     }
 }
--- a/crates/daemon/src/relay/chains/repair.rs
+++ b/crates/daemon/src/relay/chains/repair.rs
@@ -5,7 +5,7 @@
     EngineRecord, NoRoute, RoutePlan, RoutePlanner, RoutePriority, RouteQuery,
 };
 
-use super::{ChainTable, TakenChain, query_of};
+use super::{ChainTable, ReservedChain, query_of};
 use crate::relay::figures::pool_of;
 use crate::relay::request::RelayRequest;
 
@@ -26,9 +26,9 @@
     pub(in crate::relay) fn repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
-    ) -> Result<TakenChain, NoRoute> {
+    ) -> Result<ReservedChain, NoRoute> {
         let plan = self.find_repair(now, chain, repair)?;
         self.start(now, plan, chain.plan.model_layers)
     }
@@ -37,7 +37,7 @@
     pub(in crate::relay) fn can_repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
     ) -> bool {
         self.find_repair(now, chain, repair).is_ok()
@@ -46,7 +46,7 @@
     fn find_repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
     ) -> Result<RoutePlan, NoRoute> {
         let is_good = |engine: &EngineRecord| (repair.may_take)(&engine.announcement.server);
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 use super::answer::{FailedSend, OpenAnswer, passed_back};
-use super::chains::TakenChain;
+use super::chains::ReservedChain;
 use super::context::RelayContext;
 use super::guard::ChainGuard;
 use super::meter::RequestMeter;
@@ -221,7 +221,7 @@
         let may_take_work = |server: &ServerName| fleet.may_take(now, server);
         let health = self.context.health();
         let is_healthy = |server: &ServerName| !health.is_suspected(now, server);
-        let taken = self.context.chains().take(
+        let taken = self.context.chains().reserve(
             now,
             &self.request,
             &excluded,
@@ -262,7 +262,7 @@
         let mut chains = self.context.chains();
         engines
             .iter()
-            .for_each(|engine| chains.declined(now, engine));
+            .for_each(|engine| chains.record_declined(now, engine));
     }
 
     fn note(&mut self, failed: FailedSend) {
@@ -372,7 +372,7 @@
 }
 
 /// The engines that a failed send is laid to.
-fn blame(chain: &TakenChain, failed: &FailedSend) -> Vec<ServerName> {
+fn blame(chain: &ReservedChain, failed: &FailedSend) -> Vec<ServerName> {
     if !failed.suspects.is_empty() {
         return failed.suspects.clone();
     }
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::base::{MonotonicTime, ServerName};
 
-use super::chains::TakenChain;
+use super::chains::ReservedChain;
 use super::context::RelayContext;
 use super::request::RelayRequest;
 use crate::clock::millis;
@@ -12,12 +12,12 @@
 /// A chain that counts as running until this is ended or dropped.
 pub(super) struct ChainGuard {
     context: Arc<RelayContext>,
-    pub(super) chain: TakenChain,
+    pub(super) chain: ReservedChain,
     ended: bool,
 }
 
 impl ChainGuard {
-    pub(super) fn new(context: &Arc<RelayContext>, chain: TakenChain) -> Self {
+    pub(super) fn new(context: &Arc<RelayContext>, chain: ReservedChain) -> Self {
         context.health().started(chain.servers());
         Self {
             context: Arc::clone(context),
@@ -40,17 +40,19 @@
     }
 
     /// Events came; `is_first` if none had before.
-    pub(super) fn heard(&self, now: MonotonicTime, is_first: bool) {
+    pub(super) fn record_events(&self, now: MonotonicTime, is_first: bool) {
         self.context.health().heard(now, self.chain.servers());
         if is_first {
-            self.context.chains().first_event(now, self.chain.flight);
+            self.context
+                .chains()
+                .record_first_event(now, self.chain.flight);
         }
     }
 
     /// Its stream broke the pauses that its route allows, for the first time.
-    pub(super) fn late(&self, now: MonotonicTime) {
-        if let Some(centre) = &self.chain.away {
-            self.context.chains().late(now, centre);
+    pub(super) fn record_late(&self, now: MonotonicTime) {
+        if let Some(centre) = &self.chain.remote_data_centre {
+            self.context.chains().record_late(now, centre);
         }
     }
 
@@ -60,7 +62,7 @@
         let now = self.context.clock.now();
         self.context
             .chains()
-            .failed(now, self.chain.flight, culprit);
+            .record_failed(now, self.chain.flight, culprit);
     }
 }
 
@@ -71,6 +73,8 @@
         if self.ended {
             return;
         }
-        self.context.chains().finished(now, self.chain.flight);
+        self.context
+            .chains()
+            .record_finished(now, self.chain.flight);
     }
 }
--- a/crates/daemon/src/relay/passing.rs
+++ b/crates/daemon/src/relay/passing.rs
@@ -133,11 +133,11 @@
             let allowed = run.request.route.pause_target;
             if !self.is_late && allowed.is_some_and(|allowed| gap > allowed) {
                 self.is_late = true;
-                running.chain.late(now);
+                running.chain.record_late(now);
             }
         }
         self.heard_at = now;
-        running.chain.heard(now, self.is_first);
+        running.chain.record_events(now, self.is_first);
         self.is_first = false;
     }
 }
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::answer::{FailedSend, OpenAnswer, send};
-use super::chains::{ChainRepair, TakenChain};
+use super::chains::{ChainRepair, ReservedChain};
 use super::drafts::DraftRun;
 use super::guard::ChainGuard;
 use super::request::SendTarget;
@@ -78,7 +78,7 @@
     }
 
     /// Whether engines are there that could take the place of `lost` ones in `chain`.
-    pub(super) fn can_reroute(&self, chain: &TakenChain, lost: &[ServerName]) -> bool {
+    pub(super) fn can_reroute(&self, chain: &ReservedChain, lost: &[ServerName]) -> bool {
         let now = self.context.clock.now();
         let is_paused = self.reroutes.pause_until.is_some_and(|until| now < until);
         let is_first_lost = lost.contains(&chain.first);
@@ -99,7 +99,7 @@
     /// Rerouted, a draft stays one request, and only the new stages read.
     pub(super) async fn reroute(
         &mut self,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         lost: &[ServerName],
     ) -> Option<ChainGuard> {
         if !self.can_reroute(chain, lost) {
@@ -124,7 +124,7 @@
                     let full = full_stages(chain, &next.chain, culprit);
                     next.failed(None);
                     full.iter()
-                        .for_each(|server| self.context.chains().declined(now, server));
+                        .for_each(|server| self.context.chains().record_declined(now, server));
                     lost.extend(full);
                 }
                 Some(RerouteOutcome::NotThere) | None => {
@@ -155,7 +155,7 @@
     }
 
     /// Orders the first engine to go on over `chain`; `None` if nothing comes back in time.
-    async fn order(&self, chain: &TakenChain) -> Option<RerouteOutcome> {
+    async fn order(&self, chain: &ReservedChain) -> Option<RerouteOutcome> {
         let address = chain.hops.first()?.address;
         let dialect = Arc::clone(&self.context.dialect.servers);
         let order = RerouteOrder {
@@ -176,8 +176,8 @@
 
 /// New stages of `next` that have no room: the one that its engine names, else any of them.
 fn full_stages(
-    former: &TakenChain,
-    next: &TakenChain,
+    former: &ReservedChain,
+    next: &ReservedChain,
     culprit: Option<SocketAddr>,
 ) -> Vec<ServerName> {
     let named = culprit.and_then(|address| next.server_at(address));
--- a/crates/daemon/src/relay/watching.rs
+++ b/crates/daemon/src/relay/watching.rs
@@ -10,7 +10,7 @@
 use tokio::time::sleep;
 
 use super::answer::FailedSend;
-use super::chains::TakenChain;
+use super::chains::ReservedChain;
 use super::context::RelayContext;
 use super::drafts::{DraftRun, ROOM_PERIOD};
 use super::survey::{EngineState, ask_engine};
@@ -33,7 +33,7 @@
     /// As `watch`, once the draft could also go on over other engines.
     pub(super) async fn watch_for_other(
         &self,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         since: MonotonicTime,
         usual: Duration,
     ) -> ChainVerdict {
@@ -50,7 +50,7 @@
     /// some fault. `usual` is the time that its next event usually takes.
     async fn watch(
         &self,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         since: MonotonicTime,
         usual: Duration,
     ) -> ChainVerdict {
