--- a/crates/daemon/src/relay/answer.rs
+++ b/crates/daemon/src/relay/answer.rs
@@ -58,7 +58,7 @@
     pub(super) parts: response::Parts,
     pub(super) body: Incoming,
     pub(super) connection: PooledConnection,
-    pub(super) told: AnswerHead,
+    pub(super) head: AnswerHead,
 }
 
 impl OpenAnswer {
@@ -73,7 +73,7 @@
         self.connection.keep(&self.parts.headers);
         let mut response = Response::new(full_body(bytes));
         *response.status_mut() = self.parts.status;
-        *response.headers_mut() = passed_back(&self.parts.headers);
+        *response.headers_mut() = end_to_end_headers(&self.parts.headers);
         Ok(response)
     }
 }
@@ -114,23 +114,23 @@
     attempt: &RequestId,
 ) -> Result<OpenAnswer, FailedSend> {
     let (parts, body) = answer.response.into_parts();
-    let told = context.dialect.servers.read(&parts);
-    let is_foreign = told.attempt.as_ref().is_some_and(|id| id != attempt);
+    let head = context.dialect.servers.read(&parts);
+    let is_foreign = head.attempt.as_ref().is_some_and(|id| id != attempt);
     if is_foreign {
         let reason = "the answer belongs to another request".to_owned();
         return Err(FailedSend::new(SendOutcome::ResetAfterSend, reason));
     }
-    if told.not_run || told.wrong_server {
+    if head.not_run || head.wrong_server {
         let failed = FailedSend {
             outcome: SendOutcome::Declined,
             reason: format!("the server answered {} and did not run it", parts.status),
-            culprit: told.culprit,
+            culprit: head.culprit,
             suspects: Vec::new(),
         };
         keep_after_refusal(&parts.headers, body, answer.connection).await;
         return Err(failed);
     }
-    let is_own = told.signed && told.attempt.is_some() && !told.encoded;
+    let is_own = head.signed && head.attempt.is_some() && !head.encoded;
     if !is_own {
         let reason = format!("the answer {} is not signed by the server", parts.status);
         return Err(FailedSend::new(SendOutcome::ErrorStatus, reason));
@@ -139,7 +139,7 @@
         parts,
         body,
         connection: answer.connection,
-        told,
+        head,
     })
 }
 
@@ -151,7 +151,7 @@
 }
 
 /// Headers of an answer as the caller gets them.
-pub(super) fn passed_back(from: &HeaderMap) -> HeaderMap {
+pub(super) fn end_to_end_headers(from: &HeaderMap) -> HeaderMap {
     let mut own = HeaderMap::with_capacity(from.len());
     for (name, value) in from {
         let concerns_connection =
--- a/crates/daemon/src/relay/calls.rs
+++ b/crates/daemon/src/relay/calls.rs
@@ -12,7 +12,7 @@
 
 use super::answer::{FailedSend, send};
 use super::context::RelayContext;
-use super::drafts::ROOM_PERIOD;
+use super::drafts::CAPACITY_POLL_PERIOD;
 use super::request::{Refused, RelayRequest, SendTarget, refused};
 use crate::fleet::WorkerView;
 
@@ -47,7 +47,7 @@
         }
         let Some(worker) = choose(context, request, &history, now) else {
             if history.asked.is_empty() && may_wait(context, request, now) {
-                sleep(ROOM_PERIOD).await;
+                sleep(CAPACITY_POLL_PERIOD).await;
                 continue;
             }
             return Err(conclude(&history));
@@ -137,7 +137,7 @@
     let answered = send(context, worker.address, written, &request.attempt, left).await;
     let result = match answered {
         Ok(answer) => {
-            if let Some(load) = answer.told.load {
+            if let Some(load) = answer.head.load {
                 let told = ToldLoad {
                     running: load.running,
                     waiting: load.waiting,
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -23,7 +23,9 @@
 };
 use pollendrift_dialect::StageHop;
 
-use super::figures::{MEGABIT, describe, pool_of, routing_settings, slowness_of};
+use super::engine_estimates::{
+    MEGABIT, announcement_for, pool_name, routing_settings, slowness_of,
+};
 use super::request::RelayRequest;
 use crate::fleet::{BackendFleet, WorkerView};
 
@@ -179,7 +181,8 @@
         }
         self.sequence += 1;
         let sequence = SequenceNumber(self.sequence);
-        let Some(announcement) = describe(worker, layers, spec, sequence, known.slowness) else {
+        let Some(announcement) = announcement_for(worker, layers, spec, sequence, known.slowness)
+        else {
             log::warn!(server:% = worker.server, kind = worker.offer.kind.as_str(); "engine of a kind that is not published");
             return false;
         };
@@ -256,7 +259,7 @@
             let server = &engine.announcement.server;
             may_take_work(server) && is_healthy(server)
         };
-        let model = pool_of(&request.service);
+        let model = pool_name(&request.service);
         let query = RouteQuery {
             excluded,
             // The caller of a broken stream holds a part already, which would be lost.
--- a/crates/daemon/src/relay/chains/repair.rs
+++ b/crates/daemon/src/relay/chains/repair.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{ChainTable, ReservedChain, query_of};
-use crate::relay::figures::pool_of;
+use crate::relay::engine_estimates::pool_name;
 use crate::relay::request::RelayRequest;
 
 /// What a chain in use is to do without, and who may take its place.
@@ -50,7 +50,7 @@
         repair: &ChainRepair<'_>,
     ) -> Result<RoutePlan, NoRoute> {
         let is_good = |engine: &EngineRecord| (repair.may_take)(&engine.announcement.server);
-        let model = pool_of(&repair.request.service);
+        let model = pool_name(&repair.request.service);
         let query = query_of(repair.request, &model, &is_good);
         let query = RouteQuery {
             excluded: repair.lost,
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -12,7 +12,7 @@
 use pollendrift_http::{ResponseBody, channel_body};
 use tokio::time::sleep;
 
-use super::answer::{FailedSend, OpenAnswer, passed_back};
+use super::answer::{FailedSend, OpenAnswer, end_to_end_headers};
 use super::chains::ReservedChain;
 use super::context::RelayContext;
 use super::guard::ChainGuard;
@@ -28,7 +28,7 @@
 /// all drafts that run now have ended.
 const RETRY_FULL: Duration = Duration::from_millis(2_500);
 /// Time between two looks for room.
-pub(super) const ROOM_PERIOD: Duration = Duration::from_millis(40);
+pub(super) const CAPACITY_POLL_PERIOD: Duration = Duration::from_millis(40);
 /// Events that wait for a caller that reads slowly.
 const EVENT_QUEUE: usize = 32;
 /// Time for which an engine that declined a draft is left out of its next chains.
@@ -106,7 +106,7 @@
     let (sender, body) = channel_body(EVENT_QUEUE);
     let mut response = Response::new(body);
     *response.status_mut() = running.answer.parts.status;
-    *response.headers_mut() = passed_back(&running.answer.parts.headers);
+    *response.headers_mut() = end_to_end_headers(&running.answer.parts.headers);
     let stream = StreamRun::new(run, running, resume_after);
     tokio::spawn(run_stream(stream, sender));
     Ok(response)
@@ -132,7 +132,7 @@
                 if now >= wait_until {
                     return None;
                 }
-                sleep(ROOM_PERIOD).await;
+                sleep(CAPACITY_POLL_PERIOD).await;
                 continue;
             };
             chain.log_sent(&self.request, now, self.sends + self.declined + 1);
@@ -194,7 +194,7 @@
     ///
     /// A silent chain is kept where it could not: its answer may still come, and giving it up would
     /// end the caller's answer for certain.
-    pub(super) fn has_other(&self, suspects: &[ServerName]) -> bool {
+    pub(super) fn has_alternative(&self, suspects: &[ServerName]) -> bool {
         let now = self.context.clock.now();
         let is_left = self.context.is_retry_left(now, &self.request.service.name);
         if self.is_over() || self.declined + 1 >= self.most_declined() || !is_left {
--- a/crates/daemon/src/relay/figures.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -28,12 +28,12 @@
 }
 
 /// Engines of one service form one pool, whatever models they list.
-pub(super) fn pool_of(service: &ServiceSpec) -> ModelName {
+pub(super) fn pool_name(service: &ServiceSpec) -> ModelName {
     ModelName::from(service.name.as_str())
 }
 
 /// What the planner is told of an engine: its share of the layers at the pace of its kind.
-pub(super) fn describe(
+pub(super) fn announcement_for(
     worker: &WorkerView,
     layers: &WorkerLayers,
     spec: &EngineSpec,
--- a/crates/daemon/src/relay/passing.rs
+++ b/crates/daemon/src/relay/forwarding.rs
@@ -22,7 +22,7 @@
 /// How the events of one chain ended, or paused.
 pub(super) enum ChainEnd {
     /// The whole stream came.
-    Whole,
+    Complete,
     /// The caller went away.
     CallerGone,
     /// The chain broke off, or sent what can't be passed on.
@@ -32,7 +32,7 @@
 }
 
 /// State of the passing on of one chain's events.
-pub(super) struct EventPass {
+pub(super) struct EventForwarder {
     framer: EventFramer,
     /// What came while somebody else listened.
     pending: Option<NextFrame>,
@@ -44,7 +44,7 @@
     is_late: bool,
 }
 
-impl EventPass {
+impl EventForwarder {
     /// A pass before the first event.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
@@ -63,7 +63,7 @@
     }
 
     /// Other engines have taken the place of silent ones: the silence counts from now on.
-    pub(super) fn rerouted(&mut self, now: MonotonicTime) {
+    pub(super) fn restart_silence(&mut self, now: MonotonicTime) {
         self.heard_at = now;
     }
 
@@ -88,7 +88,7 @@
                 None if self.framer.has_rest() => {
                     return ChainEnd::Broken("it ended within an event".to_owned());
                 }
-                None => return ChainEnd::Whole,
+                None => return ChainEnd::Complete,
                 Some(Err(error)) => return ChainEnd::Broken(error.to_string()),
             };
             let Ok(data) = frame.into_data() else {
@@ -118,7 +118,7 @@
             frame = timeout(left, next_frame(&mut running.answer.body)) => {
                 frame.map_err(|_| ChainEnd::Broken("its time is over".to_owned()))
             }
-            verdict = run.watch_for_other(&running.chain.chain, self.heard_at, self.usual_gap) => {
+            verdict = run.watch_for_silence(&running.chain.chain, self.heard_at, self.usual_gap) => {
                 Err(ChainEnd::Silent(verdict))
             }
         }
--- a/crates/daemon/src/relay/watching.rs
+++ b/crates/daemon/src/relay/liveness.rs
@@ -12,8 +12,8 @@
 use super::answer::FailedSend;
 use super::chains::ReservedChain;
 use super::context::RelayContext;
-use super::drafts::{DraftRun, ROOM_PERIOD};
-use super::survey::{EngineState, ask_engine};
+use super::drafts::{CAPACITY_POLL_PERIOD, DraftRun};
+use super::survey::{EngineState, probe_engine};
 
 /// Time between two looks at a silent chain: a part of the pause that a caller may see.
 const WATCH_PERIOD: Duration = Duration::from_millis(25);
@@ -31,7 +31,7 @@
 
 impl DraftRun {
     /// As `watch`, once the draft could also go on over other engines.
-    pub(super) async fn watch_for_other(
+    pub(super) async fn watch_for_silence(
         &self,
         chain: &ReservedChain,
         since: MonotonicTime,
@@ -39,10 +39,11 @@
     ) -> ChainVerdict {
         loop {
             let verdict = self.watch(chain, since, usual).await;
-            if self.can_reroute(chain, &verdict.suspects) || self.has_other(&verdict.suspects) {
+            if self.can_reroute(chain, &verdict.suspects) || self.has_alternative(&verdict.suspects)
+            {
                 return verdict;
             }
-            sleep(ROOM_PERIOD).await;
+            sleep(CAPACITY_POLL_PERIOD).await;
         }
     }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    pub(super) fn silent(&self, suspects: &[ServerName]) -> FailedSend {
+    pub(super) fn silence_failure(&self, suspects: &[ServerName]) -> FailedSend {
         let names: Vec<&str> = suspects.iter().map(ServerName::as_str).collect();
         let reason = format!("silent engines: {}", names.join(" "));
         FailedSend {
@@ -87,23 +88,23 @@
     let answer_time = context.health().answer_time();
     let asked_at = context.clock.now();
     let state = match address {
-        Some(address) => ask_engine(&context, &context.pool, address, answer_time).await,
-        None => EngineState::Silent,
+        Some(address) => probe_engine(&context, &context.pool, address, answer_time).await,
+        None => EngineState::TimedOut,
     };
     let now = context.clock.now();
-    if matches!(state, EngineState::Silent) && now.since(asked_at) > answer_time + OWN_DELAY {
+    if matches!(state, EngineState::TimedOut) && now.since(asked_at) > answer_time + OWN_DELAY {
         log::debug!(server:% = server; "question given up late; nothing is concluded from it");
         return;
     }
     let mut health = context.health();
     match state {
-        EngineState::Told(_) | EngineState::Unclear => health.answered(now, &server),
-        EngineState::Gone => health.gone(now, &server),
-        EngineState::Silent => health.unanswered(now, &server),
+        EngineState::Reported(_) | EngineState::Unclear => health.answered(now, &server),
+        EngineState::Unreachable => health.gone(now, &server),
+        EngineState::TimedOut => health.unanswered(now, &server),
     }
     drop(health);
-    if matches!(state, EngineState::Gone | EngineState::Silent) {
-        let gone = matches!(state, EngineState::Gone);
+    if matches!(state, EngineState::Unreachable | EngineState::TimedOut) {
+        let gone = matches!(state, EngineState::Unreachable);
         log::warn!(server:% = server, gone = gone; "engine does not answer");
     }
 }
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -64,11 +64,11 @@
             let usual = chain.chain.plan.first_token;
             let silence = tokio::select! {
                 answered = &mut sending => return answered,
-                silence = self.watch_for_other(&chain.chain, since, usual) => silence,
+                silence = self.watch_for_silence(&chain.chain, since, usual) => silence,
             };
             let Some(rerouted) = self.reroute(&chain.chain, &silence.suspects).await else {
-                if self.has_other(&silence.suspects) {
-                    return Err(self.silent(&silence.suspects));
+                if self.has_alternative(&silence.suspects) {
+                    return Err(self.silence_failure(&silence.suspects));
                 }
                 continue;
             };
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -6,7 +6,7 @@
 use pollendrift_http::BodySender;
 
 use super::drafts::{DraftRun, RunningDraft};
-use super::passing::{ChainEnd, EventPass, NextFrame, next_frame};
+use super::forwarding::{ChainEnd, EventForwarder, NextFrame, next_frame};
 
 /// A stream that runs.
 pub(super) struct StreamRun {
@@ -33,7 +33,7 @@
         mut running,
         mut progress,
     } = stream;
-    let mut pass = EventPass::new(run.context.clock.now());
+    let mut pass = EventForwarder::new(run.context.clock.now());
     loop {
         let end = tokio::select! {
             end = pass.run(&run, &mut running, &mut progress, &sender) => end,
@@ -42,7 +42,7 @@
         let after = progress.last();
         run.reroutes.written = after.map_or(0, |last| u32::try_from(last.0).unwrap_or(u32::MAX));
         match end {
-            ChainEnd::Whole => {
+            ChainEnd::Complete => {
                 running
                     .answer
                     .connection
@@ -68,7 +68,7 @@
                 };
                 if let Some(rerouted) = rerouted {
                     std::mem::replace(&mut running.chain, rerouted).failed(None);
-                    pass.rerouted(run.context.clock.now());
+                    pass.restart_silence(run.context.clock.now());
                 }
             }
             ChainEnd::Silent(verdict) if !verdict.is_dead => {
@@ -82,7 +82,7 @@
                 match handed {
                     HandOver::Taken(next) => {
                         std::mem::replace(&mut running, *next).chain.failed(None);
-                        pass = EventPass::new(run.context.clock.now());
+                        pass = EventForwarder::new(run.context.clock.now());
                     }
                     HandOver::Heard(frame) => pass.put_back(frame),
                     HandOver::Nobody => {}
@@ -103,7 +103,7 @@
                     return;
                 };
                 running = next;
-                pass = EventPass::new(run.context.clock.now());
+                pass = EventForwarder::new(run.context.clock.now());
             }
         }
     }
@@ -171,7 +171,7 @@
             run.abandon_dead(chain, verdict.suspects);
             "engines are gone".to_owned()
         }
-        ChainEnd::Whole | ChainEnd::CallerGone => String::new(),
+        ChainEnd::Complete | ChainEnd::CallerGone => String::new(),
     };
     log::info!(request = run.request.attempt.as_str(), reason = reason.as_str(),
         after = after.map(|id| id.0); "chain broke");
--- a/crates/daemon/src/relay/survey.rs
+++ b/crates/daemon/src/relay/survey.rs
@@ -55,10 +55,10 @@
     worker: Arc<WorkerView>,
 ) -> Option<EngineNote> {
     let asked_at = context.clock.now();
-    let state = ask_engine(&context, &pool, worker.address, ANSWER_TIME).await;
+    let state = probe_engine(&context, &pool, worker.address, ANSWER_TIME).await;
     let load = match state {
-        EngineState::Told(report) => Some(load_of(&worker, &report)),
-        EngineState::Gone | EngineState::Silent => None,
+        EngineState::Reported(report) => Some(load_of(&worker, &report)),
+        EngineState::Unreachable | EngineState::TimedOut => None,
         EngineState::Unclear => return None,
     };
     Some(EngineNote {
@@ -72,18 +72,18 @@
 /// What asking an engine showed.
 pub(super) enum EngineState {
     /// It answered.
-    Told(EngineReport),
+    Reported(EngineReport),
     /// Nobody listens at its address.
-    Gone,
+    Unreachable,
     /// Nothing came back in time.
-    Silent,
+    TimedOut,
     /// Somebody took the question, and the answer was lost or is none. Engines that lose answers
     /// now and then are alive, and would else be taken for dead with every lost one.
     Unclear,
 }
 
 /// Asks the engine at `address` for its state.
-pub(super) async fn ask_engine(
+pub(super) async fn probe_engine(
     context: &RelayContext,
     pool: &ConnectionPool,
     address: SocketAddr,
@@ -94,7 +94,7 @@
     let asking = async {
         let answer = match pool.send(address, question).await {
             Ok(answer) => answer,
-            Err(ClientError::NotSent { .. }) => return EngineState::Gone,
+            Err(ClientError::NotSent { .. }) => return EngineState::Unreachable,
             Err(_) => return EngineState::Unclear,
         };
         let (parts, body) = answer.response.into_parts();
@@ -104,11 +104,11 @@
         answer.connection.keep(&parts.headers);
         dialect
             .read_report(&body)
-            .map_or(EngineState::Unclear, EngineState::Told)
+            .map_or(EngineState::Unclear, EngineState::Reported)
     };
     timeout(answer_time, asking)
         .await
-        .unwrap_or(EngineState::Silent)
+        .unwrap_or(EngineState::TimedOut)
 }
 
 /// Engines count request memory in tokens times layers.
