--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -120,8 +120,11 @@
         let stopping = refused(RefusalKind::NotRun, "this host is stopping as planned");
         return Err(stopping.retry_after(RETRY_ELSEWHERE));
     }
-    let mut table = context.routes.wait(context.clock.as_ref()).await?;
-    if find_route(&table, call).is_err() && context.routes.may_be_old(context.clock.now()) {
+    let mut table = context
+        .routes
+        .wait_for_table(context.clock.as_ref())
+        .await?;
+    if find_route(&table, call).is_err() && context.routes.may_be_stale(context.clock.now()) {
         table = context.routes.catch_up(context.clock.as_ref()).await?;
     }
     let route = table.route(&call.host, &call.path).map_err(table_refusal)?;
--- a/crates/daemon/src/relay/calls.rs
+++ b/crates/daemon/src/relay/calls.rs
@@ -39,10 +39,10 @@
     request: &RelayRequest,
 ) -> Result<Response<ResponseBody>, Refused> {
     let mut history = CallHistory::default();
-    context.earn_retry(request.arrived, &request.service.name);
+    context.earn_retry_budget(request.arrived, &request.service.name);
     loop {
         let now = context.clock.now();
-        if request.left(now) < MIN_LEFT {
+        if request.time_left(now) < MIN_LEFT {
             return Err(conclude(&history));
         }
         let Some(worker) = choose(context, request, &history, now) else {
@@ -53,7 +53,7 @@
             return Err(conclude(&history));
         };
         let is_repeat = !history.asked.is_empty();
-        if is_repeat && !context.take_retry(now, &request.service.name) {
+        if is_repeat && !context.spend_retry(now, &request.service.name) {
             return Err(conclude(&history));
         }
         history.asked.push(worker.server.clone());
@@ -89,8 +89,8 @@
 fn may_wait(context: &RelayContext, request: &RelayRequest, now: MonotonicTime) -> bool {
     let waited = now.since(request.arrived);
     context.is_learning(now)
-        && now < context.wait_until(now, request.arrived)
-        && waited < request.left(now)
+        && now < context.queue_deadline(now, request.arrived)
+        && waited < request.time_left(now)
 }
 
 fn choose(
@@ -133,7 +133,7 @@
     };
     let written = request.write(now, context.dialect.servers.as_ref(), target);
     let running = RunningCall::start(context, worker.server.clone(), now);
-    let left = request.left(now);
+    let left = request.time_left(now);
     let answered = send(context, worker.address, written, &request.attempt, left).await;
     let result = match answered {
         Ok(answer) => {
@@ -146,7 +146,7 @@
                     .loads()
                     .told(context.clock.now(), &worker.server, told);
             }
-            let left = request.left(context.clock.now());
+            let left = request.time_left(context.clock.now());
             timeout(left, answer.read()).await.unwrap_or_else(|_| {
                 let reason = "the answer did not end in time".to_owned();
                 Err(FailedSend::new(SendOutcome::TimedOut, reason))
@@ -194,7 +194,7 @@
     };
     kind.may_resend(proof)
         && history.sends < request.route.max_attempts
-        && request.left(context.clock.now()) >= MIN_LEFT
+        && request.time_left(context.clock.now()) >= MIN_LEFT
 }
 
 /// What the caller is told after the last send.
--- a/crates/daemon/src/relay/chains/following.rs
+++ b/crates/daemon/src/relay/chains/following.rs
@@ -22,7 +22,7 @@
             .discovery()
             .and_then(|discovery| discovery.entry_count());
         if let Some(entries) = entries {
-            context.share_budget(now, entries);
+            context.set_budget_share(now, entries);
         }
         let Ok(table) = context.routes.current(now) else {
             continue;
--- a/crates/daemon/src/relay/chains/repair.rs
+++ b/crates/daemon/src/relay/chains/repair.rs
@@ -15,7 +15,7 @@
     /// Engines that are lost.
     pub(in crate::relay) lost: &'repair [ServerName],
     /// Events that the caller holds.
-    pub(in crate::relay) written: u32,
+    pub(in crate::relay) events_written: u32,
     /// Whether an engine may get new work.
     pub(in crate::relay) may_take: &'repair dyn Fn(&ServerName) -> bool,
 }
@@ -54,7 +54,7 @@
         let query = query_of(repair.request, &model, &is_good);
         let query = RouteQuery {
             excluded: repair.lost,
-            prompt_tokens: query.prompt_tokens.saturating_add(repair.written),
+            prompt_tokens: query.prompt_tokens.saturating_add(repair.events_written),
             priority: RoutePriority::Urgent,
             ..query
         };
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -104,7 +104,7 @@
         if self.lifecycle.step() != LifeStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
-        self.routes.gap(self.clock.now())
+        self.routes.unavailable_reason(self.clock.now())
     }
 
     /// Loads of plain servers.
@@ -123,7 +123,11 @@
     }
 
     /// Until when a request that arrived at `arrived` waits for a server, as far as can be said at `now`.
-    pub(super) fn wait_until(&self, now: MonotonicTime, arrived: MonotonicTime) -> MonotonicTime {
+    pub(super) fn queue_deadline(
+        &self,
+        now: MonotonicTime,
+        arrived: MonotonicTime,
+    ) -> MonotonicTime {
         self.patience.wait_until(now, MonotonicTime::START, arrived)
     }
 
@@ -133,22 +137,22 @@
     }
 
     /// A first send to a service earns a part of a retry.
-    pub(super) fn earn_retry(&self, now: MonotonicTime, service: &ServiceName) {
+    pub(super) fn earn_retry_budget(&self, now: MonotonicTime, service: &ServiceName) {
         self.budgets().called(now, service);
     }
 
     /// Takes a retry at a service from the budget; false if there is none.
-    pub(super) fn take_retry(&self, now: MonotonicTime, service: &ServiceName) -> bool {
+    pub(super) fn spend_retry(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().take(now, service)
     }
 
     /// Whether the budget allows a retry at a service; takes none.
-    pub(super) fn is_retry_left(&self, now: MonotonicTime, service: &ServiceName) -> bool {
+    pub(super) fn has_retry_budget(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().is_left(now, service)
     }
 
     /// Divides the retry budget by the hosts that take callers.
-    pub(super) fn share_budget(&self, now: MonotonicTime, hosts: u32) {
+    pub(super) fn set_budget_share(&self, now: MonotonicTime, hosts: u32) {
         if self.sharing.swap(hosts, Ordering::Relaxed) != hosts {
             let settings = budget_settings(&self.settings, hosts);
             self.budgets().configure(now, settings);
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -79,7 +79,7 @@
     request: RelayRequest,
     meter: &RequestMeter,
 ) -> Result<Response<ResponseBody>, Refused> {
-    context.earn_retry(request.arrived, &request.service.name);
+    context.earn_retry_budget(request.arrived, &request.service.name);
     let resume_after = request.resume_after;
     let mut run = DraftRun {
         context: Arc::clone(context),
@@ -93,7 +93,7 @@
         last: None,
         reroutes: RerouteState::default(),
     };
-    let wait_until = context.wait_until(context.clock.now(), run.request.arrived);
+    let wait_until = context.queue_deadline(context.clock.now(), run.request.arrived);
     let running = match run.open(resume_after, wait_until).await {
         Some(running) => running,
         None => return Err(run.conclude()),
@@ -125,7 +125,7 @@
         let is_resume = self.may_have_run;
         loop {
             let now = self.context.clock.now();
-            if self.request.left(now) < MIN_LEFT || self.is_over() {
+            if self.request.time_left(now) < MIN_LEFT || self.is_over() {
                 return None;
             }
             let Some(mut chain) = self.take_chain_in_budget(now, is_resume) else {
@@ -179,11 +179,11 @@
     fn take_chain_in_budget(&self, now: MonotonicTime, is_resume: bool) -> Option<ChainGuard> {
         let service = &self.request.service.name;
         let is_repeat = self.sends + self.declined > 0;
-        if is_repeat && !self.context.is_retry_left(now, service) {
+        if is_repeat && !self.context.has_retry_budget(now, service) {
             return None;
         }
         let chain = self.take_chain(now, is_resume, &[])?;
-        if is_repeat && !self.context.take_retry(now, service) {
+        if is_repeat && !self.context.spend_retry(now, service) {
             chain.failed(None);
             return None;
         }
@@ -196,7 +196,9 @@
     /// end the caller's answer for certain.
     pub(super) fn has_alternative(&self, suspects: &[ServerName]) -> bool {
         let now = self.context.clock.now();
-        let is_left = self.context.is_retry_left(now, &self.request.service.name);
+        let is_left = self
+            .context
+            .has_retry_budget(now, &self.request.service.name);
         if self.is_over() || self.declined + 1 >= self.most_declined() || !is_left {
             return false;
         }
@@ -314,21 +316,21 @@
     }
 
     /// Gives a chain up whose engines are gone.
-    pub(super) fn abandon_dead(&mut self, chain: ChainGuard, gone: Vec<ServerName>) {
-        self.suspect(gone);
+    pub(super) fn abandon_unreachable(&mut self, chain: ChainGuard, gone: Vec<ServerName>) {
+        self.exclude_suspects(gone);
         chain.failed(None);
     }
 
     /// Leaves silent engines out of the next chain. A chain with engines that are gone does not
     /// count among those that the draft was sent to.
-    pub(super) fn suspect(&mut self, suspects: Vec<ServerName>) {
+    pub(super) fn exclude_suspects(&mut self, suspects: Vec<ServerName>) {
         self.sends = self.sends.saturating_sub(1);
         self.declined += 1;
         self.leave_out(suspects, BROKEN_PAUSE);
     }
 
     /// The chain whose engines were suspected is kept, and counts again.
-    pub(super) fn keep(&mut self) {
+    pub(super) fn count_kept_chain(&mut self) {
         self.sends += 1;
     }
 
--- a/crates/daemon/src/relay/forwarding.rs
+++ b/crates/daemon/src/relay/forwarding.rs
@@ -113,7 +113,7 @@
         run: &DraftRun,
         running: &mut RunningDraft,
     ) -> Result<NextFrame, ChainEnd> {
-        let left = run.request.left(run.context.clock.now());
+        let left = run.request.time_left(run.context.clock.now());
         tokio::select! {
             frame = timeout(left, next_frame(&mut running.answer.body)) => {
                 frame.map_err(|_| ChainEnd::Broken("its time is over".to_owned()))
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -36,7 +36,7 @@
             .collect();
         log::info!(request = request.attempt.as_str(), route = &*request.route.name,
             try = attempt, chain = stages.join(" ").as_str(),
-            predicted_ms = millis(plan.first_token), left_ms = millis(request.left(now)); "sent");
+            predicted_ms = millis(plan.first_token), left_ms = millis(request.time_left(now)); "sent");
     }
 
     /// Events came; `is_first` if none had before.
--- a/crates/daemon/src/relay/request.rs
+++ b/crates/daemon/src/relay/request.rs
@@ -40,7 +40,7 @@
 
 impl RelayRequest {
     /// Time that is left.
-    pub(super) fn left(&self, now: MonotonicTime) -> Duration {
+    pub(super) fn time_left(&self, now: MonotonicTime) -> Duration {
         self.deadline.since(now)
     }
 
@@ -55,7 +55,7 @@
             head: &self.head,
             server: target.server,
             customer: self.customer.as_ref(),
-            left: self.left(now),
+            left: self.time_left(now),
             stages: target.stages,
             resume_after: target.resume_after,
         };
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -33,7 +33,7 @@
     /// Until when it is not tried.
     pause_until: Option<MonotonicTime>,
     /// Events that the caller holds.
-    pub(super) written: u32,
+    pub(super) events_written: u32,
 }
 
 impl DraftRun {
@@ -56,7 +56,7 @@
         };
         let dialect = Arc::clone(&context.dialect.servers);
         let written = self.request.write(since, dialect.as_ref(), target);
-        let left = self.request.left(since);
+        let left = self.request.time_left(since);
         let attempt = self.request.attempt.clone();
         let sending = send(&context, hop.address, written, &attempt, left);
         let mut sending = std::pin::pin!(sending);
@@ -117,7 +117,7 @@
             let next = ChainGuard::new(&self.context, next);
             let outcome = self.order(&next.chain).await;
             log::info!(request = self.request.attempt.as_str(), outcome:? = outcome,
-                lost = names(&lost).as_str(), after = self.reroutes.written; "chain rerouted");
+                lost = names(&lost).as_str(), after = self.reroutes.events_written; "chain rerouted");
             match outcome {
                 Some(RerouteOutcome::Taken) => return Some(next),
                 Some(RerouteOutcome::NoRoom { culprit }) => {
@@ -149,7 +149,7 @@
         work(&ChainRepair {
             request: &self.request,
             lost,
-            written: self.reroutes.written,
+            events_written: self.reroutes.events_written,
             may_take: &may_take,
         })
     }
--- a/crates/daemon/src/relay/routes.rs
+++ b/crates/daemon/src/relay/routes.rs
@@ -33,7 +33,7 @@
 pub(crate) struct RouteFeed {
     agreed: Arc<dyn AgreedState>,
     dialect: Arc<dyn OperatorDialect>,
-    laid_out: Arc<Mutex<LayOutState>>,
+    build_state: Arc<Mutex<BuildState>>,
     /// Time after its acceptance in which a change is in force here.
     change_within: Duration,
     /// Since when no routes are known; `None` while some are.
@@ -41,8 +41,8 @@
 }
 
 /// The last routes that were laid out, and the work at the next ones.
-struct LayOutState {
-    last: Option<LaidOut>,
+struct BuildState {
+    last: Option<BuiltTable>,
     /// When the newest revision was last known here.
     known_at: Option<MonotonicTime>,
     /// Revision below which nothing is served any more.
@@ -50,13 +50,13 @@
     is_working: bool,
 }
 
-struct LaidOut {
+struct BuiltTable {
     revision: Revision,
     /// The table, or why the source can't be laid out.
     table: Result<Arc<RouteTable>, String>,
 }
 
-impl LayOutState {
+impl BuildState {
     fn new() -> Self {
         Self {
             last: None,
@@ -100,7 +100,7 @@
             agreed,
             dialect,
             change_within,
-            laid_out: Arc::new(Mutex::new(LayOutState::new())),
+            build_state: Arc::new(Mutex::new(BuildState::new())),
             unknown_since: Mutex::new(Some(MonotonicTime::START)),
         }
     }
@@ -120,26 +120,26 @@
             .agreed
             .configuration()
             .map_err(|stale| unknown(stale.to_string()))?;
-        let mut state = lock(&self.laid_out);
+        let mut state = lock(&self.build_state);
         let newest = configuration.revision();
         let held = state.last.as_ref().map(|last| last.revision);
         if held < Some(newest) && !state.is_working {
             state.is_working = true;
-            self.start_lay_out(configuration);
+            self.start_build(configuration);
         }
         state.table(now, newest).map_err(unknown)
     }
 
-    fn start_lay_out(&self, configuration: Arc<Configuration>) {
-        let (laid_out, dialect) = (Arc::clone(&self.laid_out), Arc::clone(&self.dialect));
+    fn start_build(&self, configuration: Arc<Configuration>) {
+        let (build_state, dialect) = (Arc::clone(&self.build_state), Arc::clone(&self.dialect));
         tokio::task::spawn_blocking(move || {
             let revision = configuration.revision();
-            let table = lay_out(dialect.as_ref(), &configuration).map(Arc::new);
+            let table = build_table(dialect.as_ref(), &configuration).map(Arc::new);
             if let Ok(table) = &table {
                 log::info!(revision:% = revision, version:% = table.version(); "routes in force");
             }
-            let mut state = lock(&laid_out);
-            state.last = Some(LaidOut { revision, table });
+            let mut state = lock(&build_state);
+            state.last = Some(BuiltTable { revision, table });
             state.is_working = false;
         });
     }
@@ -152,7 +152,10 @@
     ///
     /// # Errors
     /// As [`RouteFeed::current`].
-    pub(super) async fn wait(&self, clock: &dyn TimeSource) -> Result<Arc<RouteTable>, Refused> {
+    pub(super) async fn wait_for_table(
+        &self,
+        clock: &dyn TimeSource,
+    ) -> Result<Arc<RouteTable>, Refused> {
         let arrived = clock.now();
         loop {
             let refused = match self.current(clock.now()) {
@@ -178,7 +181,7 @@
     /// the new route for the rest of its lease, which is as long as a revoked key may be served, and
     /// callers believe that for good. A change that was accepted after the last confirmation is
     /// younger than that confirmation, so within `change_within` of it nothing can be missed.
-    pub(super) fn may_be_old(&self, now: MonotonicTime) -> bool {
+    pub(super) fn may_be_stale(&self, now: MonotonicTime) -> bool {
         let confirmed_at = self.agreed.confirmed_at();
         self.is_behind() || confirmed_at.is_none_or(|at| now.since(at) >= self.change_within)
     }
@@ -190,7 +193,7 @@
         }
         let newest = self.agreed.configuration();
         let newest = newest.ok().map(|configuration| configuration.revision());
-        let state = lock(&self.laid_out);
+        let state = lock(&self.build_state);
         state.last.as_ref().map(|last| last.revision) < newest
     }
 
@@ -207,7 +210,7 @@
         clock: &dyn TimeSource,
     ) -> Result<Arc<RouteTable>, Refused> {
         let until = clock.now().after(LONGEST_WAIT);
-        while self.may_be_old(clock.now()) {
+        while self.may_be_stale(clock.now()) {
             if clock.now() >= until {
                 let reason = "newer routes may be in force than this host knows";
                 let refusal = refused(RefusalKind::NotRun, reason);
@@ -236,16 +239,16 @@
     }
 
     /// Why no routes are known; `None` if some are.
-    pub(crate) fn gap(&self, now: MonotonicTime) -> Option<String> {
+    pub(crate) fn unavailable_reason(&self, now: MonotonicTime) -> Option<String> {
         self.current(now).err().map(|refused| refused.0.reason)
     }
 }
 
-fn lock(state: &Mutex<LayOutState>) -> MutexGuard<'_, LayOutState> {
+fn lock(state: &Mutex<BuildState>) -> MutexGuard<'_, BuildState> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn lay_out(
+fn build_table(
     dialect: &dyn OperatorDialect,
     configuration: &Configuration,
 ) -> Result<RouteTable, String> {
--- a/crates/daemon/src/relay/routes/tests.rs
+++ b/crates/daemon/src/relay/routes/tests.rs
@@ -2,10 +2,10 @@
 
 use pollendrift_coordination::base::{MonotonicTime, Revision};
 
-use super::{LaidOut, LayOutState};
+use super::{BuildState, BuiltTable};
 
-fn laid_out(revision: u64) -> LaidOut {
-    LaidOut {
+fn laid_out(revision: u64) -> BuiltTable {
+    BuiltTable {
         revision: Revision(revision),
         // What can't be laid out has a text, by which the test knows it.
         table: Err(format!("routes {revision}")),
@@ -19,9 +19,9 @@
 /// as changes come.
 #[test]
 fn a_host_that_was_away_does_not_serve_by_its_old_routes() {
-    let mut state = LayOutState::new();
+    let mut state = BuildState::new();
     let mut seen = Vec::new();
-    let mut look = |state: &mut LayOutState, millis: u64, newest: u64| {
+    let mut look = |state: &mut BuildState, millis: u64, newest: u64| {
         let now = MonotonicTime::from_millis(millis);
         let served = state.table(now, Revision(newest)).expect_err("a text");
         seen.push(format!("{millis} ms, {newest} in force: {served}"));
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -40,7 +40,8 @@
             () = sender.closed() => ChainEnd::CallerGone,
         };
         let after = progress.last();
-        run.reroutes.written = after.map_or(0, |last| u32::try_from(last.0).unwrap_or(u32::MAX));
+        run.reroutes.events_written =
+            after.map_or(0, |last| u32::try_from(last.0).unwrap_or(u32::MAX));
         match end {
             ChainEnd::Complete => {
                 running
@@ -133,18 +134,18 @@
     log::info!(request = run.request.attempt.as_str(), after = after.map(|id| id.0),
         engines = suspects.len(); "chain fell silent");
     let now = run.context.clock.now();
-    run.suspect(suspects);
+    run.exclude_suspects(suspects);
     let next = tokio::select! {
         next = run.open(after, now) => next,
         frame = next_frame(&mut running.answer.body) => {
-            run.keep();
+            run.count_kept_chain();
             return HandOver::Heard(frame);
         }
     };
     match next.filter(|next| next.answer.parts.status.is_success()) {
         Some(next) => HandOver::Taken(Box::new(next)),
         None => {
-            run.keep();
+            run.count_kept_chain();
             HandOver::Nobody
         }
     }
@@ -168,7 +169,7 @@
             reason
         }
         ChainEnd::Silent(verdict) => {
-            run.abandon_dead(chain, verdict.suspects);
+            run.abandon_unreachable(chain, verdict.suspects);
             "engines are gone".to_owned()
         }
         ChainEnd::Complete | ChainEnd::CallerGone => String::new(),
@@ -184,7 +185,7 @@
 /// and a connection that is cut before helps nobody.
 async fn go_on(run: &mut DraftRun, after: Option<EventId>) -> Option<RunningDraft> {
     let now = run.context.clock.now();
-    let wait_until = now.after(run.request.left(now));
+    let wait_until = now.after(run.request.time_left(now));
     let next = run.open(after, wait_until).await?;
     next.answer.parts.status.is_success().then_some(next)
 }
