--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -173,8 +173,8 @@
             recorder: Arc::clone(&recorder),
             metrics: Arc::clone(&metrics),
             tasks: TaskGroup::default(),
-            named: AtomicU64::new(0),
-            tickets: AtomicU64::new(0),
+            request_counter: AtomicU64::new(0),
+            ticket_counter: AtomicU64::new(0),
         });
         let relay = dialect.map(|dialect| {
             RelayContext::new(RelayParts {
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -64,9 +64,9 @@
     /// Tasks that outlive their request; a planned stop waits for them.
     pub tasks: TaskGroup,
     /// Requests that this process has named; part of their ids.
-    pub named: AtomicU64,
+    pub request_counter: AtomicU64,
     /// Claims that this process has asked for; part of their tickets.
-    pub tickets: AtomicU64,
+    pub ticket_counter: AtomicU64,
 }
 
 impl std::fmt::Debug for EntryContext {
@@ -104,13 +104,13 @@
         if let Some(given) = given.filter(|given| is_fit_id(given)) {
             return given.into();
         }
-        let number = self.named.fetch_add(1, Ordering::Relaxed);
+        let number = self.request_counter.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.host, self.incarnation).into()
     }
 
     /// A ticket number that this process has not used.
     pub(super) fn next_ticket(&self) -> u64 {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+        self.ticket_counter.fetch_add(1, Ordering::Relaxed)
     }
 
     /// The customer that calls, if this host takes new work.
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -7,8 +7,8 @@
 mod attempt;
 mod caller_link;
 mod flight_guard;
+mod progress;
 mod resume;
-mod telling;
 mod wire;
 
 use std::sync::Arc;
@@ -115,7 +115,7 @@
         attempt,
         excluded: Vec::new(),
         fruitless: 0,
-        told: false,
+        has_replicated: false,
         may_have_run: false,
         link: CallerLink {
             writer: writer.clone(),
@@ -128,7 +128,7 @@
     context.tasks.spawn(runner.run());
     match answer.await {
         Ok(FirstAnswer::Streaming) => Ok(writer.stream_response(body)),
-        Ok(FirstAnswer::Whole(response)) => Ok(response),
+        Ok(FirstAnswer::Buffered(response)) => Ok(response),
         Ok(FirstAnswer::Refused(refusal)) => Err(refusal),
         Err(_) => Err(Refusal::unknown(
             StatusCode::INTERNAL_SERVER_ERROR,
@@ -163,7 +163,7 @@
     /// ended drafts that lost a stage now and then and went on well in between.
     fruitless: u32,
     /// Whether another host was told of the stream.
-    told: bool,
+    has_replicated: bool,
     /// Whether any engine may have run a layer; decides between `not-run` and `unknown`.
     may_have_run: bool,
     link: CallerLink,
@@ -214,14 +214,14 @@
             Err(refusal) => {
                 let ending = RequestEnding::of_refusal(&refusal, link.has_begun());
                 job.record.finish(RequestEnding { answer, ..ending }).await;
-                link.fail(refusal.on_record()).await;
+                link.fail(refusal.mark_recorded()).await;
             }
         }
     }
 
     async fn attempts(&mut self) -> Result<String, Refusal> {
         let mut failure = String::new();
-        if let Some(finish) = self.show_resumed().await {
+        if let Some(finish) = self.send_resumed().await {
             return Ok(finish);
         }
         loop {
@@ -233,7 +233,7 @@
             self.job.record.attempt(trace);
             match end {
                 AttemptEnd::Complete { reason } => {
-                    self.tell_stream(&[], Some(reason.clone()));
+                    self.replicate_tokens(&[], Some(reason.clone()));
                     return Ok(reason);
                 }
                 AttemptEnd::Failed {
--- a/crates/daemon/src/entry/draft/attempt.rs
+++ b/crates/daemon/src/entry/draft/attempt.rs
@@ -180,10 +180,10 @@
         let ledger = self.ledger.as_mut()?;
         match ledger.accept(token_result(event)) {
             TokenVerdict::Release { tokens, .. } => {
-                self.job.record.first_byte().await;
-                self.job.record.tokens(tokens.len());
-                self.tell_stream(&tokens, None);
-                self.link.tokens(&tokens).await;
+                self.job.record.record_first_byte().await;
+                self.job.record.record_tokens(tokens.len());
+                self.replicate_tokens(&tokens, None);
+                self.link.send_tokens(&tokens).await;
                 None
             }
             TokenVerdict::Held => None,
--- a/crates/daemon/src/entry/draft/caller_link.rs
+++ b/crates/daemon/src/entry/draft/caller_link.rs
@@ -11,7 +11,7 @@
 /// What the handler is told first.
 pub(super) enum FirstAnswer {
     Streaming,
-    Whole(Response<ResponseBody>),
+    Buffered(Response<ResponseBody>),
     Refused(Refusal),
 }
 
@@ -31,7 +31,7 @@
     }
 
     /// Sends released tokens on, if the caller reads a stream.
-    pub(super) async fn tokens(&mut self, tokens: &[ReleasedToken]) {
+    pub(super) async fn send_tokens(&mut self, tokens: &[ReleasedToken]) {
         if !self.stream {
             return;
         }
@@ -44,8 +44,8 @@
     /// Ends a whole answer.
     pub(super) async fn finish(mut self, tokens: &[GeneratedToken], reason: &str) {
         if !self.stream {
-            let response = self.writer.whole_response(tokens, reason);
-            return self.answer(FirstAnswer::Whole(response));
+            let response = self.writer.buffered_response(tokens, reason);
+            return self.answer(FirstAnswer::Buffered(response));
         }
         self.answer(FirstAnswer::Streaming);
         let count = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
--- a/crates/daemon/src/entry/draft/telling.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -10,7 +10,7 @@
 
 impl DraftRunner {
     /// Sends what the lost entry had released and the caller lacks; the end, if it had come.
-    pub(super) async fn show_resumed(&mut self) -> Option<String> {
+    pub(super) async fn send_resumed(&mut self) -> Option<String> {
         let resume = self.job.resume.take()?;
         let missing = resume
             .tokens
@@ -24,14 +24,14 @@
             })
             .collect();
         if !missing.is_empty() {
-            self.job.record.first_byte().await;
-            self.link.tokens(&missing).await;
+            self.job.record.record_first_byte().await;
+            self.link.send_tokens(&missing).await;
         }
         resume.finish
     }
 
     /// Tells another host of tokens before the caller gets them.
-    pub(super) fn tell_stream(&mut self, tokens: &[ReleasedToken], finish: Option<String>) {
+    pub(super) fn replicate_tokens(&mut self, tokens: &[ReleasedToken], finish: Option<String>) {
         let Some(ledger) = self.ledger.as_ref().filter(|_| self.job.stream) else {
             return;
         };
@@ -40,7 +40,7 @@
         };
         // The first note carries all that is known, so that it fits any host: after a resume the
         // one that remembers is another than before.
-        let first_note = !std::mem::replace(&mut self.told, true);
+        let first_note = !std::mem::replace(&mut self.has_replicated, true);
         let (first, told) = match tokens.first() {
             _ if first_note => (TokenPosition(0), ledger.confirmed_prefix().to_vec()),
             Some(token) => (
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -139,7 +139,7 @@
     }
 
     /// Waits until the beginning is stored.
-    pub(super) async fn begun(&self) {
+    pub(super) async fn wait_stored(&self) {
         let Some(open) = &self.open else {
             return;
         };
@@ -152,16 +152,16 @@
     }
 
     /// Waits until the beginning is stored, before the caller sees its first byte.
-    pub(super) async fn first_byte(&mut self) {
+    pub(super) async fn record_first_byte(&mut self) {
         if self.first_at.is_some() {
             return;
         }
-        self.begun().await;
+        self.wait_stored().await;
         self.first_at = Some(self.context.clock.now());
     }
 
     /// Counts tokens that go to the caller.
-    pub(super) fn tokens(&mut self, count: usize) {
+    pub(super) fn record_tokens(&mut self, count: usize) {
         let now = self.context.clock.now();
         for _ in 0..count {
             if self.last_at == self.arrived {
--- a/crates/daemon/src/entry/refusal.rs
+++ b/crates/daemon/src/entry/refusal.rs
@@ -219,7 +219,7 @@
     }
 
     /// The same refusal, told as the end of a request that is on record.
-    pub(crate) fn on_record(mut self) -> Self {
+    pub(crate) fn mark_recorded(mut self) -> Self {
         self.recorded = true;
         self
     }
--- a/crates/daemon/src/entry/services.rs
+++ b/crates/daemon/src/entry/services.rs
@@ -27,7 +27,7 @@
 use crate::fleet::ServerView;
 use crate::resend::{ResendQuery, send_outcome};
 
-use proxy::WholeAnswer;
+use proxy::BufferedAnswer;
 
 /// Header that names a call; a resend carries the same.
 const KEY_HEADER: &str = "idempotency-key";
@@ -92,7 +92,7 @@
     async fn run(&self, mut record: RunningRequest) -> Result<Response<ResponseBody>, Refusal> {
         if !self.is_idempotent() {
             // Without a claim nothing else would tell of a call that ran when its entry dies now.
-            record.begun().await;
+            record.wait_stored().await;
         }
         let result = self.attempts(&mut record).await;
         let ending = match &result {
@@ -103,10 +103,10 @@
         record.finish(ending).await;
         result
             .map(|answer| proxy::response(answer, &self.id))
-            .map_err(Refusal::on_record)
+            .map_err(Refusal::mark_recorded)
     }
 
-    async fn attempts(&self, record: &mut RunningRequest) -> Result<WholeAnswer, Refusal> {
+    async fn attempts(&self, record: &mut RunningRequest) -> Result<BufferedAnswer, Refusal> {
         let mut refusal = self.nobody_serves();
         let mut lost = None;
         for (turn, server) in self.servers().iter().enumerate() {
@@ -158,7 +158,7 @@
         &self,
         turn: usize,
         server: &ServerView,
-        result: &Result<WholeAnswer, ClientError>,
+        result: &Result<BufferedAnswer, ClientError>,
     ) -> AttemptTrace {
         let ending = match result {
             Ok(answer) => format!("answered with status {}", answer.status.as_u16()),
@@ -191,7 +191,7 @@
     }
 
     /// Sends the call to one server, if it still may take work.
-    async fn send(&self, server: &ServerView) -> Result<WholeAnswer, ClientError> {
+    async fn send(&self, server: &ServerView) -> Result<BufferedAnswer, ClientError> {
         // Asked right before the send: between two servers time passes, and leases end.
         if !self
             .context
--- a/crates/daemon/src/entry/services/claimed.rs
+++ b/crates/daemon/src/entry/services/claimed.rs
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 
 use super::ServiceCall;
-use super::proxy::{self, WholeAnswer};
+use super::proxy::{self, BufferedAnswer};
 use crate::entry::record::{RequestEnding, RunningRequest};
 use crate::entry::refusal::Refusal;
 
@@ -75,7 +75,7 @@
     context.tasks.spawn(runner.run(take));
     match verdict.await {
         Ok(Ok(answer)) => Ok(proxy::response(answer, &id)),
-        Ok(Err(refusal)) => Err(refusal.on_record()),
+        Ok(Err(refusal)) => Err(refusal.mark_recorded()),
         Err(_) => Err(Refusal::unknown(
             StatusCode::INTERNAL_SERVER_ERROR,
             "internal",
@@ -88,15 +88,15 @@
 /// The verdict, with the answer in full where this arrival's own run made it.
 struct ToldVerdict {
     verdict: CallerVerdict,
-    answer: Option<WholeAnswer>,
+    answer: Option<BufferedAnswer>,
 }
 
 struct ClaimRunner {
     call: ServiceCall,
     /// Taken when the caller has been told.
     record: Option<RunningRequest>,
-    answer: Option<WholeAnswer>,
-    told: Option<oneshot::Sender<Result<WholeAnswer, Refusal>>>,
+    answer: Option<BufferedAnswer>,
+    told: Option<oneshot::Sender<Result<BufferedAnswer, Refusal>>>,
 }
 
 impl ClaimRunner {
@@ -141,7 +141,7 @@
     async fn send(&mut self) -> CallEvent {
         if let Some(record) = &self.record {
             // An entry that dies behind the send must leave evidence of what it began.
-            record.begun().await;
+            record.wait_stored().await;
         }
         for (turn, server) in self.call.servers().into_iter().enumerate() {
             let result = self.call.send(&server).await;
@@ -207,7 +207,7 @@
 }
 
 impl ToldVerdict {
-    fn into_answer(self) -> Result<WholeAnswer, Refusal> {
+    fn into_answer(self) -> Result<BufferedAnswer, Refusal> {
         match self.verdict {
             CallerVerdict::Answer(stored) => match self.answer {
                 Some(answer) => Ok(answer),
@@ -222,7 +222,7 @@
     }
 }
 
-fn kept_answer(stored: StoredAnswer) -> Result<WholeAnswer, Refusal> {
+fn kept_answer(stored: StoredAnswer) -> Result<BufferedAnswer, Refusal> {
     let AnswerBody::Whole(body) = stored.body else {
         return Err(Refusal::answer_not_kept(stored.status));
     };
@@ -235,14 +235,14 @@
         }
     }
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
-    Ok(WholeAnswer {
+    Ok(BufferedAnswer {
         status,
         headers,
         body: Bytes::from(body),
     })
 }
 
-fn stored_answer(answer: &WholeAnswer) -> StoredAnswer {
+fn stored_answer(answer: &BufferedAnswer) -> StoredAnswer {
     let kept = KEPT_HEADERS.iter().filter_map(|name| {
         let value = answer.headers.get(name)?.to_str().ok()?;
         Some(AnswerHeader {
--- a/crates/daemon/src/entry/services/proxy.rs
+++ b/crates/daemon/src/entry/services/proxy.rs
@@ -24,13 +24,13 @@
 
 /// An answer whose whole body has come.
 #[derive(Clone, Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct BufferedAnswer {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-impl WholeAnswer {
+impl BufferedAnswer {
     /// The end of a request that this answers.
     pub(super) fn ending(&self) -> RequestEnding {
         RequestEnding {
@@ -46,12 +46,12 @@
 pub(super) async fn send(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
-) -> Result<WholeAnswer, ClientError> {
+) -> Result<BufferedAnswer, ClientError> {
     let response = client.send(request).await?;
     let status = response.status();
     let headers = response.headers().clone();
     let body = client.read(response).await?;
-    Ok(WholeAnswer {
+    Ok(BufferedAnswer {
         status,
         headers,
         body,
@@ -85,7 +85,7 @@
 }
 
 /// The answer as the caller gets it.
-pub(super) fn response(answer: WholeAnswer, id: &RequestId) -> Response<ResponseBody> {
+pub(super) fn response(answer: BufferedAnswer, id: &RequestId) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
     copy_headers(&answer.headers, response.headers_mut());
--- a/crates/daemon/src/entry/stream.rs
+++ b/crates/daemon/src/entry/stream.rs
@@ -100,7 +100,7 @@
     }
 
     /// A whole answer in one body.
-    pub(super) fn whole_response(
+    pub(super) fn buffered_response(
         &self,
         tokens: &[GeneratedToken],
         reason: &str,
