--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -38,7 +38,7 @@
 
 /// Bounds of one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GateBounds {
+pub struct GateLimits {
     /// Requests that run at once.
     pub max_running: u32,
     /// Longest wait in the queue; a request that would wait for longer is refused at once.
@@ -93,7 +93,7 @@
 
 impl AdmissionGate {
     /// A gate that runs and holds what `bounds` allow.
-    pub fn new(settings: LimitSettings, bounds: GateBounds, clock: Arc<dyn TimeSource>) -> Self {
+    pub fn new(settings: LimitSettings, bounds: GateLimits, clock: Arc<dyn TimeSource>) -> Self {
         // KV memory is the planner's to judge, engine by engine; here only requests are counted.
         let capacity = AdmissionCapacity {
             max_in_flight: bounds.max_running,
@@ -334,11 +334,11 @@
     use pollendrift_coordination::configuration::KnownSettings;
     use pollendrift_coordination::limits::LimitSettings;
 
-    use super::{AdmissionGate, GateBounds, GateRequest, GateStatus};
+    use super::{AdmissionGate, GateLimits, GateRequest, GateStatus};
     use crate::clock::SystemClock;
 
     fn gate() -> Arc<AdmissionGate> {
-        let bounds = GateBounds {
+        let bounds = GateLimits {
             max_running: 1,
             max_wait: Duration::from_secs(10),
             entries: 1,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::access::{AccessControl, AccessError, FaceAcceptor, FaceKind};
-use crate::admission::{AdmissionGate, GateBounds};
+use crate::admission::{AdmissionGate, GateLimits};
 use crate::agreed::AgreedState;
 use crate::announcements::AnnouncementHandler;
 use crate::clock::{SystemClock, TimeSource};
@@ -441,7 +441,7 @@
 
 fn admission_gate(settings: &DaemonSettings, clock: Arc<dyn TimeSource>) -> AdmissionGate {
     let limits = &settings.limits;
-    let bounds = GateBounds {
+    let bounds = GateLimits {
         max_running: to_u32(limits.max_running),
         max_wait: limits.max_queue_wait,
         entries: u32::try_from(settings.peers.len()).unwrap_or(u32::MAX),
