--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -17,7 +17,7 @@
 use crate::clock::TimeSource;
 
 /// Priorities from here on go first.
-pub(crate) const URGENT_FROM: u8 = 67;
+pub(crate) const MIN_URGENT_LABEL: u8 = 67;
 /// Priorities below go last.
 const NORMAL_FROM: u8 = 34;
 /// Weight of one observation in the mean time per token, as a power of two.
@@ -310,7 +310,7 @@
 
 fn priority(label: Option<u8>) -> RequestPriority {
     match label {
-        Some(label) if label >= URGENT_FROM => RequestPriority::Urgent,
+        Some(label) if label >= MIN_URGENT_LABEL => RequestPriority::Urgent,
         Some(label) if label < NORMAL_FROM => RequestPriority::Batch,
         _ => RequestPriority::Normal,
     }
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -36,7 +36,7 @@
 use super::refusal::Refusal;
 use super::selection::ServedRequest;
 use super::stream::{ReplyFormat, ReplyWriter};
-use crate::admission::URGENT_FROM;
+use crate::admission::MIN_URGENT_LABEL;
 use crate::fleet::{DraftQuery, DraftRoute};
 use crate::resend::ResendQuery;
 
@@ -315,7 +315,7 @@
 
     fn route_priority(&self) -> RoutePriority {
         match self.job.served.selected.settings.priority {
-            Some(priority) if priority >= URGENT_FROM => RoutePriority::Urgent,
+            Some(priority) if priority >= MIN_URGENT_LABEL => RoutePriority::Urgent,
             _ => RoutePriority::Normal,
         }
     }
--- a/crates/daemon/src/entry/services.rs
+++ b/crates/daemon/src/entry/services.rs
@@ -202,7 +202,8 @@
                 reason: "its lease ran out".to_owned(),
             });
         }
-        let request = proxy::outgoing(&self.head, &self.service, &self.body, &server.address)?;
+        let request =
+            proxy::upstream_request(&self.head, &self.service, &self.body, &server.address)?;
         let deadline = self.deadline.remaining(self.context.clock.now());
         let answer =
             tokio::time::timeout(deadline, proxy::send(&self.context.client, request)).await;
--- a/crates/daemon/src/entry/services/proxy.rs
+++ b/crates/daemon/src/entry/services/proxy.rs
@@ -59,7 +59,7 @@
 }
 
 /// The call as the backend server gets it.
-pub(super) fn outgoing(
+pub(super) fn upstream_request(
     head: &request::Parts,
     service: &ServiceName,
     body: &Bytes,
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -64,7 +64,7 @@
     }
 
     /// Opens a call to `host`; `None` if as many wait as the bound allows.
-    pub(super) fn open(&self, host: &HostName) -> Option<WaitingCall<'_>> {
+    pub(super) fn open(&self, host: &HostName) -> Option<PendingCall<'_>> {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.lock();
         if state.open.len() >= self.bound {
@@ -77,7 +77,7 @@
             answer: sender,
         };
         state.open.insert(number, call);
-        Some(WaitingCall {
+        Some(PendingCall {
             table: self,
             number,
             receiver,
@@ -85,7 +85,7 @@
     }
 
     /// Gives an answer to its call; only the host that was asked may answer.
-    pub(super) fn answer(&self, from: &HostName, number: CallNumber, answer: PeerAnswer) {
+    pub(super) fn complete(&self, from: &HostName, number: CallNumber, answer: PeerAnswer) {
         let mut state = self.lock();
         let asked = state
             .open
@@ -101,19 +101,19 @@
     }
 
     /// Ends all calls to a host whose link broke.
-    pub(super) fn fail(&self, host: &HostName) {
+    pub(super) fn fail_all(&self, host: &HostName) {
         self.lock().open.retain(|_, call| call.host != *host);
     }
 }
 
 /// One call that waits; dropping it forgets the call.
-pub(super) struct WaitingCall<'table> {
+pub(super) struct PendingCall<'table> {
     table: &'table CallTable,
     pub(super) number: CallNumber,
     receiver: oneshot::Receiver<PeerAnswer>,
 }
 
-impl WaitingCall<'_> {
+impl PendingCall<'_> {
     pub(super) async fn wait(&mut self) -> Result<PeerAnswer, CallError> {
         (&mut self.receiver).await.map_err(|_| CallError::NoAnswer {
             reason: "link to the host broke".to_owned(),
@@ -121,7 +121,7 @@
     }
 }
 
-impl Drop for WaitingCall<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         self.table.lock().open.remove(&self.number);
     }
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -13,7 +13,7 @@
 use super::frame::{PEER_PROTOCOL, PeerFrame};
 use super::hub::PeerHub;
 use super::queue::FrameQueue;
-use super::socket::{FrameReceiver, FrameSender, in_time, socket_config, split_socket};
+use super::socket::{FrameReceiver, FrameSender, socket_config, split_socket, with_timeout};
 use super::transport::{AcceptedStream, PeerAcceptor};
 use crate::clock::{SystemClock, TimeSource};
 
@@ -92,7 +92,7 @@
 async fn greet(hub: &PeerHub, accepted: AcceptedStream) -> Result<GreetedLink, LinkError> {
     let settings = &hub.shared.settings;
     let handshake = accept_async_with_config(accepted.stream, Some(socket_config(settings)));
-    let socket = in_time("the handshake", settings.handshake_timeout, handshake).await?;
+    let socket = with_timeout("the handshake", settings.handshake_timeout, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     let first = receiver.receive().await?;
     match check_hello(hub, &first, accepted.proven) {
@@ -190,7 +190,7 @@
     match frame {
         PeerFrame::Heartbeat(number) => link.sender.send(&PeerFrame::Echo(number)).await?,
         PeerFrame::Answer { number, answer } => {
-            hub.shared.calls.answer(&link.host, number, answer);
+            hub.shared.calls.complete(&link.host, number, answer);
         }
         PeerFrame::Hello(_) | PeerFrame::Refusal(_) | PeerFrame::Echo(_) => {
             return Err(LinkError::Unexpected {
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -11,7 +11,7 @@
 use super::error::LinkError;
 use super::frame::{HeartbeatNumber, PeerFrame, PeerHello};
 use super::hub::{PeerHub, PeerSlot};
-use super::socket::{FrameReceiver, FrameSender, in_time, socket_config, split_socket};
+use super::socket::{FrameReceiver, FrameSender, socket_config, split_socket, with_timeout};
 use crate::clock::{SystemClock, TimeSource};
 
 /// Address in the websocket's handshake; peers ignore it.
@@ -32,7 +32,7 @@
                 hub.shared.handler.link_changed(&hub, host, true);
                 let error = run_link(&hub, &slot, sender, receiver).await;
                 slot.mark_down(error.to_string());
-                hub.shared.calls.fail(host);
+                hub.shared.calls.fail_all(host);
                 hub.shared.handler.link_changed(&hub, host, false);
                 error
             }
@@ -110,7 +110,7 @@
     let stream = dialing.await.map_err(LinkError::Dial)?;
     let handshake = client_async_with_config(HANDSHAKE_URL, stream, Some(socket_config(settings)));
     let patience = hub.timing_of(expected).handshake;
-    let (socket, _) = in_time("the handshake", patience, handshake).await?;
+    let (socket, _) = with_timeout("the handshake", patience, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     sender.send(&hub.hello()).await?;
     match receiver.receive().await? {
@@ -180,7 +180,7 @@
         PeerFrame::Echo(number) if number == sent => slot.record_round_trip(sent_at.elapsed()),
         PeerFrame::Echo(_) => {}
         PeerFrame::Answer { number, answer } => {
-            hub.shared.calls.answer(&slot.peer.host, number, answer);
+            hub.shared.calls.complete(&slot.peer.host, number, answer);
         }
         _ => {
             return Err(LinkError::Unexpected {
--- a/crates/daemon/src/peers/socket.rs
+++ b/crates/daemon/src/peers/socket.rs
@@ -67,7 +67,7 @@
     /// Puts an encoded frame into the write buffer.
     async fn feed(&mut self, frame: Bytes) -> Result<(), LinkError> {
         let sending = self.sink.feed(Message::Binary(frame));
-        in_time("a write", self.patience, sending).await
+        with_timeout("a write", self.patience, sending).await
     }
 
     /// Sends all that waits in a queue.
@@ -80,7 +80,7 @@
 
     /// Writes the buffer out.
     async fn flush(&mut self) -> Result<(), LinkError> {
-        in_time("a write", self.patience, self.sink.flush()).await
+        with_timeout("a write", self.patience, self.sink.flush()).await
     }
 }
 
@@ -100,7 +100,7 @@
 }
 
 /// Runs a step of the websocket library within `patience`.
-pub(super) async fn in_time<T, F>(
+pub(super) async fn with_timeout<T, F>(
     step: &'static str,
     patience: Duration,
     work: F,
