--- a/crates/daemon/examples/keeper_measure.rs
+++ b/crates/daemon/examples/keeper_measure.rs
@@ -71,7 +71,7 @@
     let heartbeat = settings.agreement.heartbeat_interval;
     let election = settings.agreement.election_timeout;
     let mut cluster = Cluster::start(settings).await;
-    cluster.accept("a", "first").await;
+    cluster.submit_until_accepted("a", "first").await;
     for submitters in SUBMITTERS {
         measure_load(&cluster, submitters).await;
     }
--- a/crates/daemon/tests/hosts/bad_input.rs
+++ b/crates/daemon/tests/hosts/bad_input.rs
@@ -121,9 +121,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn each_bad_input_gets_a_clear_answer() {
-    let mut group = HostGroup::cold(1, 1);
+    let mut group = HostGroup::stopped(1, 1);
     group.add_settings(0, BOUNDS);
-    let group = group.begin().await;
+    let group = group.start_all().await;
     let address = group.builder.hosts()[0].entry;
     let mut table = Vec::new();
     for input in inputs() {
@@ -162,9 +162,9 @@
 // others are closed when no head came in time, and the next caller is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_without_requests_are_bounded_in_number_and_time() {
-    let mut group = HostGroup::cold(1, 1);
+    let mut group = HostGroup::stopped(1, 1);
     group.add_settings(0, BOUNDS);
-    let group = group.begin().await;
+    let group = group.start_all().await;
     let address = group.builder.hosts()[0].entry;
     let mut idle = Vec::new();
     for _ in 0..40 {
--- a/crates/daemon/tests/hosts/claims.rs
+++ b/crates/daemon/tests/hosts/claims.rs
@@ -97,7 +97,7 @@
     service.set_delay(std::time::Duration::from_secs(3_600));
     let first = caller(&group, 3);
     let sent = tokio::spawn(async move { first.post("portal", "filings", "key-3", "a").await });
-    crate::support::until(|| service.runs().contains_key("key-3")).await;
+    crate::support::wait_until(|| service.runs().contains_key("key-3")).await;
     group.crash(3);
     let mut seen = vec![format!("entry 3 dies: {}", told(&sent.await.unwrap()))];
     service.set_delay(std::time::Duration::ZERO);
--- a/crates/daemon/tests/hosts/configuration.rs
+++ b/crates/daemon/tests/hosts/configuration.rs
@@ -10,7 +10,7 @@
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, loopback};
 use pollendrift_standins::token::{StandInWeights, expected_answer};
 
-use crate::support::{HostGroup, SELECTORS, until};
+use crate::support::{HostGroup, SELECTORS, wait_until};
 
 fn selectors_with(name: &str) -> String {
     format!("{SELECTORS}---\nkind: selector\nname: {name}\nmodel: other-{name}\n")
@@ -151,7 +151,7 @@
     for keeper in 0..3 {
         group.crash(keeper);
     }
-    until(|| group.host(3).unready_reason().is_some()).await;
+    wait_until(|| group.host(3).unready_reason().is_some()).await;
     let refusal = caller
         .draft("draft", prompt, 4, |_| {})
         .await
--- a/crates/daemon/tests/hosts/placement.rs
+++ b/crates/daemon/tests/hosts/placement.rs
@@ -8,7 +8,7 @@
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, loopback};
 use pollendrift_standins::token::{StandInWeights, expected_answer};
 
-use crate::support::{HostGroup, until};
+use crate::support::{HostGroup, wait_until};
 
 const SELECTOR: &str = "kind: selector\nname: drafts\nmodel: draft\nversion: v1\n";
 const PROMPT: &str = "valve list of the cooling loop";
@@ -54,11 +54,11 @@
 // for an engine that ignores numbers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_spared_engine_takes_over_the_span_of_a_dead_one() {
-    let mut group = HostGroup::cold(1, 1);
+    let mut group = HostGroup::stopped(1, 1);
     group.builder = group.builder.with(
         "placement: {settle: 0ms, lease: 2s}\nleases: {backend_server: 1s, heartbeat: 100ms}\n",
     );
-    let group = group.launch(SELECTOR).await;
+    let group = group.start_all_with(SELECTOR).await;
     let caller = DraftCaller::new(&group.entry(0), CUSTOMER_TOKEN);
     let mut engines = Vec::new();
     for index in 0..4 {
@@ -67,13 +67,13 @@
     group.wait_servers(4).await;
     let mut seen = vec![format!("four engines: {}", draft(&caller).await)];
     let spare = start_engine(&group, 4, "v0").await;
-    until(|| held(&spare).starts_with("v1")).await;
+    wait_until(|| held(&spare).starts_with("v1")).await;
     seen.push(format!("spare helps: {}", held(&spare)));
     drop(engines.remove(0));
     let fails = draft(&caller).await != "whole";
     seen.push(format!("engine 0 died, drafts fail: {fails}"));
     engines.push(spare);
-    until(|| engines.iter().any(|engine| held(engine) == "v1 0..8")).await;
+    wait_until(|| engines.iter().any(|engine| held(engine) == "v1 0..8")).await;
     let mut last = draft(&caller).await;
     while last != "whole" {
         last = draft(&caller).await;
--- a/crates/daemon/tests/hosts/stops.rs
+++ b/crates/daemon/tests/hosts/stops.rs
@@ -4,7 +4,7 @@
 use pollendrift_standins::load::{CallOutcome, ServiceCaller};
 use pollendrift_standins::service::PlainService;
 
-use crate::support::{HostGroup, until};
+use crate::support::{HostGroup, wait_until};
 
 // The caller's booking is running at an entry that is told to stop. The entry refuses new work,
 // truly not run, and waits for the booking; the caller gets its answer.
@@ -20,7 +20,7 @@
     let caller = ServiceCaller::new(&group.entry(3), CUSTOMER_TOKEN);
     let running = caller.clone();
     let sent = tokio::spawn(async move { running.post("portal", "filings", "held", "a").await });
-    until(|| service.runs().contains_key("held")).await;
+    wait_until(|| service.runs().contains_key("held")).await;
     let stopping = group.take(3);
     let stopped = tokio::spawn(stopping.drain());
     let address = group.builder.hosts()[3].entry;
--- a/crates/daemon/tests/hosts/support.rs
+++ b/crates/daemon/tests/hosts/support.rs
@@ -41,16 +41,16 @@
 impl HostGroup {
     /// Starts `hosts` hosts, the first `keepers` of them keepers, and puts [`SELECTORS`] in force.
     pub(crate) async fn start(hosts: usize, keepers: usize) -> Self {
-        Self::cold(hosts, keepers).begin().await
+        Self::stopped(hosts, keepers).start_all().await
     }
 
     /// Starts all hosts and puts [`SELECTORS`] in force.
-    pub(crate) async fn begin(self) -> Self {
-        self.launch(SELECTORS).await
+    pub(crate) async fn start_all(self) -> Self {
+        self.start_all_with(SELECTORS).await
     }
 
     /// Starts all hosts and puts `selectors` in force.
-    pub(crate) async fn launch(mut self, selectors: &str) -> Self {
+    pub(crate) async fn start_all_with(mut self, selectors: &str) -> Self {
         let hosts = self.hosts.len();
         let group = &mut self;
         for index in 0..hosts {
@@ -68,7 +68,7 @@
     }
 
     /// Hosts that are not running yet.
-    pub(crate) fn cold(hosts: usize, keepers: usize) -> Self {
+    pub(crate) fn stopped(hosts: usize, keepers: usize) -> Self {
         let digest = |token: &str| TokenDigest::of(token.as_bytes()).to_hex();
         let builder = HostBuilder::new(
             hosts,
@@ -158,7 +158,7 @@
     /// Waits until a host is ready and serves `revision`.
     pub(crate) async fn wait_revision(&self, index: usize, revision: Revision) {
         let host = self.host(index);
-        until(|| {
+        wait_until(|| {
             let held = host.node().configuration().map(|held| held.revision());
             held == Ok(revision) && host.unready_reason().is_none()
         })
@@ -195,7 +195,7 @@
 }
 
 /// Waits until `met` holds.
-pub(crate) async fn until<F>(met: F)
+pub(crate) async fn wait_until<F>(met: F)
 where
     F: Fn() -> bool,
 {
--- a/crates/daemon/tests/hosts/tls.rs
+++ b/crates/daemon/tests/hosts/tls.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{HostGroup, SELECTORS, until};
+use crate::support::{HostGroup, SELECTORS, wait_until};
 
 const YEAR: u64 = 365 * 86_400_000;
 const GOOD: Validity = Validity {
@@ -56,13 +56,13 @@
 impl SecureGroup {
     async fn start() -> Self {
         let keys = tempfile::tempdir().unwrap();
-        let mut group = HostGroup::cold(3, 3);
+        let mut group = HostGroup::stopped(3, 3);
         group.builder = group.builder.clone().with_certified_operator("nolwenn");
         for index in 0..3 {
             let files = host_keys(keys.path(), &HostBuilder::name(index), GOOD);
             group.add_settings(index, &tls_section(&files));
         }
-        let group = group.begin().await;
+        let group = group.start_all().await;
         Self { group, keys }
     }
 
@@ -207,7 +207,7 @@
     std::fs::remove_file(old.join("host-0.pem")).unwrap();
     host_keys(old, "host-0", GOOD);
     let access = secure.group.host(0).access();
-    until(|| access.refresh_keys().is_ok() && access.status().generation > 1).await;
+    wait_until(|| access.refresh_keys().is_ok() && access.status().generation > 1).await;
     let new = secure.connect(&visitor, "host-0").await.unwrap();
     assert_ne!(new.certificate().unwrap(), before);
     assert_eq!(exchange(open, STATUS, OPERATOR_TOKEN).await, "200");
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -280,7 +280,7 @@
     }
 
     /// Submits until it is accepted; only "not run" may be tried again without doubling.
-    pub(crate) async fn accept(&self, name: &str, text: &str) {
+    pub(crate) async fn submit_until_accepted(&self, name: &str, text: &str) {
         let accepting = async {
             loop {
                 match self.submit(name, text).await {
--- a/crates/daemon/tests/keeper_cluster/disks.rs
+++ b/crates/daemon/tests/keeper_cluster/disks.rs
@@ -45,14 +45,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_emptied_disk_returns_as_a_learner_and_a_second_loss_is_borne() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     let [emptied, second] = others(leader);
     let former = cluster
         .wait_for(emptied, "its own name", |status| status.keeper.is_some())
         .await;
     cluster.kill(emptied).await;
-    cluster.accept(leader, "2").await;
+    cluster.submit_until_accepted(leader, "2").await;
     cluster
         .folders
         .insert(emptied, tempfile::tempdir().expect("a folder"));
@@ -75,7 +75,7 @@
     };
     cluster.wait_for(leader, "whole redundancy", whole).await;
     cluster.kill(second).await;
-    cluster.accept(emptied, "3").await;
+    cluster.submit_until_accepted(emptied, "3").await;
     cluster.assert_lists(&["1", "2", "3"]).await;
 }
 
@@ -84,7 +84,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_emptied_disk_returns_although_its_clock_went_back() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let former = cluster
         .wait_for("c", "a vote", KeeperStatus::is_voter)
         .await;
@@ -98,7 +98,7 @@
         .wait_for("c", "a vote", KeeperStatus::is_voter)
         .await;
     assert!(returned.keeper > former.keeper, "{:?}", returned.keeper);
-    cluster.accept("c", "2").await;
+    cluster.submit_until_accepted("c", "2").await;
     cluster.assert_lists(&["1", "2"]).await;
 }
 
@@ -106,7 +106,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_folder_restored_from_a_backup_is_refused() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     cluster.kill("c").await;
     let restored = tempfile::tempdir().expect("a folder");
     for file in save_folder(cluster.folders["c"].path()) {
@@ -127,7 +127,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_old_image_of_a_disk_is_noticed_by_the_others() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     let [victim, _] = others(leader);
     let held = cluster
@@ -136,7 +136,7 @@
         .commit;
     let image = save_folder(cluster.folders[victim].path());
     for text in ["2", "3"] {
-        cluster.accept(leader, text).await;
+        cluster.submit_until_accepted(leader, text).await;
     }
     cluster
         .wait_for(victim, "the entries", |status| {
--- a/crates/daemon/tests/keeper_cluster/failing.rs
+++ b/crates/daemon/tests/keeper_cluster/failing.rs
@@ -19,7 +19,7 @@
     }
 
     /// Fills the disk of `folder`, or frees whichever is full.
-    pub(crate) fn fill(&self, folder: Option<&Path>) {
+    pub(crate) fn fill_disk(&self, folder: Option<&Path>) {
         *self.full.lock().expect("no test panics with it") = folder.map(Path::to_owned);
     }
 
--- a/crates/daemon/tests/keeper_cluster/losses.rs
+++ b/crates/daemon/tests/keeper_cluster/losses.rs
@@ -17,14 +17,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_leader_loses_nothing() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
-    cluster.accept(leader, "2").await;
+    cluster.submit_until_accepted(leader, "2").await;
     cluster.kill(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
-    cluster.accept(one, "3").await;
-    cluster.accept(two, "4").await;
+    cluster.submit_until_accepted(one, "3").await;
+    cluster.submit_until_accepted(two, "4").await;
     cluster.restart(leader).await;
     cluster.assert_lists(&["1", "2", "3", "4"]).await;
     let status = cluster
@@ -50,7 +50,9 @@
     let mut cluster = Cluster::start(small).await;
     let texts: Vec<String> = (0..200).map(|number| format!("command {number}")).collect();
     for (position, text) in texts.iter().enumerate() {
-        cluster.accept(KEEPERS[position % 3], text).await;
+        cluster
+            .submit_until_accepted(KEEPERS[position % 3], text)
+            .await;
     }
     for name in KEEPERS {
         cluster.kill(name).await;
@@ -60,7 +62,7 @@
     }
     let expected: Vec<&str> = texts.iter().map(String::as_str).collect();
     cluster.assert_lists(&expected).await;
-    cluster.accept("b", "after").await;
+    cluster.submit_until_accepted("b", "after").await;
     let usage = cluster.running["b"].keeper.handle().status().usage;
     assert!(
         usage.snapshot_bytes > 0 && usage.log_bytes < 20_000,
@@ -73,7 +75,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_lone_keeper_accepts_nothing() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     let dead = others(leader);
     for name in dead {
@@ -91,7 +93,7 @@
     for name in dead {
         cluster.restart(name).await;
     }
-    cluster.accept(leader, "last").await;
+    cluster.submit_until_accepted(leader, "last").await;
     let list = cluster.list(leader).await;
     let rest: Vec<&str> = list
         .iter()
@@ -110,7 +112,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_failed_sync_stops_the_leader_and_the_others_go_on() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     cluster.failing.fail(cluster.folders[leader].path());
     let in_flight = cluster.submit(leader, "in flight").await;
@@ -128,7 +130,7 @@
     cluster.kill(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
-    cluster.accept(one, "2").await;
+    cluster.submit_until_accepted(one, "2").await;
     let list = cluster.list(two).await;
     assert_eq!(
         (list.first(), list.last()),
@@ -143,9 +145,11 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_keeper_whose_disk_was_full_catches_up() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
-    cluster.failing.fill(Some(cluster.folders[leader].path()));
+    cluster
+        .failing
+        .fill_disk(Some(cluster.folders[leader].path()));
     let in_flight = cluster.submit(leader, "in flight").await;
     let stopped = cluster
         .wait_for(leader, "a stop", |status| status.stopped.is_some())
@@ -154,10 +158,10 @@
     cluster.kill(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
-    cluster.accept(one, "2").await;
+    cluster.submit_until_accepted(one, "2").await;
     let refused = cluster.try_start(leader).await.err();
     assert!(refused.is_some_and(|error| error.is_disk_full()));
-    cluster.failing.fill(None);
+    cluster.failing.fill_disk(None);
     cluster.restart(leader).await;
     let expected = cluster.list(two).await;
     assert_eq!(cluster.list(leader).await, expected);
@@ -182,7 +186,7 @@
     let commands: Vec<String> = (0..40).map(|index| format!("{SLOW} {index}")).collect();
     let leader = cluster.leader().await;
     for command in &commands {
-        cluster.accept(leader, command).await;
+        cluster.submit_until_accepted(leader, command).await;
     }
     for name in KEEPERS {
         cluster.kill(name).await;
@@ -212,7 +216,9 @@
     let mut cluster = Cluster::start(settings()).await;
     let leader = cluster.leader().await;
     for index in 0..60 {
-        cluster.accept(leader, &format!("{SLOW} {index}")).await;
+        cluster
+            .submit_until_accepted(leader, &format!("{SLOW} {index}"))
+            .await;
     }
     for name in KEEPERS {
         cluster.kill(name).await;
--- a/crates/daemon/tests/keeper_cluster/service.rs
+++ b/crates/daemon/tests/keeper_cluster/service.rs
@@ -18,7 +18,9 @@
 async fn every_keeper_takes_commands_and_shows_them() {
     let cluster = Cluster::start(settings()).await;
     for (position, name) in KEEPERS.into_iter().enumerate() {
-        cluster.accept(name, &format!("from {name}")).await;
+        cluster
+            .submit_until_accepted(name, &format!("from {name}"))
+            .await;
         assert_eq!(cluster.list(name).await.len(), position + 1);
     }
     let handle = cluster.running["b"].keeper.handle();
@@ -35,7 +37,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_planned_stop_hands_leadership_over() {
     let mut cluster = Cluster::start(settings()).await;
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     let handle = cluster.running[leader].keeper.handle().clone();
     assert!(handle.hand_over(GUARD).await);
@@ -117,13 +119,13 @@
         .await
         .expect("it runs");
     // A founder that stops before the group is founded leaves the others waiting for it.
-    cluster.accept("b", "0").await;
+    cluster.submit_until_accepted("b", "0").await;
     let stopped = cluster.running.remove("b").expect("it runs");
     assert!(stopped.keeper.handle().stop());
     within("a planned end", stopped.keeper.finish())
         .await
         .expect("no fault");
-    cluster.accept("a", "1").await;
+    cluster.submit_until_accepted("a", "1").await;
     let alone = ask_first.submit("2".into(), RetryPermission::Never).await;
     let reason = "no keeper leads".to_owned();
     assert_eq!(alone, Err(SubmitError::NotRun { reason }), "it sends on");
@@ -213,6 +215,6 @@
     );
     assert_eq!(cluster.running["a"].keeper.handle().status().keeper, None);
     cluster.restart("c").await;
-    cluster.accept("b", "1").await;
+    cluster.submit_until_accepted("b", "1").await;
     cluster.assert_lists(&["1"]).await;
 }
