--- a/crates/coordination/tests/outer_encodings/samples.rs
+++ b/crates/coordination/tests/outer_encodings/samples.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use pollendrift_coordination::agreement::{
-    EntryPayload, KeeperId, LogEntry, LogIndex, Membership, SnapshotMark, Term,
+    EntryPayload, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
 use pollendrift_coordination::base::{
     FindingList, Incarnation, LayerRange, Place, Revision, WallTime,
@@ -29,8 +29,8 @@
     }
 }
 
-pub(crate) fn mark() -> SnapshotMark {
-    SnapshotMark {
+pub(crate) fn mark() -> SnapshotMetadata {
+    SnapshotMetadata {
         index: LogIndex(40),
         term: Term(3),
         membership: membership(),
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::access::{AccessControl, AccessError, FaceAcceptor, FaceKind};
-use crate::admission::{AdmissionGate, GateBounds};
+use crate::admission::{AdmissionGate, GateLimits};
 use crate::agreed::AgreedState;
 use crate::announcements::AnnouncementHandler;
 use crate::clock::{SystemClock, TimeSource};
@@ -36,7 +36,7 @@
 use crate::placement::{PlacementParts, run_placement};
 use crate::platform::{DumpSource, PlatformHandler};
 use crate::relay::{RelayContext, RelayParts, relay_faces, start_relay};
-use crate::resend::ResendDesk;
+use crate::resend::ResendPolicy;
 use crate::settings::{DaemonSettings, DrainSettings, EntrySettings, RetrySettings};
 use crate::tasks::TaskGroup;
 use crate::telemetry::{EvidenceSink, MetricError, MetricRegistry, RecorderSlot};
@@ -166,15 +166,15 @@
             agreed: Arc::clone(&agreed),
             client: HttpClient::new(MAX_ANSWER_BYTES),
             drafts: DraftSettings::default(),
-            life: life.watch(),
+            lifecycle: life.watch(),
             gate: Arc::clone(&gate),
             streams: Arc::clone(node.streams()),
-            resends: ResendDesk::new(retry_settings(&settings.retries), Arc::clone(&clock)),
+            resends: ResendPolicy::new(retry_settings(&settings.retries), Arc::clone(&clock)),
             recorder: Arc::clone(&recorder),
             metrics: Arc::clone(&metrics),
             tasks: TaskGroup::default(),
-            named: AtomicU64::new(0),
-            tickets: AtomicU64::new(0),
+            request_counter: AtomicU64::new(0),
+            ticket_counter: AtomicU64::new(0),
         });
         let relay = dialect.map(|dialect| {
             RelayContext::new(RelayParts {
@@ -184,7 +184,7 @@
                 agreed: Arc::clone(&agreed),
                 fleet: Arc::clone(&fleet),
                 clock: Arc::clone(&clock),
-                life: life.watch(),
+                lifecycle: life.watch(),
                 metrics: Arc::clone(&metrics),
                 seed,
             })
@@ -441,7 +441,7 @@
 
 fn admission_gate(settings: &DaemonSettings, clock: Arc<dyn TimeSource>) -> AdmissionGate {
     let limits = &settings.limits;
-    let bounds = GateBounds {
+    let bounds = GateLimits {
         max_running: to_u32(limits.max_running),
         max_wait: limits.max_queue_wait,
         entries: u32::try_from(settings.peers.len()).unwrap_or(u32::MAX),
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -16,8 +16,8 @@
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
 use crate::lifecycle::{LifeStep, LifeWatch};
-use crate::resend::ResendDesk;
-use crate::streams::StreamKeeper;
+use crate::resend::ResendPolicy;
+use crate::streams::StreamStore;
 use crate::tasks::TaskGroup;
 use crate::telemetry::{MetricRegistry, RecorderSlot};
 
@@ -50,13 +50,13 @@
     /// How drafts run.
     pub drafts: DraftSettings,
     /// Whether new work is taken.
-    pub life: LifeWatch,
+    pub lifecycle: LifeWatch,
     /// Admits requests.
     pub gate: Arc<AdmissionGate>,
     /// Streams that can go on at another entry.
-    pub streams: Arc<StreamKeeper>,
+    pub streams: Arc<StreamStore>,
     /// Decides on resends.
-    pub resends: ResendDesk,
+    pub resends: ResendPolicy,
     /// Evidence of this process; empty until the keepers gave it its life.
     pub recorder: Arc<RecorderSlot>,
     /// Metrics of this process.
@@ -64,9 +64,9 @@
     /// Tasks that outlive their request; a planned stop waits for them.
     pub tasks: TaskGroup,
     /// Requests that this process has named; part of their ids.
-    pub named: AtomicU64,
+    pub request_counter: AtomicU64,
     /// Claims that this process has asked for; part of their tickets.
-    pub tickets: AtomicU64,
+    pub ticket_counter: AtomicU64,
 }
 
 impl std::fmt::Debug for EntryContext {
@@ -81,7 +81,7 @@
 impl EntryContext {
     /// Why the balancer should send nothing here; `None` if it should.
     pub fn unready_reason(&self) -> Option<String> {
-        if self.life.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifeStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
         if let Err(stale) = self.agreed.configuration() {
@@ -104,13 +104,13 @@
         if let Some(given) = given.filter(|given| is_fit_id(given)) {
             return given.into();
         }
-        let number = self.named.fetch_add(1, Ordering::Relaxed);
+        let number = self.request_counter.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.host, self.incarnation).into()
     }
 
     /// A ticket number that this process has not used.
     pub(super) fn next_ticket(&self) -> u64 {
-        self.tickets.fetch_add(1, Ordering::Relaxed)
+        self.ticket_counter.fetch_add(1, Ordering::Relaxed)
     }
 
     /// The customer that calls, if this host takes new work.
@@ -122,7 +122,7 @@
             };
             return Err(Refusal::unauthorized(detail));
         };
-        if self.life.step() == LifeStep::Closed {
+        if self.lifecycle.step() == LifeStep::Closed {
             return Err(Refusal::not_ready("it is stopping as planned"));
         }
         Ok(customer)
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -115,7 +115,7 @@
             .begin(begun)
             .map_err(|full| Refusal::not_ready(&format!("the keepers take no evidence: {full}")))?;
         context.metrics.request_begun();
-        context.resends.called(&caller);
+        context.resends.record_first_attempt(&caller);
         let queued = context.clock.now().since(arrival.arrived);
         open.update(|end| end.timings.queued_us = micros(queued));
         Ok(Self {
@@ -139,7 +139,7 @@
     }
 
     /// Waits until the beginning is stored.
-    pub(super) async fn begun(&self) {
+    pub(super) async fn wait_stored(&self) {
         let Some(open) = &self.open else {
             return;
         };
@@ -152,16 +152,16 @@
     }
 
     /// Waits until the beginning is stored, before the caller sees its first byte.
-    pub(super) async fn first_byte(&mut self) {
+    pub(super) async fn record_first_byte(&mut self) {
         if self.first_at.is_some() {
             return;
         }
-        self.begun().await;
+        self.wait_stored().await;
         self.first_at = Some(self.context.clock.now());
     }
 
     /// Counts tokens that go to the caller.
-    pub(super) fn tokens(&mut self, count: usize) {
+    pub(super) fn record_tokens(&mut self, count: usize) {
         let now = self.context.clock.now();
         for _ in 0..count {
             if self.last_at == self.arrived {
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -80,7 +80,7 @@
 
 async fn wait_for_life(agreed: &Arc<dyn AgreedState>) -> Incarnation {
     loop {
-        if let Some(life) = agreed.life() {
+        if let Some(life) = agreed.incarnation() {
             return life;
         }
         tokio::time::sleep(LIFE_PAUSE).await;
@@ -243,7 +243,7 @@
     pub fn copy(&self, shared: &SharedState) -> Result<(), JournalError> {
         loop {
             let next = self.lock().next();
-            let records: Vec<IndexedRecord> = shared.look(|state| {
+            let records: Vec<IndexedRecord> = shared.read(|state| {
                 state
                     .evidence()
                     .since(next)
--- a/crates/daemon/src/spread/audience.rs
+++ b/crates/daemon/src/lease_broadcast/recipients.rs
@@ -12,13 +12,13 @@
 use crate::peers::PeerHub;
 
 /// The hosts around this one: keepers, those that follow it, and the keeper that it follows.
-pub(super) struct LeaseAudience {
+pub(super) struct LeaseRecipients {
     keepers: KeeperList,
     feed: Arc<ConfigurationFeed>,
     followers: Mutex<FollowerTable>,
 }
 
-impl LeaseAudience {
+impl LeaseRecipients {
     pub(super) fn new(keepers: KeeperList, feed: Arc<ConfigurationFeed>) -> Self {
         Self {
             keepers,
@@ -31,20 +31,20 @@
     pub(super) fn is_keeper(&self) -> bool {
         match &self.keepers {
             KeeperList::Fixed(_) => false,
-            KeeperList::Found(discovery) => discovery.own_reach().keeper,
+            KeeperList::Discovered(discovery) => discovery.own_reach().keeper,
         }
     }
 
     /// What `host` is to the leases that it tells of.
     pub(super) fn kind_of(&self, host: &HostName) -> LeaseSource {
         match &self.keepers {
-            KeeperList::Found(discovery) if discovery.is_keeper(host) => LeaseSource::Keeper,
+            KeeperList::Discovered(discovery) if discovery.is_keeper(host) => LeaseSource::Keeper,
             _ => LeaseSource::Peer,
         }
     }
 
     /// A host asked this one for the configuration.
-    pub(super) fn followed_by(&self, now: MonotonicTime, host: &HostName) {
+    pub(super) fn record_follower(&self, now: MonotonicTime, host: &HostName) {
         self.table().record_question(now, host);
     }
 
@@ -73,7 +73,7 @@
             return hosts.map(|host| (host, LeaseScope::Own)).collect();
         }
         if !self.is_keeper() {
-            let followed = self.feed.followed();
+            let followed = self.feed.followed_keeper();
             return followed
                 .map(|host| (host, LeaseScope::Own))
                 .into_iter()
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -27,17 +27,18 @@
 use crate::evidence::{EvidenceFiles, retention_policy};
 use crate::feed::{ConfigurationFeed, follow_own_keeper};
 use crate::fleet::BackendFleet;
-use crate::frames::{DaemonFrames, FrameTargets};
+use crate::frames::{DaemonFrameHandler, FrameTargets};
 use crate::keeper::{
-    KeeperClient, KeeperError, KeeperFrames, KeeperHandle, KeeperList, KeeperSettings, KeeperStart,
-    KeeperStatus, RetryPermission, RunningKeeper, SubmitError, keeper_queue, start_keeper,
+    KeeperClient, KeeperError, KeeperFrameHandler, KeeperHandle, KeeperList, KeeperSettings,
+    KeeperStart, KeeperStatus, RetryPermission, RunningKeeper, SubmitError, keeper_queue,
+    start_keeper,
 };
+use crate::lease_broadcast::LeaseBroadcaster;
 use crate::operators::KeeperDesk;
 use crate::peers::{PeerHandler, PeerHub, PeerTasks};
 use crate::settings::DaemonSettings;
-use crate::spread::LeaseSpreader;
 use crate::state::SharedState;
-use crate::streams::StreamKeeper;
+use crate::streams::StreamStore;
 use crate::telemetry::{JournalError, RecorderSlot};
 
 /// Pause between two tries to announce this process's life to the keepers.
@@ -74,8 +75,8 @@
     keeper: Mutex<Option<RunningKeeper>>,
     shared: Option<SharedState>,
     desk: Arc<KeeperDesk>,
-    streams: Arc<StreamKeeper>,
-    spreader: Arc<LeaseSpreader>,
+    streams: Arc<StreamStore>,
+    broadcaster: Arc<LeaseBroadcaster>,
     peers: PeerTasks,
     tasks: Vec<JoinHandle<()>>,
     life: tokio::sync::watch::Receiver<Option<Incarnation>>,
@@ -107,14 +108,14 @@
             .map_err(|error| NodeError::Listen { address, error })?;
         let discovery = start_discovery(settings, &parts);
         let keepers = match &discovery {
-            Some(discovery) => KeeperList::Found(Arc::clone(discovery)),
+            Some(discovery) => KeeperList::Discovered(Arc::clone(discovery)),
             None => initial_keepers(settings).into(),
         };
         let is_keeper = settings.is_keeper();
-        let frames = Arc::new(DaemonFrames::default());
+        let frames = Arc::new(DaemonFrameHandler::default());
         let queue = is_keeper.then(|| keeper_queue(KeeperSettings::default().queue));
         let handler: Arc<dyn PeerHandler> = match &queue {
-            Some((port, _)) => Arc::new(KeeperFrames::new(port.clone(), frames.clone())),
+            Some((port, _)) => Arc::new(KeeperFrameHandler::new(port.clone(), frames.clone())),
             None => frames.clone(),
         };
         let mut peers = connect_peers(settings, &parts, discovery, handler);
@@ -162,7 +163,7 @@
             Arc::clone(&parts.clock),
             Arc::clone(&parts.recorder),
         ));
-        let spreader = Arc::new(LeaseSpreader::new(
+        let broadcaster = Arc::new(LeaseBroadcaster::new(
             Arc::clone(&parts.fleet),
             Arc::clone(&parts.clock),
             keepers.clone(),
@@ -180,16 +181,16 @@
             files.clone(),
             Arc::clone(&parts.clock),
         ));
-        let streams = Arc::new(StreamKeeper::new(hub.clone(), Arc::clone(&parts.clock)));
+        let streams = Arc::new(StreamStore::new(hub.clone(), Arc::clone(&parts.clock)));
         frames.connect(FrameTargets {
             streams: Arc::clone(&streams),
             desk: Arc::clone(&desk),
             feed: Arc::clone(&feed),
-            spreader: Arc::clone(&spreader),
+            broadcaster: Arc::clone(&broadcaster),
         });
         let mut tasks = vec![
             tokio::spawn(Arc::clone(&feed).run()),
-            tokio::spawn(Arc::clone(&spreader).run(hub.clone())),
+            tokio::spawn(Arc::clone(&broadcaster).run(hub.clone())),
         ];
         if let Some(shared) = &shared {
             if let Some(files) = files {
@@ -218,7 +219,7 @@
             shared,
             desk,
             streams,
-            spreader,
+            broadcaster,
             peers,
             tasks,
             life,
@@ -252,13 +253,13 @@
     }
 
     /// Streams that can go on at another entry.
-    pub fn streams(&self) -> &Arc<StreamKeeper> {
+    pub fn streams(&self) -> &Arc<StreamStore> {
         &self.streams
     }
 
     /// Tells other hosts of backend servers.
-    pub(crate) fn spreader(&self) -> &Arc<LeaseSpreader> {
-        &self.spreader
+    pub(crate) fn broadcaster(&self) -> &Arc<LeaseBroadcaster> {
+        &self.broadcaster
     }
 
     /// Answers operators' questions that need a keeper.
@@ -328,7 +329,7 @@
         self.feed.confirmed_at()
     }
 
-    fn life(&self) -> Option<Incarnation> {
+    fn incarnation(&self) -> Option<Incarnation> {
         *self.life.borrow()
     }
 
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -18,7 +18,7 @@
     PEER_PROTOCOL, PeerAnswer, PeerCall, PeerFrame, PeerHello, PeerQuestion, encode_frame,
 };
 use super::inbound::accept_streams;
-use super::outbound::keep_link;
+use super::outbound::maintain_link;
 use super::queue::{FrameQueue, SendRefusal};
 use super::settings::LinkSettings;
 use super::status::PeerStatus;
@@ -51,13 +51,13 @@
 
 /// How often a link is tried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct LinkPace {
+pub(super) struct LinkTiming {
     /// Time between two heartbeats.
     pub(super) heartbeat: Duration,
     /// Silence after which the link counts as broken.
-    pub(super) silence: Duration,
+    pub(super) silence_timeout: Duration,
     /// Longest wait between two attempts to open it.
-    pub(super) longest_wait: Duration,
+    pub(super) max_backoff: Duration,
     /// Time for opening it.
     pub(super) handshake: Duration,
 }
@@ -110,38 +110,38 @@
         if let Some(task) = task.as_ref() {
             task.abort();
         }
-        self.note_down("the peer was taken out".to_owned());
+        self.mark_down("the peer was taken out".to_owned());
     }
 
     fn notes(&self) -> MutexGuard<'_, LinkNotes> {
         self.notes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn note_round_trip(&self, time: Duration) {
+    pub(super) fn record_round_trip(&self, time: Duration) {
         self.notes().round_trip = Some(time);
     }
 
-    pub(super) fn note_up(&self) {
+    pub(super) fn mark_up(&self) {
         self.notes().links += 1;
-        self.queue.set_up(true);
+        self.queue.set_link_up(true);
         self.up.send_replace(true);
     }
 
-    pub(super) fn note_down(&self, error: String) {
+    pub(super) fn mark_down(&self, error: String) {
         self.notes().last_error = error;
-        self.queue.set_up(false);
+        self.queue.set_link_up(false);
         self.up.send_replace(false);
     }
 
     /// Takes the answers for a link that the peer has just opened.
     pub(super) fn open_replies(&self, queue: &Arc<FrameQueue>) {
-        queue.set_up(true);
+        queue.set_link_up(true);
         *self.replies() = Some(queue.clone());
     }
 
     /// Ends the answers for a link, unless the peer has opened another one since.
     pub(super) fn close_replies(&self, queue: &Arc<FrameQueue>) {
-        queue.set_up(false);
+        queue.set_link_up(false);
         let mut replies = self.replies();
         if replies
             .as_ref()
@@ -206,9 +206,9 @@
         node,
         dialer,
         handler,
-        handshakes: Semaphore::new(settings.handshakes),
-        dials: Semaphore::new(settings.dials),
-        calls: CallTable::new(settings.open_calls),
+        handshakes: Semaphore::new(settings.max_handshakes),
+        dials: Semaphore::new(settings.max_dials),
+        calls: CallTable::new(settings.max_open_calls),
         slots: RwLock::default(),
         settings,
     };
@@ -288,7 +288,7 @@
             slot.end();
         }
         let slot = Arc::new(PeerSlot::new(peer, &self.shared.settings));
-        let task = tokio::spawn(keep_link(self.clone(), Arc::clone(&slot)));
+        let task = tokio::spawn(maintain_link(self.clone(), Arc::clone(&slot)));
         *slot.task.lock().unwrap_or_else(PoisonError::into_inner) = Some(task.abort_handle());
         slots.insert(slot.peer.host.clone(), slot);
     }
@@ -307,17 +307,19 @@
 
     /// How often the link to `host` is tried. Keepers depend on each other and try theirs often. All other
     /// links together cost a keeper the same, however many there are.
-    pub(super) fn pace_of(&self, host: &HostName) -> LinkPace {
+    pub(super) fn timing_of(&self, host: &HostName) -> LinkTiming {
         let settings = &self.shared.settings;
         let is_between_keepers =
             |discovery: &PeerDiscovery| discovery.own_reach().keeper && discovery.is_keeper(host);
         let far = self.discovery().filter(|found| !is_between_keepers(found));
-        let entries = far.and_then(|found| found.entries()).unwrap_or(0);
-        let heartbeat = settings.heartbeat.max(settings.heartbeat_share * entries);
-        LinkPace {
+        let entries = far.and_then(|found| found.entry_count()).unwrap_or(0);
+        let heartbeat = settings
+            .heartbeat
+            .max(settings.heartbeat_per_entry * entries);
+        LinkTiming {
             heartbeat,
-            silence: settings.silence.max(heartbeat * SILENT_HEARTBEATS),
-            longest_wait: settings.retry_most.max(heartbeat * WAITED_HEARTBEATS),
+            silence_timeout: settings.silence_timeout.max(heartbeat * SILENT_HEARTBEATS),
+            max_backoff: settings.max_backoff.max(heartbeat * WAITED_HEARTBEATS),
             handshake: match far {
                 Some(_) => settings.entry_handshake_timeout,
                 None => settings.handshake_timeout,
@@ -332,8 +334,8 @@
     pub fn send(&self, host: &HostName, frame: &PeerFrame) -> Result<(), SendRefusal> {
         let slot = self.slot(host).ok_or(SendRefusal::UnknownHost)?;
         let bytes = self.encode(frame)?;
-        if frame.is_repeated() {
-            return slot.queue.push_repeated(bytes);
+        if frame.is_retransmitted() {
+            return slot.queue.push_retransmitted(bytes);
         }
         slot.queue.push(bytes)
     }
@@ -435,7 +437,7 @@
     }
 
     fn encode(&self, frame: &PeerFrame) -> Result<Bytes, SendRefusal> {
-        let bound = self.shared.settings.frame_bytes;
+        let bound = self.shared.settings.max_frame_bytes;
         encode_frame(frame, bound).map_err(|error| SendRefusal::TooLarge {
             reason: error.to_string(),
         })
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -11,38 +11,38 @@
 use super::error::LinkError;
 use super::frame::{HeartbeatNumber, PeerFrame, PeerHello};
 use super::hub::{PeerHub, PeerSlot};
-use super::socket::{FrameReceiver, FrameSender, in_time, socket_config, split_socket};
+use super::socket::{FrameReceiver, FrameSender, socket_config, split_socket, with_timeout};
 use crate::clock::{SystemClock, TimeSource};
 
 /// Address in the websocket's handshake; peers ignore it.
 const HANDSHAKE_URL: &str = "ws://peer/";
 
 /// Keeps one link open for as long as the process runs.
-pub(super) async fn keep_link(hub: PeerHub, slot: Arc<PeerSlot>) {
+pub(super) async fn maintain_link(hub: PeerHub, slot: Arc<PeerSlot>) {
     let host = &slot.peer.host;
     let mut backoff = RetryBackoff::new(&hub.shared.settings, salt_of(&hub, &slot));
     loop {
         let error = match open_link(&hub, &slot).await {
             Ok((sender, receiver)) => {
                 backoff.reset();
-                slot.note_up();
+                slot.mark_up();
                 if let Some(discovery) = hub.discovery() {
-                    discovery.welcome(&hub, host);
+                    discovery.send_keepers(&hub, host);
                 }
                 hub.shared.handler.link_changed(&hub, host, true);
                 let error = run_link(&hub, &slot, sender, receiver).await;
-                slot.note_down(error.to_string());
-                hub.shared.calls.fail(host);
+                slot.mark_down(error.to_string());
+                hub.shared.calls.fail_all(host);
                 hub.shared.handler.link_changed(&hub, host, false);
                 error
             }
             Err(error) => {
-                slot.note_down(error.to_string());
+                slot.mark_down(error.to_string());
                 error
             }
         };
         log::debug!(peer:% = host, error:% = error; "link to a peer ended");
-        sleep(backoff.next_wait(hub.pace_of(host).longest_wait)).await;
+        sleep(backoff.next_wait(hub.timing_of(host).max_backoff)).await;
     }
 }
 
@@ -60,7 +60,7 @@
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
     let _permit = hub.shared.dials.acquire().await;
     let opening = connect(hub, slot);
-    timeout(hub.pace_of(&slot.peer.host).handshake, opening)
+    timeout(hub.timing_of(&slot.peer.host).handshake, opening)
         .await
         .map_err(|_| LinkError::Timeout {
             step: "the handshake",
@@ -79,13 +79,13 @@
         });
     }
     if let (Some(discovery), Some(reach)) = (hub.discovery(), hello.reach) {
-        discovery.greet(hub, &hello.host, reach);
+        discovery.record_hello(hub, &hello.host, reach);
     }
     Ok((sender, receiver))
 }
 
 /// Asks whoever listens at `address` who it is; the link ends at once.
-pub(super) async fn ask_name(
+pub(super) async fn request_hello(
     hub: &PeerHub,
     expected: &HostName,
     address: SocketAddr,
@@ -109,8 +109,8 @@
     let dialing = hub.shared.dialer.dial(expected, address);
     let stream = dialing.await.map_err(LinkError::Dial)?;
     let handshake = client_async_with_config(HANDSHAKE_URL, stream, Some(socket_config(settings)));
-    let patience = hub.pace_of(expected).handshake;
-    let (socket, _) = in_time("the handshake", patience, handshake).await?;
+    let patience = hub.timing_of(expected).handshake;
+    let (socket, _) = with_timeout("the handshake", patience, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     sender.send(&hub.hello()).await?;
     match receiver.receive().await? {
@@ -135,7 +135,7 @@
     mut receiver: FrameReceiver,
 ) -> LinkError {
     let host = &slot.peer.host;
-    let mut pace = hub.pace_of(host);
+    let mut pace = hub.timing_of(host);
     let mut next_heartbeat = Instant::now();
     let mut sent = HeartbeatNumber::default();
     let mut sent_at = Instant::now();
@@ -152,10 +152,10 @@
             }
             () = slot.queue.ready() => sender.send_queued(&slot.queue).await,
             () = sleep_until(next_heartbeat) => {
-                if clock.now().since(heard_at) > pace.silence {
+                if clock.now().since(heard_at) > pace.silence_timeout {
                     return LinkError::Silent;
                 }
-                pace = hub.pace_of(host);
+                pace = hub.timing_of(host);
                 next_heartbeat = Instant::now() + pace.heartbeat;
                 sent = HeartbeatNumber(sent.0 + 1);
                 sent_at = Instant::now();
@@ -177,10 +177,10 @@
     sent_at: Instant,
 ) -> Result<(), LinkError> {
     match frame {
-        PeerFrame::Echo(number) if number == sent => slot.note_round_trip(sent_at.elapsed()),
+        PeerFrame::Echo(number) if number == sent => slot.record_round_trip(sent_at.elapsed()),
         PeerFrame::Echo(_) => {}
         PeerFrame::Answer { number, answer } => {
-            hub.shared.calls.answer(&slot.peer.host, number, answer);
+            hub.shared.calls.complete(&slot.peer.host, number, answer);
         }
         _ => {
             return Err(LinkError::Unexpected {
--- a/crates/daemon/src/peers/queue.rs
+++ b/crates/daemon/src/peers/queue.rs
@@ -54,9 +54,9 @@
 pub(super) struct FrameQueue {
     state: Mutex<QueueState>,
     wake: Notify,
-    agreement_frames: usize,
-    other_frames: usize,
-    queue_bytes: usize,
+    max_agreement_frames: usize,
+    max_other_frames: usize,
+    max_queue_bytes: usize,
 }
 
 impl FrameQueue {
@@ -64,9 +64,9 @@
         Self {
             state: Mutex::default(),
             wake: Notify::new(),
-            agreement_frames: settings.agreement_frames,
-            other_frames: settings.other_frames,
-            queue_bytes: settings.queue_bytes,
+            max_agreement_frames: settings.max_agreement_frames,
+            max_other_frames: settings.max_other_frames,
+            max_queue_bytes: settings.max_queue_bytes,
         }
     }
 
@@ -78,7 +78,7 @@
     ///
     /// What waits when a link breaks is thrown away: agreement traffic is out of date by the time
     /// a link is back, and the callers of the rest have been told that the link is gone.
-    pub(super) fn set_up(&self, up: bool) {
+    pub(super) fn set_link_up(&self, up: bool) {
         let mut state = self.lock();
         let dropped = state.dropped + (state.agreement.len() + state.other.len()) as u64;
         *state = QueueState {
@@ -89,15 +89,15 @@
     }
 
     /// Adds a frame that later ones make up for: the oldest go where there is no room.
-    pub(super) fn push_repeated(&self, frame: Bytes) -> Result<(), SendRefusal> {
+    pub(super) fn push_retransmitted(&self, frame: Bytes) -> Result<(), SendRefusal> {
         let mut state = self.lock();
         if !state.up {
             return Err(SendRefusal::Down);
         }
         state.agreement_bytes += frame.len();
         state.agreement.push_back(frame);
-        while state.agreement.len() > self.agreement_frames
-            || state.agreement_bytes > self.queue_bytes
+        while state.agreement.len() > self.max_agreement_frames
+            || state.agreement_bytes > self.max_queue_bytes
         {
             let Some(oldest) = state.agreement.pop_front() else {
                 break;
@@ -117,7 +117,7 @@
             return Err(SendRefusal::Down);
         }
         let bytes = state.other_bytes + frame.len();
-        if state.other.len() >= self.other_frames || bytes > self.queue_bytes {
+        if state.other.len() >= self.max_other_frames || bytes > self.max_queue_bytes {
             state.dropped += 1;
             return Err(SendRefusal::Full);
         }
@@ -166,25 +166,25 @@
     #[test]
     fn a_slow_peer_keeps_the_newest_agreement_frames() {
         let settings = LinkSettings {
-            agreement_frames: 2,
-            other_frames: 1,
-            queue_bytes: 10,
+            max_agreement_frames: 2,
+            max_other_frames: 1,
+            max_queue_bytes: 10,
             ..LinkSettings::default()
         };
         let queue = FrameQueue::new(&settings);
         let frame = |text: &'static str| Bytes::from_static(text.as_bytes());
         assert_eq!(queue.push(frame("a")), Err(SendRefusal::Down));
-        queue.set_up(true);
+        queue.set_link_up(true);
         for text in ["a1", "a2", "a3", "a4+6789ab"] {
-            queue.push_repeated(frame(text)).expect("up");
+            queue.push_retransmitted(frame(text)).expect("up");
         }
         assert_eq!(queue.push(frame("b1")), Ok(()));
         assert_eq!(queue.push(frame("b2")), Err(SendRefusal::Full));
         let taken: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
         assert_eq!(taken, [frame("a4+6789ab"), frame("b1")]);
         queue.push(frame("b3")).expect("room again");
-        queue.set_up(false);
-        queue.set_up(true);
+        queue.set_link_up(false);
+        queue.set_link_up(true);
         assert_eq!(queue.pop(), None);
         assert_eq!(queue.usage().dropped, 5);
     }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -10,11 +10,12 @@
 mod context;
 mod control;
 mod drafts;
-mod figures;
+mod engine_estimates;
+mod forwarding;
 mod guard;
 mod heartbeats;
+mod liveness;
 mod meter;
-mod passing;
 mod placer;
 mod publish;
 mod request;
@@ -23,7 +24,6 @@
 mod start;
 mod stream;
 mod survey;
-mod watching;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -93,7 +93,7 @@
             }
             Err(fault) => context.refuse(&refused(RefusalKind::Malformed, fault.reason), None),
         };
-        if context.life.step() != LifeStep::Serving {
+        if context.lifecycle.step() != LifeStep::Serving {
             // The caller's next request should go to a host that stays.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
@@ -116,12 +116,15 @@
     meter: &RequestMeter,
 ) -> Result<Response<ResponseBody>, Refused> {
     let arrived = context.clock.now();
-    if context.life.step() == LifeStep::Closed {
+    if context.lifecycle.step() == LifeStep::Closed {
         let stopping = refused(RefusalKind::NotRun, "this host is stopping as planned");
         return Err(stopping.retry_after(RETRY_ELSEWHERE));
     }
-    let mut table = context.routes.wait(context.clock.as_ref()).await?;
-    if find_route(&table, call).is_err() && context.routes.may_be_old(context.clock.now()) {
+    let mut table = context
+        .routes
+        .wait_for_table(context.clock.as_ref())
+        .await?;
+    if find_route(&table, call).is_err() && context.routes.may_be_stale(context.clock.now()) {
         table = context.routes.catch_up(context.clock.as_ref()).await?;
     }
     let route = table.route(&call.host, &call.path).map_err(table_refusal)?;
--- a/crates/daemon/src/relay/chains/following.rs
+++ b/crates/daemon/src/relay/chains/following.rs
@@ -18,9 +18,11 @@
         ticks.tick().await;
         let now = context.clock.now();
         context.loads().tick(now);
-        let entries = hub.discovery().and_then(|discovery| discovery.entries());
+        let entries = hub
+            .discovery()
+            .and_then(|discovery| discovery.entry_count());
         if let Some(entries) = entries {
-            context.share_budget(now, entries);
+            context.set_budget_share(now, entries);
         }
         let Ok(table) = context.routes.current(now) else {
             continue;
@@ -28,7 +30,7 @@
         let workers = context.fleet.workers(now);
         context
             .chains()
-            .follow(now, &table, &workers, &context.fleet);
+            .sync_engines(now, &table, &workers, &context.fleet);
         clear_suspects(&context, now, &workers);
     }
 }
--- a/crates/daemon/src/relay/chains/repair.rs
+++ b/crates/daemon/src/relay/chains/repair.rs
@@ -5,8 +5,8 @@
     EngineRecord, NoRoute, RoutePlan, RoutePlanner, RoutePriority, RouteQuery,
 };
 
-use super::{ChainTable, TakenChain, query_of};
-use crate::relay::figures::pool_of;
+use super::{ChainTable, ReservedChain, query_of};
+use crate::relay::engine_estimates::pool_name;
 use crate::relay::request::RelayRequest;
 
 /// What a chain in use is to do without, and who may take its place.
@@ -15,7 +15,7 @@
     /// Engines that are lost.
     pub(in crate::relay) lost: &'repair [ServerName],
     /// Events that the caller holds.
-    pub(in crate::relay) written: u32,
+    pub(in crate::relay) events_written: u32,
     /// Whether an engine may get new work.
     pub(in crate::relay) may_take: &'repair dyn Fn(&ServerName) -> bool,
 }
@@ -26,9 +26,9 @@
     pub(in crate::relay) fn repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
-    ) -> Result<TakenChain, NoRoute> {
+    ) -> Result<ReservedChain, NoRoute> {
         let plan = self.find_repair(now, chain, repair)?;
         self.start(now, plan, chain.plan.model_layers)
     }
@@ -37,7 +37,7 @@
     pub(in crate::relay) fn can_repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
     ) -> bool {
         self.find_repair(now, chain, repair).is_ok()
@@ -46,15 +46,15 @@
     fn find_repair(
         &mut self,
         now: MonotonicTime,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         repair: &ChainRepair<'_>,
     ) -> Result<RoutePlan, NoRoute> {
         let is_good = |engine: &EngineRecord| (repair.may_take)(&engine.announcement.server);
-        let model = pool_of(&repair.request.service);
+        let model = pool_name(&repair.request.service);
         let query = query_of(repair.request, &model, &is_good);
         let query = RouteQuery {
             excluded: repair.lost,
-            prompt_tokens: query.prompt_tokens.saturating_add(repair.written),
+            prompt_tokens: query.prompt_tokens.saturating_add(repair.events_written),
             priority: RoutePriority::Urgent,
             ..query
         };
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -33,7 +33,7 @@
     pub(crate) agreed: Arc<dyn AgreedState>,
     pub(crate) fleet: Arc<BackendFleet>,
     pub(crate) clock: Arc<dyn TimeSource>,
-    pub(crate) life: LifeWatch,
+    pub(crate) lifecycle: LifeWatch,
     pub(crate) metrics: Arc<MetricRegistry>,
     pub(crate) seed: u64,
 }
@@ -46,7 +46,7 @@
     pub(super) fleet: Arc<BackendFleet>,
     pub(super) pool: ConnectionPool,
     pub(super) clock: Arc<dyn TimeSource>,
-    pub(super) life: LifeWatch,
+    pub(super) lifecycle: LifeWatch,
     pub(super) metrics: Arc<MetricRegistry>,
     loads: Mutex<ServerLoads>,
     chains: Mutex<ChainTable>,
@@ -78,7 +78,7 @@
             fleet: parts.fleet,
             pool: ConnectionPool::new(PoolSettings::default(), since_boot),
             clock: parts.clock,
-            life: parts.life,
+            lifecycle: parts.lifecycle,
             metrics: parts.metrics,
             loads: Mutex::new(ServerLoads::new(outliers())),
             chains: Mutex::new(ChainTable::new(parts.data_centre.clone(), parts.seed)),
@@ -101,10 +101,10 @@
 
     /// Why the balancer should send nothing here; `None` if it should.
     pub(crate) fn unready_reason(&self) -> Option<String> {
-        if self.life.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifeStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
-        self.routes.gap(self.clock.now())
+        self.routes.unavailable_reason(self.clock.now())
     }
 
     /// Loads of plain servers.
@@ -123,7 +123,11 @@
     }
 
     /// Until when a request that arrived at `arrived` waits for a server, as far as can be said at `now`.
-    pub(super) fn wait_until(&self, now: MonotonicTime, arrived: MonotonicTime) -> MonotonicTime {
+    pub(super) fn queue_deadline(
+        &self,
+        now: MonotonicTime,
+        arrived: MonotonicTime,
+    ) -> MonotonicTime {
         self.patience.wait_until(now, MonotonicTime::START, arrived)
     }
 
@@ -133,22 +137,22 @@
     }
 
     /// A first send to a service earns a part of a retry.
-    pub(super) fn earn_retry(&self, now: MonotonicTime, service: &ServiceName) {
+    pub(super) fn earn_retry_budget(&self, now: MonotonicTime, service: &ServiceName) {
         self.budgets().record_call(now, service);
     }
 
     /// Takes a retry at a service from the budget; false if there is none.
-    pub(super) fn take_retry(&self, now: MonotonicTime, service: &ServiceName) -> bool {
+    pub(super) fn spend_retry(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().take(now, service)
     }
 
     /// Whether the budget allows a retry at a service; takes none.
-    pub(super) fn is_retry_left(&self, now: MonotonicTime, service: &ServiceName) -> bool {
+    pub(super) fn has_retry_budget(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().has_budget(now, service)
     }
 
     /// Divides the retry budget by the hosts that take callers.
-    pub(super) fn share_budget(&self, now: MonotonicTime, hosts: u32) {
+    pub(super) fn set_budget_share(&self, now: MonotonicTime, hosts: u32) {
         if self.sharing.swap(hosts, Ordering::Relaxed) != hosts {
             let settings = budget_settings(&self.settings, hosts);
             self.budgets().configure(now, settings);
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -12,8 +12,8 @@
 use pollendrift_http::{ResponseBody, channel_body};
 use tokio::time::sleep;
 
-use super::answer::{FailedSend, OpenAnswer, passed_back};
-use super::chains::TakenChain;
+use super::answer::{FailedSend, OpenAnswer, end_to_end_headers};
+use super::chains::ReservedChain;
 use super::context::RelayContext;
 use super::guard::ChainGuard;
 use super::meter::RequestMeter;
@@ -28,7 +28,7 @@
 /// all drafts that run now have ended.
 const RETRY_FULL: Duration = Duration::from_millis(2_500);
 /// Time between two looks for room.
-pub(super) const ROOM_PERIOD: Duration = Duration::from_millis(40);
+pub(super) const CAPACITY_POLL_PERIOD: Duration = Duration::from_millis(40);
 /// Events that wait for a caller that reads slowly.
 const EVENT_QUEUE: usize = 32;
 /// Time for which an engine that declined a draft is left out of its next chains.
@@ -79,7 +79,7 @@
     request: RelayRequest,
     meter: &RequestMeter,
 ) -> Result<Response<ResponseBody>, Refused> {
-    context.earn_retry(request.arrived, &request.service.name);
+    context.earn_retry_budget(request.arrived, &request.service.name);
     let resume_after = request.resume_after;
     let mut run = DraftRun {
         context: Arc::clone(context),
@@ -93,7 +93,7 @@
         last: None,
         reroutes: RerouteState::default(),
     };
-    let wait_until = context.wait_until(context.clock.now(), run.request.arrived);
+    let wait_until = context.queue_deadline(context.clock.now(), run.request.arrived);
     let running = match run.open(resume_after, wait_until).await {
         Some(running) => running,
         None => return Err(run.conclude()),
@@ -106,7 +106,7 @@
     let (sender, body) = channel_body(EVENT_QUEUE);
     let mut response = Response::new(body);
     *response.status_mut() = running.answer.parts.status;
-    *response.headers_mut() = passed_back(&running.answer.parts.headers);
+    *response.headers_mut() = end_to_end_headers(&running.answer.parts.headers);
     let stream = StreamRun::new(run, running, resume_after);
     tokio::spawn(run_stream(stream, sender));
     Ok(response)
@@ -125,14 +125,14 @@
         let is_resume = self.may_have_run;
         loop {
             let now = self.context.clock.now();
-            if self.request.left(now) < MIN_LEFT || self.is_over() {
+            if self.request.time_left(now) < MIN_LEFT || self.is_over() {
                 return None;
             }
             let Some(mut chain) = self.take_chain_in_budget(now, is_resume) else {
                 if now >= wait_until {
                     return None;
                 }
-                sleep(ROOM_PERIOD).await;
+                sleep(CAPACITY_POLL_PERIOD).await;
                 continue;
             };
             chain.log_sent(&self.request, now, self.sends + self.declined + 1);
@@ -179,11 +179,11 @@
     fn take_chain_in_budget(&self, now: MonotonicTime, is_resume: bool) -> Option<ChainGuard> {
         let service = &self.request.service.name;
         let is_repeat = self.sends + self.declined > 0;
-        if is_repeat && !self.context.is_retry_left(now, service) {
+        if is_repeat && !self.context.has_retry_budget(now, service) {
             return None;
         }
         let chain = self.take_chain(now, is_resume, &[])?;
-        if is_repeat && !self.context.take_retry(now, service) {
+        if is_repeat && !self.context.spend_retry(now, service) {
             chain.failed(None);
             return None;
         }
@@ -194,9 +194,11 @@
     ///
     /// A silent chain is kept where it could not: its answer may still come, and giving it up would
     /// end the caller's answer for certain.
-    pub(super) fn has_other(&self, suspects: &[ServerName]) -> bool {
+    pub(super) fn has_alternative(&self, suspects: &[ServerName]) -> bool {
         let now = self.context.clock.now();
-        let is_left = self.context.is_retry_left(now, &self.request.service.name);
+        let is_left = self
+            .context
+            .has_retry_budget(now, &self.request.service.name);
         if self.is_over() || self.declined + 1 >= self.most_declined() || !is_left {
             return false;
         }
@@ -221,7 +223,7 @@
         let may_take_work = |server: &ServerName| fleet.may_take(now, server);
         let health = self.context.health();
         let is_healthy = |server: &ServerName| !health.is_suspected(now, server);
-        let taken = self.context.chains().take(
+        let taken = self.context.chains().reserve(
             now,
             &self.request,
             &excluded,
@@ -262,7 +264,7 @@
         let mut chains = self.context.chains();
         engines
             .iter()
-            .for_each(|engine| chains.declined(now, engine));
+            .for_each(|engine| chains.record_declined(now, engine));
     }
 
     fn note(&mut self, failed: FailedSend) {
@@ -314,21 +316,21 @@
     }
 
     /// Gives a chain up whose engines are gone.
-    pub(super) fn abandon_dead(&mut self, chain: ChainGuard, gone: Vec<ServerName>) {
-        self.suspect(gone);
+    pub(super) fn abandon_unreachable(&mut self, chain: ChainGuard, gone: Vec<ServerName>) {
+        self.exclude_suspects(gone);
         chain.failed(None);
     }
 
     /// Leaves silent engines out of the next chain. A chain with engines that are gone does not
     /// count among those that the draft was sent to.
-    pub(super) fn suspect(&mut self, suspects: Vec<ServerName>) {
+    pub(super) fn exclude_suspects(&mut self, suspects: Vec<ServerName>) {
         self.sends = self.sends.saturating_sub(1);
         self.declined += 1;
         self.leave_out(suspects, BROKEN_PAUSE);
     }
 
     /// The chain whose engines were suspected is kept, and counts again.
-    pub(super) fn keep(&mut self) {
+    pub(super) fn count_kept_chain(&mut self) {
         self.sends += 1;
     }
 
@@ -372,7 +374,7 @@
 }
 
 /// The engines that a failed send is laid to.
-fn blame(chain: &TakenChain, failed: &FailedSend) -> Vec<ServerName> {
+fn blame(chain: &ReservedChain, failed: &FailedSend) -> Vec<ServerName> {
     if !failed.suspects.is_empty() {
         return failed.suspects.clone();
     }
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::answer::{FailedSend, OpenAnswer, send};
-use super::chains::{ChainRepair, TakenChain};
+use super::chains::{ChainRepair, ReservedChain};
 use super::drafts::DraftRun;
 use super::guard::ChainGuard;
 use super::request::SendTarget;
@@ -33,7 +33,7 @@
     /// Until when it is not tried.
     pause_until: Option<MonotonicTime>,
     /// Events that the caller holds.
-    pub(super) written: u32,
+    pub(super) events_written: u32,
 }
 
 impl DraftRun {
@@ -56,7 +56,7 @@
         };
         let dialect = Arc::clone(&context.dialect.servers);
         let written = self.request.write(since, dialect.as_ref(), target);
-        let left = self.request.left(since);
+        let left = self.request.time_left(since);
         let attempt = self.request.attempt.clone();
         let sending = send(&context, hop.address, written, &attempt, left);
         let mut sending = std::pin::pin!(sending);
@@ -64,11 +64,11 @@
             let usual = chain.chain.plan.first_token;
             let silence = tokio::select! {
                 answered = &mut sending => return answered,
-                silence = self.watch_for_other(&chain.chain, since, usual) => silence,
+                silence = self.watch_for_silence(&chain.chain, since, usual) => silence,
             };
             let Some(rerouted) = self.reroute(&chain.chain, &silence.suspects).await else {
-                if self.has_other(&silence.suspects) {
-                    return Err(self.silent(&silence.suspects));
+                if self.has_alternative(&silence.suspects) {
+                    return Err(self.silence_failure(&silence.suspects));
                 }
                 continue;
             };
@@ -78,7 +78,7 @@
     }
 
     /// Whether engines are there that could take the place of `lost` ones in `chain`.
-    pub(super) fn can_reroute(&self, chain: &TakenChain, lost: &[ServerName]) -> bool {
+    pub(super) fn can_reroute(&self, chain: &ReservedChain, lost: &[ServerName]) -> bool {
         let now = self.context.clock.now();
         let is_paused = self.reroutes.pause_until.is_some_and(|until| now < until);
         let is_first_lost = lost.contains(&chain.first);
@@ -99,7 +99,7 @@
     /// Rerouted, a draft stays one request, and only the new stages read.
     pub(super) async fn reroute(
         &mut self,
-        chain: &TakenChain,
+        chain: &ReservedChain,
         lost: &[ServerName],
     ) -> Option<ChainGuard> {
         if !self.can_reroute(chain, lost) {
@@ -117,14 +117,14 @@
             let next = ChainGuard::new(&self.context, next);
             let outcome = self.order(&next.chain).await;
             log::info!(request = self.request.attempt.as_str(), outcome:? = outcome,
-                lost = names(&lost).as_str(), after = self.reroutes.written; "chain rerouted");
+                lost = names(&lost).as_str(), after = self.reroutes.events_written; "chain rerouted");
             match outcome {
                 Some(RerouteOutcome::Taken) => return Some(next),
                 Some(RerouteOutcome::NoRoom { culprit }) => {
                     let full = full_stages(chain, &next.chain, culprit);
                     next.failed(None);
                     full.iter()
-                        .for_each(|server| self.context.chains().declined(now, server));
+                        .for_each(|server| self.context.chains().record_declined(now, server));
                     lost.extend(full);
                 }
                 Some(RerouteOutcome::NotThere) | None => {
@@ -149,13 +149,13 @@
         work(&ChainRepair {
             request: &self.request,
             lost,
-            written: self.reroutes.written,
+            events_written: self.reroutes.events_written,
             may_take: &may_take,
         })
     }
 
     /// Orders the first engine to go on over `chain`; `None` if nothing comes back in time.
-    async fn order(&self, chain: &TakenChain) -> Option<RerouteOutcome> {
+    async fn order(&self, chain: &ReservedChain) -> Option<RerouteOutcome> {
         let address = chain.hops.first()?.address;
         let dialect = Arc::clone(&self.context.dialect.servers);
         let order = RerouteOrder {
@@ -176,8 +176,8 @@
 
 /// New stages of `next` that have no room: the one that its engine names, else any of them.
 fn full_stages(
-    former: &TakenChain,
-    next: &TakenChain,
+    former: &ReservedChain,
+    next: &ReservedChain,
     culprit: Option<SocketAddr>,
 ) -> Vec<ServerName> {
     let named = culprit.and_then(|address| next.server_at(address));
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -6,7 +6,7 @@
 use pollendrift_http::BodySender;
 
 use super::drafts::{DraftRun, RunningDraft};
-use super::passing::{ChainEnd, EventPass, NextFrame, next_frame};
+use super::forwarding::{ChainEnd, EventForwarder, NextFrame, next_frame};
 
 /// A stream that runs.
 pub(super) struct StreamRun {
@@ -33,16 +33,17 @@
         mut running,
         mut progress,
     } = stream;
-    let mut pass = EventPass::new(run.context.clock.now());
+    let mut pass = EventForwarder::new(run.context.clock.now());
     loop {
         let end = tokio::select! {
             end = pass.run(&run, &mut running, &mut progress, &sender) => end,
             () = sender.closed() => ChainEnd::CallerGone,
         };
         let after = progress.last();
-        run.reroutes.written = after.map_or(0, |last| u32::try_from(last.0).unwrap_or(u32::MAX));
+        run.reroutes.events_written =
+            after.map_or(0, |last| u32::try_from(last.0).unwrap_or(u32::MAX));
         match end {
-            ChainEnd::Whole => {
+            ChainEnd::Complete => {
                 running
                     .answer
                     .connection
@@ -68,7 +69,7 @@
                 };
                 if let Some(rerouted) = rerouted {
                     std::mem::replace(&mut running.chain, rerouted).failed(None);
-                    pass.rerouted(run.context.clock.now());
+                    pass.restart_silence(run.context.clock.now());
                 }
             }
             ChainEnd::Silent(verdict) if !verdict.is_dead => {
@@ -82,7 +83,7 @@
                 match handed {
                     HandOver::Taken(next) => {
                         std::mem::replace(&mut running, *next).chain.failed(None);
-                        pass = EventPass::new(run.context.clock.now());
+                        pass = EventForwarder::new(run.context.clock.now());
                     }
                     HandOver::Heard(frame) => pass.put_back(frame),
                     HandOver::Nobody => {}
@@ -103,7 +104,7 @@
                     return;
                 };
                 running = next;
-                pass = EventPass::new(run.context.clock.now());
+                pass = EventForwarder::new(run.context.clock.now());
             }
         }
     }
@@ -133,18 +134,18 @@
     log::info!(request = run.request.attempt.as_str(), after = after.map(|id| id.0),
         engines = suspects.len(); "chain fell silent");
     let now = run.context.clock.now();
-    run.suspect(suspects);
+    run.exclude_suspects(suspects);
     let next = tokio::select! {
         next = run.open(after, now) => next,
         frame = next_frame(&mut running.answer.body) => {
-            run.keep();
+            run.count_kept_chain();
             return HandOver::Heard(frame);
         }
     };
     match next.filter(|next| next.answer.parts.status.is_success()) {
         Some(next) => HandOver::Taken(Box::new(next)),
         None => {
-            run.keep();
+            run.count_kept_chain();
             HandOver::Nobody
         }
     }
@@ -168,10 +169,10 @@
             reason
         }
         ChainEnd::Silent(verdict) => {
-            run.abandon_dead(chain, verdict.suspects);
+            run.abandon_unreachable(chain, verdict.suspects);
             "engines are gone".to_owned()
         }
-        ChainEnd::Whole | ChainEnd::CallerGone => String::new(),
+        ChainEnd::Complete | ChainEnd::CallerGone => String::new(),
     };
     log::info!(request = run.request.attempt.as_str(), reason = reason.as_str(),
         after = after.map(|id| id.0); "chain broke");
@@ -184,7 +185,7 @@
 /// and a connection that is cut before helps nobody.
 async fn go_on(run: &mut DraftRun, after: Option<EventId>) -> Option<RunningDraft> {
     let now = run.context.clock.now();
-    let wait_until = now.after(run.request.left(now));
+    let wait_until = now.after(run.request.time_left(now));
     let next = run.open(after, wait_until).await?;
     next.answer.parts.status.is_success().then_some(next)
 }
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -9,7 +9,7 @@
 
 use pollendrift::clock::{SystemClock, TimeSource};
 use pollendrift::keeper::{
-    ClientSettings, KeeperError, KeeperFrames, KeeperSettings, KeeperStart, KeeperStatus,
+    ClientSettings, KeeperError, KeeperFrameHandler, KeeperSettings, KeeperStart, KeeperStatus,
     RunningKeeper, SubmitError, keeper_queue, start_keeper_on,
 };
 use pollendrift::peers::{
@@ -167,9 +167,9 @@
 pub(crate) fn links() -> LinkSettings {
     LinkSettings {
         heartbeat: Duration::from_millis(50),
-        silence: Duration::from_secs(2),
-        retry_first: Duration::from_millis(2),
-        retry_most: Duration::from_millis(20),
+        silence_timeout: Duration::from_secs(2),
+        base_backoff: Duration::from_millis(2),
+        max_backoff: Duration::from_millis(20),
         ..LinkSettings::default()
     }
 }
@@ -216,7 +216,7 @@
 
     pub(crate) async fn try_start(&mut self, name: &'static str) -> Result<(), KeeperError> {
         let (port, inbox) = keeper_queue(self.settings.queue);
-        let handler = Arc::new(KeeperFrames::new(port.clone(), Arc::new(NoFrames)));
+        let handler = Arc::new(KeeperFrameHandler::new(port.clone(), Arc::new(NoFrames)));
         let peers = self.dialer.link(name, handler).await;
         let list = SharedList::default();
         let start = KeeperStart {
@@ -280,7 +280,7 @@
     }
 
     /// Submits until it is accepted; only "not run" may be tried again without doubling.
-    pub(crate) async fn accept(&self, name: &str, text: &str) {
+    pub(crate) async fn submit_until_accepted(&self, name: &str, text: &str) {
         let accepting = async {
             loop {
                 match self.submit(name, text).await {
