--- a/crates/coordination/tests/outer_encodings/agreement.rs
+++ b/crates/coordination/tests/outer_encodings/agreement.rs
@@ -5,8 +5,8 @@
 use pollendrift_coordination::agreement::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, HardState,
     Heartbeat, HeartbeatReply, HeartbeatRound, IdentityRejected, LogIndex, SnapshotChunk,
-    SnapshotOutcome, SnapshotReply, StartMark, Term, VoteKind, VoteReply, VoteRequest,
-    WitnessRecord,
+    SnapshotOutcome, SnapshotReply, ProcessStart, Term, VoteKind, VoteReply, VoteRequest,
+    ObservedAck,
 };
 use pollendrift_coordination::base::MonotonicTime;
 
@@ -16,8 +16,8 @@
 const TERM: Term = Term(4);
 const SENT: MonotonicTime = MonotonicTime::from_micros(5_000);
 
-fn start() -> StartMark {
-    StartMark {
+fn start() -> ProcessStart {
+    ProcessStart {
         nonce: 77,
         term: Term(2),
         last_index: LogIndex(30),
@@ -69,7 +69,7 @@
 }
 
 fn heartbeats() -> [AgreementMessage; 2] {
-    let witnessed = WitnessRecord {
+    let witnessed = ObservedAck {
         keeper: keeper("k2", 12),
         start: start(),
         term: Term(3),
--- a/crates/coordination/tests/outer_encodings/configuration.rs
+++ b/crates/coordination/tests/outer_encodings/configuration.rs
@@ -8,7 +8,7 @@
     CanonicalText, ChangeBody, ChangeLog, ChangeRequest, ChangeRetention, Configuration,
     ConfigurationView, ContentDigest, DaemonRevision, DocumentChange, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, HostFacts, InForceAnswer, InForceView,
-    KnownSettings, LabelSet, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
+    LabelSettings, LabelSet, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
     ServerFacts, ServiceState, source_document,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
@@ -207,7 +207,7 @@
 /// Labels that operators have written would lose their meaning.
 #[test]
 fn labels_with_a_meaning_keep_their_keys() {
-    let read = KnownSettings::of(&labels(&[
+    let read = LabelSettings::of(&labels(&[
         ("deadline-ms", "1500"),
         ("idempotent", "true"),
         ("limit/in-flight", "2"),
@@ -221,7 +221,7 @@
         ("state", "out-of-service"),
         ("weight", "11"),
     ]));
-    let expected = KnownSettings {
+    let expected = LabelSettings {
         deadline: Some(Duration::from_millis(1_500)),
         idempotent: Some(true),
         in_flight: Some(2),
--- a/crates/coordination/tests/outer_encodings/evidence.rs
+++ b/crates/coordination/tests/outer_encodings/evidence.rs
@@ -166,7 +166,7 @@
     let mut lines = vec![export.anchor(anchor()).expect("JSON")];
     let records = chain();
     for sealed in &records {
-        export.record();
+        export.count_record();
         lines.push(sealed.line.to_string());
     }
     let last = records.last().expect("records").head();
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
-use pollendrift_coordination::following::QuestionNumber;
-use pollendrift_coordination::hosts::{HostNote, HostReach};
+use pollendrift_coordination::revision_follower::QuestionNumber;
+use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, HeardLease, HeardLeases, LeaseBatch,
+    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, NumberedRenewal, PackedRenewals, LeaseBatch,
     LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, ServerAnnounce, ServerState, WorkerLayers,
     WorkerOffer,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
-use pollendrift_coordination::routing::{EngineLoad, EngineNote};
-use pollendrift_coordination::streams::{StreamNote, StreamRecord};
+use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
+use pollendrift_coordination::streams::{StreamUpdate, StreamRecord};
 
 use crate::samples::layers;
 use crate::shown::{cbor, json};
@@ -70,7 +70,7 @@
 }
 
 fn batch() -> LeaseBatch {
-    let heard = [(3, 0), (200, 1_250)].map(|(number, millis)| HeardLease {
+    let heard = [(3, 0), (200, 1_250)].map(|(number, millis)| NumberedRenewal {
         number: LeaseNumber(number),
         age: Duration::from_millis(millis),
     });
@@ -87,7 +87,7 @@
     LeaseBatch {
         table: Incarnation(5),
         named: (1..).zip(deltas).map(named).collect(),
-        heard: HeardLeases::pack(heard.into()),
+        heard: PackedRenewals::pack(heard.into()),
     }
 }
 
@@ -112,7 +112,7 @@
 /// A renamed field would make hosts of two builds unable to find each other.
 #[test]
 fn notes_of_hosts_keep_their_encoding() {
-    let note = HostNote {
+    let note = HostGossip {
         host: "h1".into(),
         reach: HostReach {
             address: ([127, 0, 0, 1], 7_000).into(),
@@ -128,7 +128,7 @@
 /// A renamed field would make hosts of two builds route by no load but their own.
 #[test]
 fn notes_of_engines_keep_their_encoding() {
-    let note = EngineNote {
+    let note = SurveyResult {
         server: "b1".into(),
         incarnation: Incarnation(6),
         load: Some(EngineLoad {
@@ -152,7 +152,7 @@
 /// A renamed field would make a stream that breaks off during an upgrade impossible to resume.
 #[test]
 fn streams_keep_their_encoding() {
-    let note = StreamNote {
+    let note = StreamUpdate {
         request: "r1".into(),
         customer: "ponant".into(),
         digest: [0x77; 32],
--- a/crates/coordination/tests/outer_encodings/status.rs
+++ b/crates/coordination/tests/outer_encodings/status.rs
@@ -134,7 +134,7 @@
 /// A renamed field would break what operators read of backend servers.
 #[test]
 fn the_dump_of_leases_keeps_its_names() {
-    let mut table = LeaseTable::numbered(
+    let mut table = LeaseTable::with_incarnation(
         BackendLeaseSettings {
             lease: Duration::from_secs(3),
             retention: Duration::from_secs(60),
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -3,21 +3,21 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use pollendrift_coordination::agreement::{LogIndex, MachineError, RefusalReason};
+use pollendrift_coordination::agreement::{LogIndex, StateMachineError, RefusalReason};
 use pollendrift_coordination::base::{MonotonicTime, Revision, WallTime};
 use pollendrift_coordination::claims::NotRunReason;
 use pollendrift_coordination::configuration::{
-    AllowMismatch, ConsideredSelector, FollowFailure, LabelKey, LabelValue, Mismatch, Requirement,
+    AllowMismatch, ConsideredSelector, ApplyError, LabelKey, LabelValue, Mismatch, Requirement,
     RequirementTest, SelectMismatch, SelectionRefusal, SelectorTarget, ServiceState,
 };
-use pollendrift_coordination::evidence::{BatchRefusal, BufferFull, EvidenceError};
-use pollendrift_coordination::following::FollowGap;
-use pollendrift_coordination::leases::HeardFault;
+use pollendrift_coordination::evidence::{BatchRefusal, BufferError, EvidenceError};
+use pollendrift_coordination::revision_follower::UnconfirmedRevision;
+use pollendrift_coordination::leases::RenewalDecodeError;
 use pollendrift_coordination::ledger::DropReason;
-use pollendrift_coordination::ledger::{AttemptError, ChainFault, ChainLink};
+use pollendrift_coordination::ledger::{AttemptError, ChainError, ChainLink};
 use pollendrift_coordination::limits;
 use pollendrift_coordination::placement::{
-    GivenUpWork, HeldWeights, LoadOrder, PlacementWait, WeightsId,
+    UnloadPolicy, HeldWeights, LoadOrder, PlacementWait, WeightsId,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 use pollendrift_coordination::retries::{CallKind, RunProof, SendOutcome, StopReason};
@@ -180,16 +180,16 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-fn chain_faults() -> [ChainFault; 5] {
+fn chain_faults() -> [ChainError; 5] {
     [
-        ChainFault::Empty,
-        ChainFault::Gap { layer: 4 },
-        ChainFault::Overlap { layer: 4 },
-        ChainFault::OutOfModel {
+        ChainError::Empty,
+        ChainError::Gap { layer: 4 },
+        ChainError::Overlap { layer: 4 },
+        ChainError::OutOfModel {
             layers: layers(0, 9),
             count: 8,
         },
-        ChainFault::WrongVersion {
+        ChainError::WrongVersion {
             expected: "v1".into(),
             found: "v2".into(),
         },
@@ -212,7 +212,7 @@
     let errors = [
         AttemptError::Complete,
         AttemptError::NotNewer { running: 3.into() },
-        AttemptError::Route(ChainFault::Empty),
+        AttemptError::Route(ChainError::Empty),
     ];
     let link = ChainLink {
         server: "b1".into(),
@@ -260,9 +260,9 @@
             weights: weights(),
             layers: layers(0, 4),
         },
-        given_up: GivenUpWork::Cut,
+        given_up: UnloadPolicy::Cut,
     };
-    let given_up = [GivenUpWork::Finish, GivenUpWork::Cut];
+    let given_up = [UnloadPolicy::Finish, UnloadPolicy::Cut];
     let texts = [lines(waits), order.to_string(), lines(given_up)];
     insta::assert_snapshot!(texts.join("\n"));
 }
@@ -286,19 +286,19 @@
     ]
 }
 
-fn follow_failures() -> [FollowFailure; 4] {
+fn follow_failures() -> [ApplyError; 4] {
     let offered = Revision(6);
     [
-        FollowFailure::OtherStart {
+        ApplyError::OtherStart {
             held: Revision(4),
             from: Revision(5),
         },
-        FollowFailure::Older {
+        ApplyError::Older {
             held: Revision(7),
             offered,
         },
-        FollowFailure::OtherContent { offered },
-        FollowFailure::NotReadable {
+        ApplyError::OtherContent { offered },
+        ApplyError::NotReadable {
             offered,
             findings: findings(),
         },
@@ -309,13 +309,13 @@
 #[test]
 fn refusals_of_keepers_keep_their_text() {
     let gaps = [
-        FollowGap::NeverConfirmed,
-        FollowGap::LeaseOver {
+        UnconfirmedRevision::NeverConfirmed,
+        UnconfirmedRevision::LeaseOver {
             held: Revision(4),
             since: Duration::from_millis(70),
         },
     ];
-    let machine = MachineError {
+    let machine = StateMachineError {
         what: "command",
         reason: "odd".to_owned(),
     };
@@ -332,7 +332,7 @@
         lines(gaps),
         machine.to_string(),
         lines(numbers),
-        HeardFault.to_string(),
+        RenewalDecodeError.to_string(),
     ];
     insta::assert_snapshot!(texts.join("\n"));
 }
@@ -366,11 +366,11 @@
         BatchRefusal::Fork { sequence: 7.into() },
     ];
     let full = [
-        BufferFull::Full {
+        BufferError::Full {
             records: 8,
             bytes: 900,
         },
-        BufferFull::Unwritable(EvidenceError::TooLong),
+        BufferError::Unwritable(EvidenceError::TooLong),
     ];
     let texts = [lines(evidence_errors()), lines(refusals), lines(full)];
     insta::assert_snapshot!(texts.join("\n"));
