--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -268,3 +268,6 @@
 fn quoted(text: &str) -> String {
     serde_json::Value::from(text).to_string()
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/daemon/tests/outer_telemetry.rs
@@ -0,0 +1,167 @@
+//! Outer form of metrics, log lines and the evidence on disk.
+
+#![allow(clippy::expect_used, reason = "a helper that fails is a failed test")]
+
+use std::fmt::Write as _;
+use std::path::Path;
+use std::time::Duration;
+
+use log::{Level, Record};
+use pollendrift::telemetry::{
+    EvidenceJournal, INSTRUMENTS, MetricRegistry, RefusedConnection, RequestEnd, line_of, log_field,
+};
+use pollendrift_coordination::base::{Incarnation, SequenceNumber, WallTime};
+use pollendrift_coordination::evidence::{
+    BufferBounds, ChainHead, ChainWriter, EvidenceBuffer, EvidenceDigest, EvidenceEvent,
+    OutcomeKind, RevisionInForce, SealedRecord,
+};
+use pollendrift_coordination::replicated::{EvidencePosition, IndexedRecord};
+
+fn writer() -> ChainWriter {
+    ChainWriter {
+        host: "brest-1".into(),
+        incarnation: Incarnation(1),
+    }
+}
+
+/// Metrics of which every instrument was recorded once.
+fn recorded() -> MetricRegistry {
+    let metrics = MetricRegistry::new().expect("a registry");
+    let buffer = EvidenceBuffer::new(writer(), BufferBounds::default(), ["k1".into()]);
+    metrics.access_refused(RefusedConnection {
+        face: "callers",
+        reason: "token",
+    });
+    metrics.backend_servers(43);
+    metrics.claims(2);
+    metrics.configuration(7.into(), Duration::from_secs(2));
+    metrics.connection_opened("callers");
+    metrics.evidence(&buffer.status());
+    metrics.keeper_leads(true);
+    metrics.request_begun();
+    metrics.request_ended(RequestEnd {
+        outcome: OutcomeKind::Complete,
+        attempts: 2,
+        duration: Duration::from_millis(700),
+    });
+    metrics.requests_queued(3);
+    metrics.request_refused(OutcomeKind::NotRun, "no-selector");
+    metrics.first_token(Duration::from_millis(300));
+    metrics.next_token(Duration::from_millis(40));
+    metrics
+}
+
+// A renamed instrument, label or bucket would empty the operators' plots and alerts without an error.
+#[test]
+fn metrics_keep_their_names_and_labels() {
+    insta::assert_snapshot!(recorded().text());
+}
+
+// A renamed instrument would read as another one in whatever takes metrics by these names.
+#[test]
+fn instruments_keep_their_names_and_units() {
+    let mut text = String::new();
+    for spec in INSTRUMENTS {
+        let kind = format!("{:?}", spec.kind).to_lowercase();
+        let _ = writeln!(
+            text,
+            "{} {kind} {}: {}",
+            spec.name, spec.unit, spec.description
+        );
+    }
+    insta::assert_snapshot!(text);
+}
+
+/// The line without its time, which differs at each run.
+fn line(record: &Record<'_>) -> String {
+    let line = line_of(record);
+    let (time, rest) = line.split_once(',').expect("a time");
+    let digits = time.strip_prefix("{\"t\":").expect("a time");
+    assert!(digits.parse::<u64>().is_ok(), "{digits}");
+    format!("{{\"t\":0,{rest}")
+}
+
+// A renamed field of a line would hide it from whoever searches the logs by it.
+#[test]
+fn log_lines_keep_their_form() {
+    let mut text = String::new();
+    for level in [
+        Level::Error,
+        Level::Warn,
+        Level::Info,
+        Level::Debug,
+        Level::Trace,
+    ] {
+        let about = [
+            (log_field::CUSTOMER, log::kv::Value::from("ponant")),
+            (log_field::HOST, log::kv::Value::from("brest-1")),
+            (log_field::REQUEST, log::kv::Value::from("r\"1")),
+            (log_field::REVISION, log::kv::Value::from(7_u64)),
+            ("behind", log::kv::Value::from(-1_i64)),
+            ("up", log::kv::Value::from(true)),
+        ];
+        let record = Record::builder()
+            .target("pollendrift::entry")
+            .level(level)
+            .key_values(&about)
+            .args(format_args!("refused"))
+            .build();
+        text.push_str(&line(&record));
+    }
+    insta::assert_snapshot!(text);
+}
+
+fn agreed_records() -> Vec<IndexedRecord> {
+    let mut head = ChainHead {
+        writer: writer(),
+        sequence: SequenceNumber(0),
+        digest: EvidenceDigest::ZERO,
+    };
+    let seal = |position: u64| {
+        let event = EvidenceEvent::RevisionInForce(RevisionInForce { revision: 4.into() });
+        let sealed = SealedRecord::seal(&head, WallTime(position * 1_000), event).expect("seals");
+        head = sealed.head();
+        IndexedRecord {
+            position: EvidencePosition(position),
+            writer: sealed.record.writer.host.clone(),
+            incarnation: sealed.record.writer.incarnation,
+            sequence: sealed.record.sequence,
+            record: sealed.line.as_bytes().into(),
+        }
+    };
+    (0..3).map(seal).collect()
+}
+
+/// Names and contents of all files below `folder`, by their names.
+fn files(folder: &Path, at: &str, text: &mut String) {
+    let entries = std::fs::read_dir(folder).expect("a folder");
+    let mut entries: Vec<_> = entries.map(|entry| entry.expect("an entry")).collect();
+    entries.sort_by_key(std::fs::DirEntry::file_name);
+    for entry in entries {
+        let name = format!("{at}/{}", entry.file_name().to_string_lossy());
+        if entry.path().is_dir() {
+            files(&entry.path(), &name, text);
+        } else {
+            let content = std::fs::read(entry.path()).expect("a file");
+            let _ = writeln!(text, "{name}\n{}", String::from_utf8_lossy(&content));
+        }
+    }
+}
+
+// A renamed folder, file or field would make a keeper lose its evidence at the next start, and the
+// export of it fail verification.
+#[test]
+fn evidence_on_disk_and_its_export_keep_their_form() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let open = EvidenceJournal::open_with("brest-1".into(), folder.path(), 600);
+    let mut journal = open.expect("opens");
+    journal.append(&agreed_records()).expect("appends");
+    let mut text = String::new();
+    files(folder.path(), "", &mut text);
+    let mut export = Vec::new();
+    journal
+        .export(WallTime(9_000), &mut export)
+        .expect("exports");
+    let _ = writeln!(text, "export\n{}", String::from_utf8_lossy(&export));
+    insta::assert_snapshot!(text);
+}
