--- a/crates/coordination/tests/outer_encodings/agreement.rs
+++ b/crates/coordination/tests/outer_encodings/agreement.rs
@@ -4,9 +4,9 @@
 
 use pollendrift_coordination::agreement::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, HardState,
-    Heartbeat, HeartbeatReply, HeartbeatRound, IdentityRejected, LogIndex, SnapshotChunk,
-    SnapshotOutcome, SnapshotReply, ProcessStart, Term, VoteKind, VoteReply, VoteRequest,
-    ObservedAck,
+    Heartbeat, HeartbeatReply, HeartbeatRound, IdentityRejected, LogIndex, ObservedAck,
+    ProcessStart, SnapshotChunk, SnapshotOutcome, SnapshotReply, Term, VoteKind, VoteReply,
+    VoteRequest,
 };
 use pollendrift_coordination::base::MonotonicTime;
 
--- a/crates/coordination/tests/outer_encodings/configuration.rs
+++ b/crates/coordination/tests/outer_encodings/configuration.rs
@@ -8,7 +8,7 @@
     CanonicalText, ChangeBody, ChangeLog, ChangeRequest, ChangeRetention, Configuration,
     ConfigurationView, ContentDigest, DaemonRevision, DocumentChange, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, HostFacts, InForceAnswer, InForceView,
-    LabelSettings, LabelSet, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
+    LabelSet, LabelSettings, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
     ServerFacts, ServiceState, source_document,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
-use pollendrift_coordination::revision_follower::QuestionNumber;
 use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, NumberedRenewal, PackedRenewals, LeaseBatch,
-    LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, ServerAnnounce, ServerState, WorkerLayers,
-    WorkerOffer,
+    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, LeaseBatch, LeaseDelta, LeaseNumber,
+    LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
+    WorkerLayers, WorkerOffer,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
+use pollendrift_coordination::revision_follower::QuestionNumber;
 use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
-use pollendrift_coordination::streams::{StreamUpdate, StreamRecord};
+use pollendrift_coordination::streams::{StreamRecord, StreamUpdate};
 
 use crate::samples::layers;
 use crate::shown::{cbor, json};
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -3,24 +3,24 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use pollendrift_coordination::agreement::{LogIndex, StateMachineError, RefusalReason};
+use pollendrift_coordination::agreement::{LogIndex, RefusalReason, StateMachineError};
 use pollendrift_coordination::base::{MonotonicTime, Revision, WallTime};
 use pollendrift_coordination::claims::NotRunReason;
 use pollendrift_coordination::configuration::{
-    AllowMismatch, ConsideredSelector, ApplyError, LabelKey, LabelValue, Mismatch, Requirement,
+    AllowMismatch, ApplyError, ConsideredSelector, LabelKey, LabelValue, Mismatch, Requirement,
     RequirementTest, SelectMismatch, SelectionRefusal, SelectorTarget, ServiceState,
 };
 use pollendrift_coordination::evidence::{BatchRefusal, BufferError, EvidenceError};
-use pollendrift_coordination::revision_follower::UnconfirmedRevision;
 use pollendrift_coordination::leases::RenewalDecodeError;
 use pollendrift_coordination::ledger::DropReason;
 use pollendrift_coordination::ledger::{AttemptError, ChainError, ChainLink};
 use pollendrift_coordination::limits;
 use pollendrift_coordination::placement::{
-    UnloadPolicy, HeldWeights, LoadOrder, PlacementWait, WeightsId,
+    HeldWeights, LoadOrder, PlacementWait, UnloadPolicy, WeightsId,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 use pollendrift_coordination::retries::{CallKind, RunProof, SendOutcome, StopReason};
+use pollendrift_coordination::revision_follower::UnconfirmedRevision;
 use pollendrift_coordination::routes::TableError;
 use pollendrift_coordination::routing::{NoRoute, NoRouteReason, RejectCounts};
 use pollendrift_coordination::streams::EventTooLong;
--- a/crates/daemon/tests/outer_frames.rs
+++ b/crates/daemon/tests/outer_frames.rs
@@ -22,14 +22,14 @@
     ConfigurationDelta, ContentDigest, DocumentChange, DocumentKey, LabelSubject,
 };
 use pollendrift_coordination::evidence::{EvidenceFilter, OutcomeKind};
-use pollendrift_coordination::hosts::{HostNote, HostReach};
+use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, FullLease, HeardLease, HeardLeases, LeaseBatch, LeaseDelta, LeaseNumber,
-    LeaseRenewal, NamedLease, ServerAnnounce, ServerState,
+    AnnouncedLoad, FullLease, LeaseBatch, LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease,
+    NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
-use pollendrift_coordination::routing::{EngineLoad, EngineNote};
-use pollendrift_coordination::streams::{StreamNote, StreamRecord};
+use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
+use pollendrift_coordination::streams::{StreamRecord, StreamUpdate};
 use pollendrift_store::{GroupId, JoinedGroup};
 use serde_json::json;
 
@@ -153,15 +153,15 @@
     LeaseBatch {
         table: Incarnation(6),
         named: named.collect(),
-        heard: HeardLeases::pack(vec![HeardLease {
+        heard: PackedRenewals::pack(vec![NumberedRenewal {
             number: LeaseNumber(300),
             age: Duration::from_millis(40),
         }]),
     }
 }
 
-fn stream() -> StreamNote {
-    StreamNote {
+fn stream() -> StreamUpdate {
+    StreamUpdate {
         request: "r1".into(),
         customer: "ponant".into(),
         digest: [0xcd; 32],
@@ -264,7 +264,7 @@
 
 fn news() -> Vec<PeerFrame> {
     let revision = Revision(8);
-    let engine = EngineNote {
+    let engine = SurveyResult {
         server: "e1".into(),
         incarnation: Incarnation(2),
         load: Some(EngineLoad {
@@ -275,7 +275,7 @@
         }),
         age: Duration::from_millis(50),
     };
-    let host = HostNote {
+    let host = HostGossip {
         host: "h1".into(),
         reach: reach(),
         age: Duration::from_millis(60),
--- a/crates/daemon/tests/outer_operators.rs
+++ b/crates/daemon/tests/outer_operators.rs
@@ -73,7 +73,8 @@
 
     /// Waits until the host has a leader and its own life, so that it takes changes.
     async fn wait_life(&self) {
-        self.wait(|| self.daemon.node().life().is_some()).await;
+        self.wait(|| self.daemon.node().incarnation().is_some())
+            .await;
     }
 
     async fn wait<F>(&self, met: F)
--- a/crates/daemon/tests/outer_telemetry.rs
+++ b/crates/daemon/tests/outer_telemetry.rs
@@ -12,7 +12,7 @@
 };
 use pollendrift_coordination::base::{Incarnation, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
-    BufferBounds, ChainHead, ChainWriter, EvidenceBuffer, EvidenceDigest, EvidenceEvent,
+    BufferSettings, ChainHead, ChainWriter, EvidenceBuffer, EvidenceDigest, EvidenceEvent,
     OutcomeKind, RevisionInForce, SealedRecord,
 };
 use pollendrift_coordination::replicated::{EvidencePosition, IndexedRecord};
@@ -27,7 +27,7 @@
 /// Metrics of which every instrument was recorded once.
 fn recorded() -> MetricRegistry {
     let metrics = MetricRegistry::new().expect("a registry");
-    let buffer = EvidenceBuffer::new(writer(), BufferBounds::default(), ["k1".into()]);
+    let buffer = EvidenceBuffer::new(writer(), BufferSettings::default(), ["k1".into()]);
     metrics.access_refused(RefusedConnection {
         face: "callers",
         reason: "token",
