--- a/crates/coordination/src/routing/degraded.rs
+++ b/crates/coordination/src/routing/degraded.rs
@@ -1,8 +1,9 @@
-//! What requests that were sent to other data centres met there lately.
+//! Delay statistics of streams that this host sent to other data centres.
 //!
-//! Pattern: degraded link. A link between two data centres loses packets or carries a part of its rate,
-//! while engines on both sides are well and their figures look good. First events come in time; the pauses
-//! between later ones break. A host sees that in its own streams only, so it counts them.
+//! Pattern: degraded link. A link between two data centres loses packets or provides only part of
+//! its rate, while the engines on both sides are healthy and report normal load. First events
+//! arrive in time, but the intervals between later events exceed their limit. Only the streams of a
+//! host show this, so each host counts them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,19 +12,21 @@
 
 use crate::base::{DataCentreName, MonotonicTime};
 
-/// How late streams of another data centre are weighed.
+/// Penalties for data centres whose streams are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DegradedSettings {
-    /// How much sooner the first event must be expected of another data centre, where nothing is known of
-    /// it. Its events take a millisecond longer; the rest keeps requests near while loads are told late,
-    /// since all entries would else follow the same old figures to the same place.
+    /// Advantage in the predicted time of the first event that another data centre needs to be
+    /// preferred, if this host has no statistics about it. Its events take a millisecond longer;
+    /// the rest keeps requests local while load reports lag, since all entries would otherwise
+    /// follow the same outdated report to the same place.
     pub usual_penalty: Duration,
-    /// The same, added where every stream broke its pauses: longer than any wait for room nearby.
+    /// Additional penalty if every stream was late. It is longer than any wait for capacity in the
+    /// local data centre.
     pub late_penalty: Duration,
-    /// Time after which what was seen counts half.
+    /// Time in which the weight of an observation halves.
     pub half_life: Duration,
-    /// Streams in time that are taken to have been seen before the first one.
+    /// Number of on-time streams assumed before the first observation.
     pub prior_streams: u32,
 }
 
@@ -38,7 +41,7 @@
     }
 }
 
-/// Streams over one data centre; both counts fade at the same pace.
+/// Stream counts of one data centre; both decay at the same rate.
 #[derive(Clone, Copy, Debug, Default)]
 struct CentreRecord {
     started: f64,
@@ -46,7 +49,7 @@
     counted_at: MonotonicTime,
 }
 
-/// Streams of one host over other data centres.
+/// Stream counts of one host, by data centre.
 #[derive(Clone, Debug, Default)]
 pub struct DegradedLinks {
     settings: DegradedSettings,
@@ -54,7 +57,7 @@
 }
 
 impl DegradedLinks {
-    /// Links of which nothing is known.
+    /// Creates an instance without observations.
     pub fn new(settings: DegradedSettings) -> Self {
         Self {
             settings,
@@ -62,38 +65,40 @@
         }
     }
 
-    /// A stream over `centre` begins.
+    /// Records the start of a stream over `centre`.
     pub fn started(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.record(now, centre).started += 1.0;
     }
 
-    /// A stream over `centre` broke its pauses, for the first time.
+    /// Records the first interval of a stream over `centre` that exceeded its limit. Call it at
+    /// most once per stream.
     pub fn late(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.record(now, centre).late += 1.0;
     }
 
-    /// How much sooner the first event must be expected of `centre` than of the host's own.
+    /// Advantage in the predicted time of the first event that `centre` needs to be preferred over
+    /// the host's own data centre.
     pub fn penalty(&self, now: MonotonicTime, centre: &DataCentreName) -> Duration {
         let record = self.centres.get(centre).copied().unwrap_or_default();
-        let fading = self.fading(now, &record);
-        let seen = record.started * fading + f64::from(self.settings.prior_streams);
-        let share = (record.late * fading / seen.max(1.0)).min(1.0);
+        let decay = self.decay(now, &record);
+        let streams = record.started * decay + f64::from(self.settings.prior_streams);
+        let share = (record.late * decay / streams.max(1.0)).min(1.0);
         self.settings.usual_penalty + self.settings.late_penalty.mul_f64(share)
     }
 
     fn record(&mut self, now: MonotonicTime, centre: &DataCentreName) -> &mut CentreRecord {
-        let known = self.centres.get(centre).copied().unwrap_or_default();
-        let fading = self.fading(now, &known);
+        let previous = self.centres.get(centre).copied().unwrap_or_default();
+        let decay = self.decay(now, &previous);
         let record = self.centres.entry(centre.clone()).or_default();
         *record = CentreRecord {
-            started: known.started * fading,
-            late: known.late * fading,
+            started: previous.started * decay,
+            late: previous.late * decay,
             counted_at: now,
         };
         record
     }
 
-    fn fading(&self, now: MonotonicTime, record: &CentreRecord) -> f64 {
+    fn decay(&self, now: MonotonicTime, record: &CentreRecord) -> f64 {
         let age = now.since(record.counted_at).as_secs_f64();
         let half_life = self.settings.half_life.as_secs_f64();
         0.5_f64.powf(age / half_life.max(f64::EPSILON))
--- a/crates/coordination/src/routing/engine.rs
+++ b/crates/coordination/src/routing/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine announces, and how an announcement is checked.
+//! Announcements of engines and their validation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     SequenceNumber, ServerName, VersionName,
 };
 
-/// Most adapters that one engine may announce; bounds the graphs that it is a member of.
+/// Maximum number of adapters per engine; it limits the number of graphs that contain the engine.
 pub const MAX_ADAPTERS: usize = 64;
 
 /// Name of a kind of accelerator.
@@ -24,64 +24,65 @@
 #[as_ref(str)]
 pub struct AcceleratorKind(Arc<str>);
 
-/// Which part of a request an engine works on.
+/// Phases of a request that an engine runs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineRole {
-    /// Prompts and tokens.
+    /// Prefill and decode.
     #[default]
     Both,
-    /// Prompts only; the KV cache is handed to decoding engines.
+    /// Prefill only; the engine transfers the KV cache to decode engines.
     Prefill,
-    /// Tokens only.
+    /// Decode only.
     Decode,
 }
 
-/// What an engine says of itself. Rates are for the whole of `layers`.
+/// Properties that an engine announces. Rates apply to all of `layers` together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineAnnouncement {
-    /// Name, unique among backend servers.
+    /// Name of the engine, unique among backend servers.
     pub server: ServerName,
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Number of the announcement within that life; a lower one never replaces a higher one.
+    /// Number of the announcement within the incarnation; a lower number never replaces a higher
+    /// one.
     pub sequence: SequenceNumber,
-    /// Kind of its accelerators.
+    /// Kind of the engine's accelerators.
     pub kind: AcceleratorKind,
-    /// Where it stands.
+    /// Data centre of the engine.
     pub data_centre: DataCentreName,
-    /// Model that it serves.
+    /// Model that the engine serves.
     pub model: ModelName,
-    /// Version of the weights that it holds.
+    /// Version of the loaded weights.
     pub version: VersionName,
     /// Number of layers of the model.
     pub model_layers: u32,
-    /// Layers that it holds; it can be asked to run any sub-range of them.
+    /// Layers that the engine holds; it can run any sub-range of them.
     pub layers: LayerRange,
-    /// Adapters that it can apply.
+    /// Adapters that the engine can apply.
     pub adapters: Vec<AdapterName>,
-    /// Its part in requests.
+    /// Phases of requests that the engine runs.
     pub role: EngineRole,
-    /// KV cache, in tokens over its layers.
+    /// Capacity of the KV cache, in tokens across its layers.
     pub kv_capacity: TokenCount,
-    /// Prompt tokens a second.
+    /// Prefill rate, in prompt tokens per second.
     pub prefill_rate: TokenRate,
-    /// Generated tokens a second with a full batch.
+    /// Decode rate with a full batch, in generated tokens per second.
     pub decode_rate: TokenRate,
-    /// Time of one decode step with a batch of one.
+    /// Duration of one decode step with a batch of one.
     pub step_floor: Duration,
-    /// Rate of its network link, in each direction.
+    /// Rate of the engine's network link in each direction.
     pub link_rate: ByteRate,
-    /// Bytes of activations per token between two stages.
+    /// Activation bytes per token between two stages.
     pub activation_bytes: u32,
-    /// Bytes of KV cache per token over its layers, for a hand-over between engines.
+    /// KV cache bytes per token across its layers, for a transfer between engines.
     pub kv_bytes: u32,
 }
 
 impl EngineAnnouncement {
-    /// All that is wrong with the announcement; empty if it can be routed to.
+    /// Validates the announcement; the list is empty if the engine is routable.
     pub fn check(&self) -> FindingList {
         let mut findings = FindingList::default();
         let layers_fit = !self.layers.is_empty() && self.layers.end <= self.model_layers;
@@ -97,8 +98,8 @@
             (self.decode_rate.0 > 0, "decode-rate", "a rate above 0"),
             (self.link_rate.0 > 0, "link-rate", "a rate above 0"),
         ];
-        for (holds, field, expected) in rules {
-            if !holds {
+        for (is_valid, field, expected) in rules {
+            if !is_valid {
                 let place = self.place();
                 findings.error(place, format!("{field} of the announcement"), expected);
             }
--- a/crates/coordination/src/routing/fleet.rs
+++ b/crates/coordination/src/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! Table of the engines that may be routed to, and the layer graphs over them.
+//! Table of the routable engines and the layer graphs that contain them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,12 +20,12 @@
     pub(crate) struct GraphKey;
 }
 
-/// An engine that may be routed to.
+/// A routable engine.
 #[derive(Clone, Debug)]
 pub struct EngineRecord {
-    /// What it announced last.
+    /// Newest announcement of the engine.
     pub announcement: EngineAnnouncement,
-    /// When it joined or came back; slow start counts from here.
+    /// When the engine joined or rejoined; its slow start begins at this time.
     pub joined: MonotonicTime,
     pub(crate) data_centre: DataCentreIndex,
     pub(crate) load: LoadTracker,
@@ -57,21 +57,21 @@
     }
 }
 
-/// What an announcement did to the table.
+/// Effect of an announcement on the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpsertOutcome {
     /// The engine is new.
     Joined,
-    /// A newer announcement replaced an older one.
+    /// The announcement replaced an older one.
     Updated,
-    /// The announcement is not newer than the one in force and was ignored.
+    /// The announcement is not newer than the current one and was ignored.
     Ignored,
 }
 
-/// Engines by key and name, and the graphs that they are members of.
+/// Engines by key and name, and the layer graphs that contain them.
 ///
-/// Invariant: an engine is a member of exactly the graphs that its announcement in force names, and
-/// an engine that was removed is in none.
+/// Invariant: an engine is a member of exactly the graphs that its current announcement names. A
+/// removed engine is in no graph.
 #[derive(Debug)]
 pub struct FleetTable {
     pub(crate) engines: SlotMap<EngineKey, EngineRecord>,
@@ -84,7 +84,7 @@
 }
 
 impl FleetTable {
-    /// A table without engines.
+    /// Creates an empty table with the default links of `settings`.
     pub fn new(settings: RoutingSettings) -> Self {
         Self {
             engines: SlotMap::with_key(),
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Takes an announcement.
+    /// Adds an engine or replaces its announcement.
     ///
     /// # Errors
-    /// All findings about it; the announcement in force then stays.
+    /// Returns all findings if the announcement is invalid; the current announcement then stays.
     pub fn upsert(
         &mut self,
         now: MonotonicTime,
@@ -117,7 +117,8 @@
         Ok(self.update(now, key, announcement))
     }
 
-    /// Takes a load report; one for an engine that is not known, or not newer, is ignored.
+    /// Applies a load report; returns false and ignores it if the engine is unknown, the
+    /// incarnation differs, or the report is not newer than the last one.
     pub fn report(&mut self, report: &LoadReport) -> bool {
         let key = self.find(&report.server);
         let record = key.and_then(|key| self.engines.get_mut(key));
@@ -126,7 +127,7 @@
         })
     }
 
-    /// Removes an engine whose lease ended or that leaves; no later choice names it.
+    /// Removes an engine whose lease expired or that shut down; later routes do not include it.
     pub fn remove(&mut self, server: &ServerName) -> Option<EngineKey> {
         let key = self.by_name.remove(server)?;
         self.leave_graphs(key);
@@ -134,7 +135,8 @@
         Some(key)
     }
 
-    /// Sets the link between two data centres, both ways.
+    /// Sets the link between two data centres in both directions. A changed link marks the flow at
+    /// both ends as stale in every graph.
     pub fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkFigures) {
         if !self.links.set(one, other, figures) {
             return;
@@ -145,17 +147,17 @@
         }
     }
 
-    /// Key of an engine by its name.
+    /// Returns the key of the engine named `server`.
     pub fn find(&self, server: &ServerName) -> Option<EngineKey> {
         self.by_name.get(server).copied()
     }
 
-    /// An engine by its key.
+    /// Returns the engine with this key.
     pub fn get(&self, key: EngineKey) -> Option<&EngineRecord> {
         self.engines.get(key)
     }
 
-    /// All engines.
+    /// Iterates over all engines.
     pub fn iter(&self) -> impl Iterator<Item = (EngineKey, &EngineRecord)> {
         self.engines.iter()
     }
@@ -165,12 +167,12 @@
         self.engines.len()
     }
 
-    /// Whether there is no engine.
+    /// Whether the table contains no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 
-    /// Graphs of a model with an adapter, by rising version.
+    /// Graphs of a model with an adapter, in ascending order of version.
     pub(crate) fn graphs_of<'a>(
         &'a self,
         model: &'a crate::base::ModelName,
@@ -215,9 +217,9 @@
             return UpsertOutcome::Ignored;
         }
         let restarted = current.incarnation != announcement.incarnation;
-        let mut unnumbered = announcement.clone();
-        unnumbered.sequence = current.sequence;
-        if unnumbered == *current {
+        let mut same_sequence = announcement.clone();
+        same_sequence.sequence = current.sequence;
+        if same_sequence == *current {
             self.replace(key, announcement);
             return UpsertOutcome::Updated;
         }
@@ -238,7 +240,7 @@
         }
     }
 
-    /// A restarted engine has no load and cold caches.
+    /// Resets load and slow start: a restarted engine has no load and cold caches.
     fn restart(&mut self, now: MonotonicTime, key: EngineKey) {
         if let Some(record) = self.engines.get_mut(key) {
             record.joined = now;
--- a/crates/coordination/src/routing/flight.rs
+++ b/crates/coordination/src/routing/flight.rs
@@ -1,4 +1,4 @@
-//! Own requests under way, and the load that each adds to its engines.
+//! Requests of this process in flight, and the load that each adds to its engines.
 
 use slotmap::{SlotMap, new_key_type};
 
@@ -9,25 +9,25 @@
 use crate::base::MonotonicTime;
 
 new_key_type! {
-    /// Key of an own request under way.
+    /// Key of a request in flight.
     pub struct FlightKey;
 }
 
-/// Load that one request still adds to one engine.
+/// Load that one request currently adds to one engine.
 #[derive(Clone, Copy, Debug)]
 struct FlightStage {
     engine: EngineKey,
-    left: LoadDelta,
+    load: LoadDelta,
 }
 
-/// Requests that were started and have not ended.
+/// Requests that have started and not ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlightTable {
     flights: SlotMap<FlightKey, Vec<FlightStage>>,
 }
 
 impl FlightTable {
-    /// Counts a request that is sent over `plan` now.
+    /// Records a request that is sent over `plan`, and adds its load to each engine.
     pub(crate) fn start(
         &mut self,
         now: MonotonicTime,
@@ -36,13 +36,13 @@
     ) -> FlightKey {
         let is_split = !plan.prefill.is_empty();
         let prompt_kv = i64::from(plan.prompt_tokens);
-        let whole_kv = prompt_kv + i64::from(plan.expected_tokens);
+        let total_kv = prompt_kv + i64::from(plan.expected_tokens);
         let decode_prompt = if is_split { 0 } else { plan.prompt_tokens };
         let mut stages = Vec::with_capacity(plan.stages.len() + plan.prefill.len());
         stages.extend(
             plan.stages
                 .iter()
-                .map(|s| stage(fleet, s, decode_prompt, whole_kv)),
+                .map(|s| stage(fleet, s, decode_prompt, total_kv)),
         );
         stages.extend(
             plan.prefill
@@ -50,12 +50,12 @@
                 .map(|s| stage(fleet, s, plan.prompt_tokens, prompt_kv)),
         );
         for stage in &stages {
-            apply(now, fleet, stage.engine, stage.left);
+            apply(now, fleet, stage.engine, stage.load);
         }
         self.flights.insert(stages)
     }
 
-    /// The first token came: the prompt is worked through.
+    /// Removes the prefill load of a request, since the first token ends the prefill.
     pub(crate) fn first_token(
         &mut self,
         now: MonotonicTime,
@@ -64,15 +64,15 @@
     ) {
         for stage in self.flights.get_mut(key).into_iter().flatten() {
             let delta = LoadDelta {
-                prefill: -stage.left.prefill,
+                prefill: -stage.load.prefill,
                 ..LoadDelta::default()
             };
-            stage.left.prefill = 0;
+            stage.load.prefill = 0;
             apply(now, fleet, stage.engine, delta);
         }
     }
 
-    /// The request ended; returns its engines.
+    /// Removes a request with its load, and returns its engines.
     pub(crate) fn end(
         &mut self,
         now: MonotonicTime,
@@ -81,7 +81,7 @@
     ) -> Vec<EngineKey> {
         let stages = self.flights.remove(key).unwrap_or_default();
         for stage in &stages {
-            apply(now, fleet, stage.engine, stage.left.negated());
+            apply(now, fleet, stage.engine, stage.load.negated());
         }
         stages.into_iter().map(|stage| stage.engine).collect()
     }
@@ -92,14 +92,14 @@
 }
 
 fn stage(fleet: &FleetTable, stage: &RouteStage, prompt: u32, kv: i64) -> FlightStage {
-    let fresh = prompt.saturating_sub(stage.cached_tokens);
-    let part = fleet.get(stage.engine).map_or(1.0, |engine| {
+    let prefill_tokens = prompt.saturating_sub(stage.cached_tokens);
+    let layer_share = fleet.get(stage.engine).map_or(1.0, |engine| {
         span_share(engine.announcement.layers, stage.layers.first)
     });
     FlightStage {
         engine: stage.engine,
-        left: LoadDelta {
-            prefill: (f64::from(fresh) * part) as i64,
+        load: LoadDelta {
+            prefill: (f64::from(prefill_tokens) * layer_share) as i64,
             sequences: 1,
             kv,
         },
--- a/crates/coordination/src/routing/health.rs
+++ b/crates/coordination/src/routing/health.rs
@@ -1,11 +1,11 @@
-//! Which stage of a silent chain is at fault.
+//! Finds the failed stage of a silent chain.
 //!
-//! A stage that dies is silent: the first engine of the chain only stops to send events, and says
-//! nothing of the others for seconds. But many streams run over each engine at a time, and an event
-//! of any of them proves every engine of its chain alive. An engine over which nothing was heard is
-//! asked itself; only one that does not answer is suspected. A stream that is merely slow, such as
-//! one whose request was put back for want of memory, is left alone: sent again, it would read its
-//! prompt once more on engines that are short of room already.
+//! A stage that fails is silent: the first engine of the chain stops sending events and reports
+//! nothing about the other engines for seconds. Each engine serves many streams at a time, and an
+//! event of any stream proves that every engine of its chain is alive. An engine without recent
+//! events is probed, and only an engine that does not answer the probe is suspected. A stream that
+//! is only slow, for example because its request was preempted for lack of memory, is not moved: a
+//! retry would repeat its prefill on engines that are short of memory already.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,18 +14,19 @@
 
 use crate::base::{MonotonicTime, ServerName};
 
-/// Doublings of the silence after which an engine is asked again, one for each answer in a row.
-const MOST_DOUBLINGS: u32 = 2;
+/// Maximum number of doublings of the silence timeout before the next probe. Each consecutive
+/// answer adds one doubling.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// When engines are suspected.
+/// Timeouts for suspecting an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct HealthSettings {
-    /// Time for an engine's own answer. Within a region it comes in a few milliseconds, and it needs
-    /// no slot.
+    /// Time within which an engine must answer a probe. Within a region an answer takes a few
+    /// milliseconds and needs no slot.
     pub answer_time: Duration,
-    /// Time for which a suspected engine is left out, unless an event clears it. Above the time in
-    /// which its own heartbeats stop to renew its lease.
+    /// Time for which a suspected engine is excluded, unless an event clears it. It is longer than
+    /// the time after which a failed engine's heartbeats no longer renew its lease.
     pub suspicion: Duration,
 }
 
@@ -40,34 +41,35 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct EngineHealth {
-    /// Streams that run over it.
+    /// Number of streams over this engine.
     streams: u32,
-    /// Last event of any of them, or own answer.
-    heard_at: Option<MonotonicTime>,
-    /// Own answers since the last event.
-    answers: u32,
-    /// When the answer that is waited for must have come.
-    asked_until: Option<MonotonicTime>,
+    /// Time of the last event of any of these streams, or of the last probe answer.
+    last_seen_at: Option<MonotonicTime>,
+    /// Probe answers since the last event.
+    probe_answers: u32,
+    /// Time until which the pending probe blocks another probe of the engine.
+    probe_blocked_until: Option<MonotonicTime>,
     suspected_at: Option<MonotonicTime>,
     suspected_until: Option<MonotonicTime>,
-    /// Whether another host's word has cleared it since this host last heard it.
+    /// Whether another host's answer has cleared the suspicion since this host last saw the engine
+    /// alive.
     is_cleared_by_peer: bool,
-    /// Whether nobody listens at its address any more.
-    gone: bool,
+    /// Whether nothing listens at the engine's address.
+    is_unreachable: bool,
 }
 
-/// What is known of the chain of a silent stream.
+/// Diagnosis of the chain of a silent stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainVerdict {
-    /// Engines at fault; the stream is to go on without them.
+    /// Suspected engines; the stream must continue without them.
     pub suspects: Vec<ServerName>,
-    /// Whether one of them is gone for certain: the chain can send nothing more.
+    /// Whether one of the suspects is unreachable, so that the chain cannot send any more events.
     pub is_dead: bool,
-    /// Engines to ask now whether they are alive; each is named to one asker at a time.
+    /// Engines to probe now. Each engine is assigned to one requester at a time.
     pub probe: Vec<ServerName>,
 }
 
-/// Engines as the streams of one host see them.
+/// Liveness of engines, observed through the streams of one host.
 #[derive(Clone, Debug, Default)]
 pub struct ChainHealth {
     settings: HealthSettings,
@@ -75,7 +77,7 @@
 }
 
 impl ChainHealth {
-    /// A table without streams.
+    /// Creates an empty table with these timeouts.
     pub fn new(settings: HealthSettings) -> Self {
         Self {
             settings,
@@ -83,12 +85,12 @@
         }
     }
 
-    /// Time for an engine's own answer.
+    /// Time within which an engine must answer a probe.
     pub fn answer_time(&self) -> Duration {
         self.settings.answer_time
     }
 
-    /// A stream runs over `chain` from now on.
+    /// Records the start of a stream over `chain`.
     pub fn started<'a, C>(&mut self, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A stream over `chain` ended, however it did.
+    /// Records the end of a stream over `chain`, whether it succeeded or failed.
     pub fn ended<'a, C>(&mut self, now: MonotonicTime, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
@@ -110,8 +112,8 @@
         let suspicion = self.settings.suspicion;
         self.engines.retain(|_, engine| {
             let is_suspected = engine.suspected_until.is_some_and(|until| until > now);
-            // A clearing is remembered for as long as a second suspicion may follow from the same cause;
-            // for good, engines that left long ago would fill the table.
+            // Keeps the record of a cleared suspicion for as long as the same cause can raise a
+            // second one. Without a time limit, engines that left long ago would fill the table.
             let was_cleared = engine.is_cleared_by_peer
                 && engine
                     .suspected_at
@@ -120,49 +122,49 @@
         });
     }
 
-    /// An engine answered a question of this host: it is alive, whoever holds up its streams.
+    /// Records a probe answer: the engine is alive even if its streams are stalled.
     pub fn answered(&mut self, now: MonotonicTime, server: &ServerName) {
-        let answers = self.find(server).answers.saturating_add(1);
+        let probe_answers = self.find(server).probe_answers.saturating_add(1);
         self.mark_alive(now, [server]);
-        self.find(server).answers = answers;
+        self.find(server).probe_answers = probe_answers;
     }
 
-    /// An event came over `chain`: all of it is alive.
+    /// Records an event of a stream over `chain`: all engines of the chain are alive.
     pub fn mark_alive<'a, C>(&mut self, now: MonotonicTime, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
     {
         for server in chain {
             let engine = self.find(server);
-            engine.heard_at = Some(now);
-            engine.answers = 0;
-            engine.asked_until = None;
+            engine.last_seen_at = Some(now);
+            engine.probe_answers = 0;
+            engine.probe_blocked_until = None;
             engine.suspected_until = None;
             engine.is_cleared_by_peer = false;
-            engine.gone = false;
+            engine.is_unreachable = false;
         }
     }
 
-    /// Another host had an answer of an engine at `answered`.
+    /// Records that another host received an answer of the engine at `answered`.
     ///
-    /// Failure: this host is short of processor time, and answers that came in time are read too
-    /// late. Symptom: within seconds such hosts suspected every engine, and found no whole chain of
-    /// engines that were all well. A later answer to another host
-    /// clears a suspicion, but once only until this host hears the engine itself: where the path from
-    /// here is what is broken, the engine stays left out.
+    /// A host that is short of CPU time reads answers too late that arrived in time. Within seconds
+    /// such hosts suspected every engine and found no complete chain, although all engines were
+    /// healthy. A later answer to another host therefore clears a suspicion, but only once until
+    /// this host sees the engine alive itself: if the network path from this host is broken, the
+    /// engine stays excluded.
     pub fn cleared_by_peer(&mut self, server: &ServerName, answered: MonotonicTime) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
         let is_later = engine.suspected_at.is_some_and(|at| answered > at);
-        if !is_later || engine.gone || engine.is_cleared_by_peer {
+        if !is_later || engine.is_unreachable || engine.is_cleared_by_peer {
             return;
         }
         engine.is_cleared_by_peer = true;
         engine.suspected_until = None;
     }
 
-    /// Engines that are left out of new chains.
+    /// Returns the engines to exclude from new chains.
     pub fn suspects(&self, now: MonotonicTime) -> Vec<ServerName> {
         let suspects = self
             .engines
@@ -171,60 +173,61 @@
         suspects.map(|(server, _)| server.clone()).collect()
     }
 
-    /// Nobody listens at the address of an engine that was asked: it is left out from now on.
+    /// Records that nothing listens at the address of a probed engine, and suspects the engine.
     pub fn mark_unreachable(&mut self, now: MonotonicTime, server: &ServerName) {
         self.unanswered(now, server);
-        self.find(server).gone = true;
+        self.find(server).is_unreachable = true;
     }
 
-    /// An engine that was asked did not answer: it is left out of new chains from now on.
+    /// Records that an engine did not answer a probe, and suspects it from `now` on.
     pub fn unanswered(&mut self, now: MonotonicTime, server: &ServerName) {
         let suspicion = self.settings.suspicion;
         let engine = self.find(server);
-        engine.asked_until = None;
+        engine.probe_blocked_until = None;
         engine.suspected_at = Some(now);
         engine.suspected_until = Some(now.after(suspicion));
     }
 
-    /// Judges the chain of a stream that has been silent since `since`; `patience` is the silence
-    /// that needs no explanation.
+    /// Diagnoses the chain of a stream that has been silent since `since`. A silence shorter than
+    /// `silence_timeout` yields an empty verdict.
     pub fn diagnose<'a, C>(
         &mut self,
         now: MonotonicTime,
         since: MonotonicTime,
-        patience: Duration,
+        silence_timeout: Duration,
         chain: C,
     ) -> ChainVerdict
     where
         C: IntoIterator<Item = &'a ServerName>,
     {
         let mut verdict = ChainVerdict::default();
-        if now.since(since) < patience {
+        if now.since(since) < silence_timeout {
             return verdict;
         }
         let answer_time = self.settings.answer_time;
         for server in chain {
             let engine = self.find(server);
             if engine.suspected_until.is_some_and(|until| until > now) {
-                verdict.is_dead |= engine.gone;
+                verdict.is_dead |= engine.is_unreachable;
                 verdict.suspects.push(server.clone());
                 continue;
             }
-            // One engine that is slow holds up all streams over the others too, which answer each time.
-            let patience = patience * (1 << engine.answers.min(MOST_DOUBLINGS));
+            // A slow engine also stalls the streams over the other engines of its chains. These
+            // answer every probe, so each answer doubles the timeout until the next one.
+            let silence_timeout = silence_timeout * (1 << engine.probe_answers.min(MAX_DOUBLINGS));
             let is_quiet = engine
-                .heard_at
-                .is_none_or(|heard| now.since(heard) >= patience);
-            let is_asked = engine.asked_until.is_some_and(|until| until > now);
-            if is_quiet && !is_asked {
-                engine.asked_until = Some(now.after(answer_time * 2));
+                .last_seen_at
+                .is_none_or(|last_seen| now.since(last_seen) >= silence_timeout);
+            let is_probe_pending = engine.probe_blocked_until.is_some_and(|until| until > now);
+            if is_quiet && !is_probe_pending {
+                engine.probe_blocked_until = Some(now.after(answer_time * 2));
                 verdict.probe.push(server.clone());
             }
         }
         verdict
     }
 
-    /// Whether an engine is to be left out of new chains.
+    /// Whether an engine is currently excluded from new chains.
     pub fn is_suspected(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let engine = self.engines.get(server);
         let until = engine.and_then(|engine| engine.suspected_until);
--- a/crates/coordination/src/routing/link.rs
+++ b/crates/coordination/src/routing/link.rs
@@ -1,4 +1,4 @@
-//! Links between data centres, and what it costs to carry activations over them.
+//! Network links between data centres, with their rate and latency.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use super::unit::ByteRate;
 use crate::base::DataCentreName;
 
-/// Number that stands for a data centre's name within one table.
+/// Index of a data centre's name within one table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub(crate) struct DataCentreIndex(pub(crate) u16);
 
 /// Rate and latency of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkFigures {
-    /// Bytes a second, in each direction.
+    /// Rate in bytes per second, in each direction.
     pub rate: ByteRate,
     /// One-way latency.
     pub latency: Duration,
 }
 
-/// Links between data centres; pairs that were never set have the default link.
+/// Links between data centres; pairs without their own setting use the default link.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkTable {
     default: LinkFigures,
-    /// Link within one data centre; only its latency counts, the rate is that of the engines.
+    /// Link within one data centre. Only its latency applies; the rate is limited by the engines.
     local: LinkFigures,
     names: Vec<DataCentreName>,
     links: BTreeMap<(DataCentreIndex, DataCentreIndex), LinkFigures>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Index of a data centre, new if it was not known.
+    /// Returns the index of a data centre, and adds the data centre if it is unknown.
     pub(crate) fn intern(&mut self, name: &DataCentreName) -> DataCentreIndex {
         if let Some(index) = self.find(name) {
             return index;
@@ -54,7 +54,7 @@
         DataCentreIndex(index)
     }
 
-    /// Sets the link between two data centres, both ways; false if it was so before.
+    /// Sets the link between two data centres in both directions; returns false if nothing changed.
     pub(crate) fn set(
         &mut self,
         one: &DataCentreName,
@@ -63,9 +63,9 @@
     ) -> bool {
         let one = self.intern(one);
         let other = self.intern(other);
-        let before = self.links.insert((one, other), figures);
+        let previous = self.links.insert((one, other), figures);
         self.links.insert((other, one), figures);
-        before != Some(figures)
+        previous != Some(figures)
     }
 
     pub(crate) fn get(&self, from: DataCentreIndex, to: DataCentreIndex) -> LinkFigures {
--- a/crates/coordination/src/routing/load.rs
+++ b/crates/coordination/src/routing/load.rs
@@ -1,4 +1,5 @@
-//! Load of one engine: its lagging report plus what this entry has sent and seen end since.
+//! Estimated load of one engine: its last report, which lags, plus the requests that this entry has
+//! started and ended since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,41 +9,43 @@
 use super::unit::TokenCount;
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
-/// Time for which an engine that declined for want of room is taken to be full, unless it tells
-/// otherwise before. A tenth of the time that a request of 200 tokens runs: about as much has ended by
-/// then as one host in ten may send.
-const FULL_TIME: Duration = Duration::from_millis(250);
+/// Time for which an engine counts as full after it declined a request for lack of capacity,
+/// unless a newer report arrives. It is a tenth of the running time of a request of 200 tokens:
+/// about as many requests end in this time as one host in ten may send.
+const FULL_DURATION: Duration = Duration::from_millis(250);
 
-/// Most own events that are kept apart between two reports; older ones are merged.
+/// Maximum number of own events kept individually between two reports; older events are merged.
 const MAX_EVENTS: usize = 512;
 
-/// Load of an engine at one time.
+/// Load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadFigures {
-    /// Prompt tokens that wait or are being worked on.
+    /// Prompt tokens that are queued or in prefill.
     pub prefill: TokenCount,
-    /// Sequences that are generating or waiting to.
+    /// Sequences that are being generated or are queued.
     pub sequences: u32,
     /// KV cache in use, in tokens.
     pub kv: TokenCount,
 }
 
-/// A load report.
+/// A load report of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Engine that it speaks of.
+    /// Engine that the report describes.
     pub server: ServerName,
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Number within that life; a lower one is ignored.
+    /// Number of the report within the incarnation; the tracker ignores numbers that are not higher
+    /// than the last one.
     pub sequence: SequenceNumber,
-    /// When the engine took the figures, on this process's clock: arrival less the stated age.
+    /// When the engine measured its load, on this process's clock: time of arrival minus the stated
+    /// age.
     pub taken: MonotonicTime,
-    /// The figures.
+    /// Measured load.
     pub figures: LoadFigures,
 }
 
-/// Change to an engine's load by one own request.
+/// Change of an engine's load by one request of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LoadDelta {
     pub(crate) prefill: i64,
@@ -66,23 +69,24 @@
     }
 }
 
-/// Reported and own load of one engine.
+/// Reported load of one engine, and the load of this process's own requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTracker {
     reported: LoadFigures,
     report_number: (Incarnation, SequenceNumber),
-    /// Own events after the report was taken, oldest first.
+    /// Own events since the report was measured, oldest first.
     events: VecDeque<(MonotonicTime, LoadDelta)>,
     /// Sum of `events`.
     since: LoadDelta,
     /// Sum of all own requests that have not ended; each field is at least 0.
     own: LoadDelta,
-    /// When it last declined a request for want of room.
+    /// When the engine last declined a request for lack of capacity.
     declined_at: Option<MonotonicTime>,
 }
 
 impl LoadTracker {
-    /// Takes a report; own events up to the time it was taken are contained in it.
+    /// Applies a report and drops own events up to its measurement time, since the report includes
+    /// them. Returns false if the report is not newer than the last one.
     pub(crate) fn report(&mut self, report: &LoadReport) -> bool {
         let number = (report.incarnation, report.sequence);
         if number <= self.report_number {
@@ -101,8 +105,9 @@
         true
     }
 
-    /// The engine's process restarted. Own requests stay counted until each of them ends, or their
-    /// ends would be subtracted from requests that were sent to the new process.
+    /// Resets the tracker after a restart of the engine's process. Own requests stay counted until
+    /// each of them ends; otherwise their ends would be subtracted from requests sent to the new
+    /// process.
     pub(crate) fn restart(&mut self) {
         *self = Self {
             own: self.own,
@@ -110,17 +115,19 @@
         };
     }
 
-    /// The engine declined a request for want of room.
+    /// Records that the engine declined a request for lack of capacity.
     pub(crate) fn decline(&mut self, now: MonotonicTime) {
         self.declined_at = Some(now);
     }
 
-    /// Whether it declined a short while ago, and no later report has come.
+    /// Whether the engine declined a request within `FULL_DURATION` and no newer report has
+    /// arrived.
     pub(crate) fn is_full(&self, now: MonotonicTime) -> bool {
-        self.declined_at.is_some_and(|at| now.since(at) < FULL_TIME)
+        self.declined_at
+            .is_some_and(|at| now.since(at) < FULL_DURATION)
     }
 
-    /// Counts a change by an own request.
+    /// Applies a load change caused by an own request.
     pub(crate) fn apply(&mut self, now: MonotonicTime, delta: LoadDelta) {
         self.own.add(delta);
         self.since.add(delta);
@@ -130,7 +137,8 @@
         }
     }
 
-    /// Load expected now. Own requests are a lower bound, since they are known to be there.
+    /// Estimates the current load. The load of own requests is the lower bound, since these are
+    /// known to be on the engine.
     pub(crate) fn estimate(&self) -> LoadFigures {
         let prefill = add(self.reported.prefill.0, self.since.prefill).max(count(self.own.prefill));
         let sequences = add(u64::from(self.reported.sequences), self.since.sequences)
@@ -143,7 +151,7 @@
         }
     }
 
-    /// Own requests that have not ended.
+    /// Number of own requests that have not ended.
     pub(crate) fn own_sequences(&self) -> u64 {
         count(self.own.sequences)
     }
--- a/crates/coordination/src/routing/outliers.rs
+++ b/crates/coordination/src/routing/outliers.rs
@@ -1,11 +1,11 @@
-//! Outlier ejection of engines, among peers of one graph and layer range.
+//! Outlier ejection of engines among peers with the same graph and layer range.
 
 use super::fleet::{EngineKey, EngineRecord};
 use super::graph::GraphId;
 use crate::base::LayerRange;
 use crate::retries::OutlierTable;
 
-/// Peers of an engine: same model, version and layers.
+/// Class of peer engines: same model, version and layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct PeerClass {
     pub(crate) graph: GraphId,
--- a/crates/coordination/src/routing/remaining.rs
+++ b/crates/coordination/src/routing/remaining.rs
@@ -1,17 +1,18 @@
-//! Mean time that the layers after a boundary take, refreshed each tick from current loads.
+//! Mean time of the layers after each boundary, refreshed each tick from current loads.
 //!
-//! A stage is picked before the stages after it are known. Engines hold different numbers of
-//! layers, so their own times compare only together with what is left to do behind each.
+//! The planner selects a stage before it knows the later stages. Engines hold different numbers of
+//! layers, so their own times are comparable only if each includes the time of the remaining
+//! layers.
 
 use super::fleet::FleetTable;
 use super::graph::{EngineGroup, GroupKey, LayerGraph, RoutePhase};
 use super::settings::RoutingSettings;
 use super::view::{StageTime, engine_time};
 
-/// Members of a group that are looked at.
+/// Number of group members that are sampled.
 const SAMPLES: usize = 4;
 
-/// Refreshes the time ahead of each boundary, from the last one forwards.
+/// Refreshes the remaining time after each boundary, from the last boundary to the first.
 pub(crate) fn refresh_remaining_times(
     fleet: &FleetTable,
     graph: &mut LayerGraph,
@@ -20,9 +21,9 @@
     let layers: Vec<u32> = graph.boundaries.keys().rev().copied().collect();
     for phase in RoutePhase::ALL {
         for layer in &layers {
-            let ahead = find_remaining_time(fleet, graph, settings, phase, *layer);
+            let remaining = find_remaining_time(fleet, graph, settings, phase, *layer);
             if let Some(boundary) = graph.boundaries.get_mut(layer) {
-                boundary.remaining_times.insert(phase, ahead);
+                boundary.remaining_times.insert(phase, remaining);
             }
         }
     }
@@ -64,11 +65,11 @@
 ) -> StageTime {
     let stride = group.members.len().div_ceil(SAMPLES).max(1);
     let members = group.members.iter().step_by(stride);
-    let fresh = f64::from(settings.workload.prompt_tokens);
+    let prefill_tokens = f64::from(settings.workload.prompt_tokens);
     let mut mean = StageTime::default();
     let mut count = 0.0;
     for engine in members.filter_map(|key| fleet.get(*key)) {
-        mean = mean.plus(engine_time(engine, fresh, layer));
+        mean = mean.plus(engine_time(engine, prefill_tokens, layer));
         count += 1.0;
     }
     mean.times(1.0 / f64::max(count, 1.0))
--- a/crates/coordination/src/routing/servers.rs
+++ b/crates/coordination/src/routing/servers.rs
@@ -1,7 +1,7 @@
-//! Choice among the servers of a plain service.
+//! Selects a server of a plain service.
 //!
-//! Each answer tells the load of its server for free. Between two answers the load is known only
-//! from what this process sent itself, so what was told of others' requests fades.
+//! Each response includes the load of its server. Between two responses this process knows only the
+//! requests that it sent itself, so the weight of other hosts' reported requests decays.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,40 +12,43 @@
 use crate::retries::{OutlierSettings, OutlierTable};
 
 new_key_type! {
-    /// Key of a server's load.
+    /// Key of a server's load record.
     struct LoadKey;
 }
 
-/// Time after which nothing is believed any more of others' requests. Calls of plain services take
-/// tens of milliseconds, so a second is many turns of a server's slots.
-const LOAD_MEMORY: Duration = Duration::from_secs(1);
-/// How much busier a server of another data centre may be taken for: enough that an idle server
-/// near is preferred, too little to let one queue beside idle ones elsewhere.
+/// Time in which the weight of other hosts' reported requests decays to zero. Calls of plain
+/// services take tens of milliseconds, so each slot of a server finishes many calls within a
+/// second.
+const REPORT_LIFETIME: Duration = Duration::from_secs(1);
+/// Score added to a server in another data centre. It is high enough that an idle local server is
+/// preferred, and low enough that calls do not queue on a local server while servers elsewhere are
+/// idle.
 const DISTANCE_PENALTY: f64 = 0.1;
-/// How many times slower a server is taken for that has just started.
+/// Factor on the score of a server that has just started and is therefore slow.
 const COLD_FACTOR: f64 = 1.6;
-/// Servers remembered; those not asked for longest are forgotten beyond.
+/// Maximum number of load records; the least recently used server without own requests is evicted
+/// first.
 const MAX_SERVERS: usize = 4_096;
 
-/// A server that could take a call.
+/// A server that can receive a call.
 #[derive(Clone, Debug)]
 pub struct ServerCandidate {
-    /// Its name.
+    /// Name of the server.
     pub server: ServerName,
-    /// Requests that it runs at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it has just started and is slow.
+    /// Whether the server has just started and is slow.
     pub cold: bool,
-    /// Whether it stands in this host's data centre.
+    /// Whether the server is in this host's data centre.
     pub near: bool,
 }
 
-/// Load that a server told.
+/// Load that a server reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
@@ -53,13 +56,13 @@
 struct LoadRecord {
     /// Own requests that have not ended.
     own: u32,
-    /// Requests of others at the last answer.
+    /// Requests of other hosts at the last response.
     others: u32,
-    told_at: MonotonicTime,
+    reported_at: MonotonicTime,
     used_at: MonotonicTime,
 }
 
-/// Loads of servers, as this process knows them.
+/// Loads of servers, estimated from responses and from this process's own requests.
 #[derive(Debug)]
 pub struct ServerLoads {
     loads: SlotMap<LoadKey, LoadRecord>,
@@ -68,7 +71,7 @@
 }
 
 impl ServerLoads {
-    /// A table without servers.
+    /// Creates an empty table that ejects failing servers according to `outlier`.
     pub fn new(outlier: OutlierSettings) -> Self {
         Self {
             loads: SlotMap::with_key(),
@@ -77,8 +80,8 @@
         }
     }
 
-    /// The server to send to: the least loaded that is not ejected, or the least loaded of all where
-    /// every one is.
+    /// Selects the least loaded server that is not ejected. If all servers are ejected, it selects
+    /// the least loaded of them. Returns `None` without candidates.
     pub fn choose<'a>(
         &self,
         now: MonotonicTime,
@@ -94,10 +97,11 @@
         })
     }
 
-    /// Requests for each slot of a server, this one included.
+    /// Requests per slot of a server including the new one, with the factor for a cold server and
+    /// the penalty for another data centre. The lowest score wins.
     fn score(&self, now: MonotonicTime, candidate: &ServerCandidate) -> f64 {
         let record = self.record(&candidate.server);
-        let requests = f64::from(record.own) + others(now, &record) + 1.0;
+        let requests = f64::from(record.own) + remaining_others(now, &record) + 1.0;
         let mut score = requests / f64::from(candidate.slots.max(1));
         if candidate.cold {
             score *= COLD_FACTOR;
@@ -108,35 +112,37 @@
         score
     }
 
-    /// A request goes to `server`.
+    /// Records that a request was sent to `server`.
     pub fn started(&mut self, now: MonotonicTime, server: &ServerName) {
         let record = self.find(server);
         record.own = record.own.saturating_add(1);
         record.used_at = now;
     }
 
-    /// A request to `server` ended.
+    /// Records that a request to `server` ended.
     pub fn ended(&mut self, server: &ServerName) {
         let record = self.find(server);
         record.own = record.own.saturating_sub(1);
     }
 
-    /// `server` told its load in the answer to a request that still counts as its own.
+    /// Records the load that `server` reported in the response to an own request. Call it before
+    /// [`Self::ended`], since the report includes that request.
     pub fn reported(&mut self, now: MonotonicTime, server: &ServerName, load: ReportedLoad) {
         let record = self.find(server);
-        let all = load.running.saturating_add(load.waiting);
-        record.others = all.saturating_sub(record.own);
-        record.told_at = now;
+        let total = load.running.saturating_add(load.waiting);
+        record.others = total.saturating_sub(record.own);
+        record.reported_at = now;
     }
 
-    /// A request to `server` was served.
+    /// Records a successful request to `server`.
     pub fn succeeded(&mut self, server: &ServerName) {
         if let Some(key) = self.by_name.get(server) {
             self.outliers.succeeded(*key);
         }
     }
 
-    /// A request to `server`, one of `peers` of its service, failed by its fault.
+    /// Records a request that failed through the fault of `server`, which is one of `peers` servers
+    /// of its service.
     pub fn failed(&mut self, now: MonotonicTime, server: &ServerName, peers: usize) {
         self.find(server);
         if let Some(key) = self.by_name.get(server) {
@@ -144,7 +150,7 @@
         }
     }
 
-    /// Ends ejections that are over.
+    /// Ends ejections whose time has expired.
     pub fn tick(&mut self, now: MonotonicTime) {
         self.outliers.tick(now);
     }
@@ -171,14 +177,14 @@
 
     fn insert(&mut self, server: &ServerName) -> LoadKey {
         if self.loads.len() >= MAX_SERVERS {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         let key = self.loads.insert(LoadRecord::default());
         self.by_name.insert(server.clone(), key);
         key
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let idle = self.by_name.iter().filter(|(_, key)| {
             let record = self.loads.get(**key);
             record.is_none_or(|record| record.own == 0)
@@ -194,8 +200,8 @@
     }
 }
 
-/// Requests of others that are still believed to be there.
-fn others(now: MonotonicTime, record: &LoadRecord) -> f64 {
-    let age = now.since(record.told_at).as_secs_f64() / LOAD_MEMORY.as_secs_f64();
+/// Requests of other hosts at the last response, with linear decay over `REPORT_LIFETIME`.
+fn remaining_others(now: MonotonicTime, record: &LoadRecord) -> f64 {
+    let age = now.since(record.reported_at).as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
     f64::from(record.others) * (1.0 - age).max(0.0)
 }
--- a/crates/coordination/src/routing/settings.rs
+++ b/crates/coordination/src/routing/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of routing.
+//! Settings of the route planner.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use super::unit::ByteRate;
 use crate::retries::{OutlierSettings, SlowStartSettings};
 
-/// Mean request that the flow bound is worked out for.
+/// Mean request, from which the planner computes the maximum flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct WorkloadMix {
-    /// Tokens of a prompt that must be worked through, cache hits left out.
+    /// Prompt tokens that need prefill, without cache hits.
     pub prompt_tokens: u32,
-    /// Tokens of an answer.
+    /// Generated tokens.
     pub output_tokens: u32,
-    /// Time in which a sequence should come round once through its pipeline.
+    /// Target time for one pass of a sequence through its pipeline.
     pub token_interval: Duration,
 }
 
@@ -31,16 +31,17 @@
     }
 }
 
-/// Where the engines of one chain may lie, for the flow that routes are sampled by.
+/// Which engines may form one chain, for the flow by which routes are sampled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChainScope {
-    /// In any data centres that links join.
+    /// Engines in any data centres that are connected by links.
     #[default]
     AcrossDataCentres,
-    /// In one data centre, where there is a whole chain. The flow is worked out for each data centre by
-    /// itself, and again only for those that changed. Worked out for all at once, every stream of a
-    /// host with a tenth of a core would pause for a quarter of a second.
+    /// Engines in one data centre, if it has a complete chain. The flow is computed for each data
+    /// centre separately, and only again for data centres that changed. On a host with a tenth of a
+    /// core, one computation for all data centres at once would stall every stream for a quarter of
+    /// a second.
     WithinDataCentre,
 }
 
@@ -48,29 +49,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RoutingSettings {
-    /// How an engine is picked among those that may run a stage.
+    /// Policy that selects an engine among those that can run a stage.
     pub policy: PolicyKind,
-    /// Engines that are compared for each stage.
+    /// Number of engines compared for each stage.
     pub candidates: u32,
-    /// Where the engines of one chain may lie.
+    /// Which engines may form one chain.
     pub chain_scope: ChainScope,
-    /// How often the flow over the layer graph is worked out anew, at most.
+    /// Minimum interval between two computations of the flow over the layer graph.
     pub flow_interval: Duration,
-    /// Mean request.
+    /// Mean request, for the computation of the flow.
     pub workload: WorkloadMix,
-    /// Part of each engine's KV cache that stays free for the growth of others' sequences, percent.
+    /// Share of each engine's KV cache that stays free for the growth of other sequences, in
+    /// percent.
     pub kv_headroom_percent: u32,
-    /// Part of each engine's KV cache that only urgent requests may use, percent.
+    /// Share of each engine's KV cache that is reserved for urgent requests, in percent.
     pub urgent_reserve_percent: u32,
-    /// Link between data centres that no setting names.
+    /// Link between two data centres without their own setting.
     pub default_link: LinkFigures,
-    /// One-way latency between engines of one data centre.
+    /// One-way latency between engines in the same data centre.
     pub local_latency: Duration,
-    /// Most cached prefixes that are remembered for one engine.
+    /// Maximum number of cached prefixes tracked per engine.
     pub max_prefixes: u32,
-    /// Ejection of engines that keep failing.
+    /// Ejection of engines that fail repeatedly.
     pub outlier: OutlierSettings,
-    /// Slow start of new and returned engines.
+    /// Slow start of new and rejoined engines.
     pub slow_start: SlowStartSettings,
 }
 
--- a/crates/coordination/src/routing/survey.rs
+++ b/crates/coordination/src/routing/survey.rs
@@ -1,8 +1,9 @@
-//! What one host learned by asking all engines, and tells the others.
+//! Survey results: the state of all engines, probed by one host and shared with the others.
 //!
-//! An entry knows the load that it makes itself; with many entries that is a small part. Keepers share
-//! the engines out, ask each for its state a few times a second and tell all entries, so that they choose
-//! by the same figures and engines are asked once, not once for each entry.
+//! An entry knows only the load that it causes itself, which is a small part of the load if there
+//! are many entries. Keepers divide the engines among themselves, probe each engine a few times per
+//! second and send the results to all entries. Thus all entries use the same data, and each engine
+//! is probed once rather than once per entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,81 +12,84 @@
 
 use crate::base::{Incarnation, MonotonicTime, ServerName};
 
-/// Age beyond which nothing told of an engine is believed: a few surveys.
+/// Maximum age of a valid survey result; a few survey intervals.
 const MAX_AGE: Duration = Duration::from_secs(2);
 
-/// State of an engine, as it told it.
+/// State that an engine reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Request memory in use, in tokens over the layers held.
+    /// KV memory in use, in tokens across the held layers.
     pub kv_tokens: u64,
-    /// How slow it is, in percent of its kind's usual time; 100 is usual.
+    /// Processing time of the engine, in percent of the usual time of its kind; 100 is usual.
     pub slowness: u32,
 }
 
-/// What a survey found of one engine.
+/// Result of a survey for one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SurveyResult {
-    /// The engine.
+    /// Name of the engine.
     pub server: ServerName,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
     /// Its state; `None` if it did not answer.
     pub load: Option<EngineLoad>,
-    /// Time since it answered, or should have.
+    /// Time since the engine answered, or since its answer was due.
     pub age: Duration,
 }
 
-/// A note as it is kept.
+/// The latest survey result of an engine, as stored in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SurveyedEngine {
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
     /// Its state; `None` if it did not answer.
     pub load: Option<EngineLoad>,
-    /// When it answered, or should have.
+    /// When the engine answered, or when its answer was due.
     pub taken: MonotonicTime,
-    /// Notes in a row without an answer.
+    /// Number of consecutive results without an answer.
     pub missed: u32,
 }
 
-/// Notes of the latest surveys.
+/// The latest survey result of each engine.
 #[derive(Clone, Debug, Default)]
 pub struct SurveyTable {
     engines: BTreeMap<ServerName, SurveyedEngine>,
 }
 
 impl SurveyTable {
-    /// Takes notes; one that is older than what is held changes nothing.
-    pub fn merge(&mut self, now: MonotonicTime, notes: Vec<SurveyResult>) {
-        for note in notes {
-            let taken = now.before(note.age);
-            let held = self.engines.get(&note.server);
-            if held.is_some_and(|held| held.taken >= taken) {
+    /// Merges results. A result that is not newer than the stored one is ignored, and results older
+    /// than `MAX_AGE` are removed.
+    pub fn merge(&mut self, now: MonotonicTime, results: Vec<SurveyResult>) {
+        for result in results {
+            let taken = now.before(result.age);
+            let stored = self.engines.get(&result.server);
+            if stored.is_some_and(|stored| stored.taken >= taken) {
                 continue;
             }
-            let missed = match (note.load, held) {
+            let missed = match (result.load, stored) {
                 (Some(_), _) => 0,
-                (None, Some(held)) if held.incarnation == note.incarnation => held.missed + 1,
+                (None, Some(stored)) if stored.incarnation == result.incarnation => {
+                    stored.missed + 1
+                }
                 (None, _) => 1,
             };
             let surveyed = SurveyedEngine {
-                incarnation: note.incarnation,
-                load: note.load,
+                incarnation: result.incarnation,
+                load: result.load,
                 taken,
                 missed,
             };
-            self.engines.insert(note.server, surveyed);
+            self.engines.insert(result.server, surveyed);
         }
         self.engines
             .retain(|_, engine| now.since(engine.taken) < MAX_AGE);
     }
 
-    /// What is known of an engine's life at `now`.
+    /// Returns the result for this incarnation of an engine, if it is still valid at `now`.
     pub fn get(
         &self,
         now: MonotonicTime,
@@ -93,7 +97,7 @@
         incarnation: Incarnation,
     ) -> Option<SurveyedEngine> {
         let engine = self.engines.get(server)?;
-        let is_good = engine.incarnation == incarnation && now.since(engine.taken) < MAX_AGE;
-        is_good.then_some(*engine)
+        let is_valid = engine.incarnation == incarnation && now.since(engine.taken) < MAX_AGE;
+        is_valid.then_some(*engine)
     }
 }
--- a/crates/coordination/src/routing/view.rs
+++ b/crates/coordination/src/routing/view.rs
@@ -1,4 +1,4 @@
-//! What a policy sees when it picks the engine of one stage.
+//! Data that a policy reads to select the engine of one stage.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
 use crate::base::{LayerRange, MonotonicTime};
 use crate::retries::slow_start_share;
 
-/// Tables that all stages of one choice look at.
+/// Tables shared by all stages of one route selection.
 #[derive(Clone, Copy)]
 pub(crate) struct ChoiceContext<'a> {
     pub(crate) now: MonotonicTime,
@@ -25,25 +25,25 @@
     pub(crate) graph_key: GraphKey,
     pub(crate) graph: &'a LayerGraph,
     pub(crate) query: &'a RouteQuery<'a>,
-    /// Data centre in which the whole route must lie.
+    /// Data centre that must contain the entire route.
     pub(crate) within: Option<DataCentreIndex>,
     pub(crate) phase: RoutePhase,
-    /// Whether doubtful engines may be taken, because there is no pipeline without them: those that are
-    /// ejected, and those that declined a short while ago.
+    /// Whether ejected engines, and engines that recently declined a request as full, are eligible.
+    /// Set only if no complete pipeline exists without them.
     pub(crate) with_ejected: bool,
 }
 
-/// Where a walk through the graph has come to.
+/// Position of a walk through the graph.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WalkPoint {
     /// Layer at which the next stage begins.
     pub(crate) layer: u32,
     pub(crate) data_centre: DataCentreIndex,
-    /// Link of the engine before; none before the first stage.
+    /// Link rate of the engine of the previous stage; `None` before the first stage.
     pub(crate) link_rate: Option<ByteRate>,
 }
 
-/// What a stage adds to the time of a request, in seconds.
+/// Time that a stage adds to a request, in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StageTime {
     pub(crate) first_token: f64,
@@ -73,7 +73,10 @@
 }
 
 impl ChoiceContext<'_> {
-    /// Whether an engine may be taken, and if not, why.
+    /// Checks whether an engine is eligible.
+    ///
+    /// # Errors
+    /// Returns the first reason for which the engine is not eligible.
     pub(crate) fn check(&self, key: EngineKey, engine: &EngineRecord) -> Result<(), RejectReason> {
         if !self.phase.fits(engine.announcement.role) {
             return Err(RejectReason::Role);
@@ -87,19 +90,19 @@
         if self.query.excluded.contains(&engine.announcement.server) {
             return Err(RejectReason::Excluded);
         }
-        if !self.with_ejected && self.is_doubtful(key, engine) {
+        if !self.with_ejected && self.is_ejected_or_full(key, engine) {
             return Err(RejectReason::Ejected);
         }
         if !self.query.allowed.permits(engine) {
             return Err(RejectReason::NotPermitted);
         }
-        if !self.has_room(engine) {
+        if !self.has_kv_capacity(engine) {
             return Err(RejectReason::KvFull);
         }
         Ok(())
     }
 
-    /// Time that a stage on `engine` from `point` on adds.
+    /// Predicts the time that a stage on `engine` adds if the stage starts at `point`.
     pub(crate) fn predict(
         &self,
         key: EngineKey,
@@ -109,23 +112,24 @@
         self.predict_with(engine, point, self.cached_tokens(key))
     }
 
-    /// Time that a stage adds when `cached` tokens of the prompt need not be worked through.
+    /// Predicts the time that a stage adds if the engine has `cached` prompt tokens and skips their
+    /// prefill.
     pub(crate) fn predict_with(
         &self,
         engine: &EngineRecord,
         point: &WalkPoint,
         cached: u32,
     ) -> StageTime {
-        let fresh = f64::from(self.phase_prompt_tokens().saturating_sub(cached));
-        let own = engine_time(engine, fresh, point.layer);
+        let prefill_tokens = f64::from(self.phase_prompt_tokens().saturating_sub(cached));
+        let own = engine_time(engine, prefill_tokens, point.layer);
         let (latency, per_token) = self.hop(engine, point);
         StageTime {
-            first_token: own.first_token + latency + fresh * per_token,
-            per_token: self.generates(own.per_token + latency + per_token),
+            first_token: own.first_token + latency + prefill_tokens * per_token,
+            per_token: self.decode_seconds(own.per_token + latency + per_token),
         }
     }
 
-    /// Tokens of the prompt that an engine holds, where this phase works on the prompt.
+    /// Prompt tokens in the engine's prefix cache; 0 in a phase without prefill.
     pub(crate) fn cached_tokens(&self, key: EngineKey) -> u32 {
         if self.query.prefixes.is_empty() || self.phase_prompt_tokens() == 0 {
             return 0;
@@ -133,7 +137,7 @@
         self.prefixes.cached_tokens(key, self.query.prefixes)
     }
 
-    /// Prompt tokens that this phase works through.
+    /// Prompt tokens that this phase processes.
     pub(crate) fn phase_prompt_tokens(&self) -> u32 {
         match self.phase {
             RoutePhase::Combined | RoutePhase::Prefill => self.query.prompt_tokens,
@@ -141,7 +145,8 @@
         }
     }
 
-    /// Seconds of latency, and seconds per token on the wire, from the stage before.
+    /// Latency in seconds, and transfer time per token in seconds, of the hop from the previous
+    /// stage.
     fn hop(&self, engine: &EngineRecord, point: &WalkPoint) -> (f64, f64) {
         let Some(link_rate) = point.link_rate else {
             return (0.0, 0.0);
@@ -154,26 +159,28 @@
         (link.latency.as_secs_f64(), bytes / rate.per_second())
     }
 
-    fn generates(&self, seconds: f64) -> f64 {
+    fn decode_seconds(&self, seconds: f64) -> f64 {
         if self.phase == RoutePhase::Prefill {
             return 0.0;
         }
         seconds
     }
 
-    /// Whether an engine is left out while others can serve.
+    /// Whether an engine is excluded while other engines can serve.
     ///
-    /// Failure: an engine declines a request for want of room while its last report shows some. Symptom:
-    /// each request of this host went there and was declined in turn, up to six times each, until a
-    /// later report came; they used up the retries of the host. The first one that is declined is
-    /// enough to know it. Where no other holds its layers it is asked all the same: room comes within
-    /// milliseconds there, and a request that waits for a quarter of a second is late.
-    fn is_doubtful(&self, key: EngineKey, engine: &EngineRecord) -> bool {
+    /// An engine can decline a request as full while its last report still shows free capacity.
+    /// Without this check every request of this host went to that engine, which declined each one
+    /// up to six times until its next report, and the host used up its retries. A single declined
+    /// request is therefore enough to mark the engine as full. If no other engine holds its layers,
+    /// the engine is still used: capacity is freed there within milliseconds, whereas a request
+    /// that waits for a quarter of a second is late.
+    fn is_ejected_or_full(&self, key: EngineKey, engine: &EngineRecord) -> bool {
         self.outliers.is_ejected(self.now, key) || engine.load.is_full(self.now)
     }
 
-    /// Whether an engine is expected to have room.
-    fn has_room(&self, engine: &EngineRecord) -> bool {
+    /// Whether the engine's estimated free KV memory is sufficient for the request, after the
+    /// reserves.
+    fn has_kv_capacity(&self, engine: &EngineRecord) -> bool {
         let capacity = engine.announcement.kv_capacity.0;
         let mut reserve = self.settings.kv_headroom_percent;
         if self.query.priority == RoutePriority::Normal {
@@ -183,7 +190,7 @@
         engine.load.estimate().kv.0.saturating_add(self.kv_tokens()) <= usable
     }
 
-    /// KV cache that the request takes on each engine, in tokens.
+    /// KV cache that the request occupies on each engine, in tokens.
     pub(crate) fn kv_tokens(&self) -> u64 {
         let expected = match self.phase {
             RoutePhase::Prefill => 0,
@@ -193,36 +200,39 @@
     }
 }
 
-/// Time that `engine` itself takes from `layer` on, for `fresh` prompt tokens and each token.
+/// Time that `engine` itself needs from `layer` on to prefill `prefill_tokens` prompt tokens, and
+/// per generated token.
 ///
-/// Slow start is left out: it says how much of the load an engine gets, not how fast it is. Counted
-/// as speed, it made deadlines look out of reach after a restart of all engines, and requests were
-/// refused that would have ended in a tenth of the predicted time.
-pub(crate) fn engine_time(engine: &EngineRecord, fresh: f64, layer: u32) -> StageTime {
+/// Slow start is not included: it limits the share of the load that an engine receives, not the
+/// speed of the engine. When the prediction included it as a lower speed, deadlines seemed
+/// unreachable after a restart of all engines, and requests were refused that would have finished
+/// in a tenth of the predicted time.
+pub(crate) fn engine_time(engine: &EngineRecord, prefill_tokens: f64, layer: u32) -> StageTime {
     let announced = &engine.announcement;
     let load = engine.load.estimate();
-    let part = span_share(announced.layers, layer);
-    let waiting = load.prefill.as_f64() + fresh * part;
+    let layer_share = span_share(announced.layers, layer);
+    let waiting = load.prefill.as_f64() + prefill_tokens * layer_share;
     let prefill = announced.prefill_rate.seconds_for(waiting);
     let batch = f64::from(load.sequences) + 1.0;
     let step = announced
         .decode_rate
         .seconds_for(batch)
         .max(announced.step_floor.as_secs_f64());
-    let step = step * part;
+    let step = step * layer_share;
     StageTime {
         first_token: prefill + step,
         per_token: step,
     }
 }
 
-/// Part of `layers` that a stage from `first` on runs, above 0 and at most 1.
+/// Fraction of `layers` that a stage starting at `first` runs, above 0 and at most 1.
 pub(crate) fn span_share(layers: LayerRange, first: u32) -> f64 {
     let run = layers.end.saturating_sub(first.max(layers.first));
     f64::from(run) / f64::from(layers.len().max(1))
 }
 
-/// One boundary, as a policy sees it: it samples members and asks whether they may be taken.
+/// One layer boundary of the graph. A policy samples its members and checks whether they are
+/// eligible.
 pub(crate) struct StageView<'a> {
     pub(crate) context: ChoiceContext<'a>,
     pub(crate) boundary: &'a LayerBoundary,
@@ -231,12 +241,12 @@
 }
 
 impl<'a> StageView<'a> {
-    /// Engines that may run a stage here.
+    /// Number of engines that can run a stage that starts at this boundary.
     pub(crate) fn len(&self) -> u32 {
         self.boundary.len()
     }
 
-    /// Engine number `index` of `0..len`.
+    /// Returns the engine at `index` in `0..len`.
     pub(crate) fn member(&self, index: u32) -> Option<EngineKey> {
         let cumulative = &self.boundary.cumulative;
         let position = cumulative.partition_point(|end| *end <= index);
@@ -246,9 +256,10 @@
         group.members.get((index - before) as usize).copied()
     }
 
-    /// Any engine, each as likely.
+    /// Samples an engine with uniform probability.
     ///
-    /// Of a route within one data centre, any group of it: most of the others are of no use.
+    /// For a route within one data centre, it samples a group of that data centre instead, since
+    /// most other engines are not eligible.
     pub(crate) fn sample_uniform(&mut self) -> Option<EngineKey> {
         if self.context.query.within.is_some() {
             let row_key = (self.context.phase, self.point.data_centre);
@@ -265,19 +276,19 @@
         self.member(index)
     }
 
-    /// Any engine, groups as likely as the flow that comes into them from the stage before.
+    /// Samples an engine, with groups weighted by the flow from the previous stage into them.
     pub(crate) fn sample_by_flow(&mut self) -> Option<EngineKey> {
         let row_key = (self.context.phase, self.point.data_centre);
         let Some(row) = self.boundary.rows.get(&row_key) else {
             return self.sample_uniform();
         };
         let total = Some(row.total()).filter(|total| *total > 0.0)?;
-        let mark = self.rng.random_range(0.0..total);
-        let position = row.ends.partition_point(|end| *end <= mark);
+        let threshold = self.rng.random_range(0.0..total);
+        let position = row.ends.partition_point(|end| *end <= threshold);
         self.sample_member(*row.groups.get(position)?)
     }
 
-    /// Any engine of a group, unless the group is gone.
+    /// Samples an engine of a group; `None` if the group no longer exists or is empty.
     fn sample_member(&mut self, group: GroupKey) -> Option<EngineKey> {
         let group = self.context.graph.groups.get(group)?;
         if group.members.is_empty() {
@@ -287,7 +298,8 @@
         group.members.get(index).copied()
     }
 
-    /// Whether an engine may be taken now. An engine in its slow start declines by chance.
+    /// Whether an engine is eligible now. During its slow start an engine is rejected at random, in
+    /// proportion to the share of load that it must not receive yet.
     pub(crate) fn accepts(&mut self, key: EngineKey) -> bool {
         let Some(engine) = self.context.fleet.get(key) else {
             return false;
@@ -300,36 +312,39 @@
         share >= 1.0 || self.rng.random_range(0.0..1.0) < share
     }
 
-    /// Whether an engine could run a stage from here on at all.
+    /// Whether an engine can run a stage that starts here and ends at a boundary of the graph.
     pub(crate) fn holds_layer(&self, key: EngineKey) -> bool {
         let point = self.point.layer;
-        let holds = |engine: &EngineRecord| {
+        let holds_layer_here = |engine: &EngineRecord| {
             let layers = engine.announcement.layers;
             layers.first <= point && point < layers.end
         };
         let graph = &self.context.graph;
         self.context.fleet.get(key).is_some_and(|engine| {
             let end = engine.announcement.layers.end;
-            let leads_on = end == graph.id.layers || graph.boundaries.contains_key(&end);
-            holds(engine) && leads_on && engine.announcement.version == graph.id.version
+            let is_connected = end == graph.id.layers || graph.boundaries.contains_key(&end);
+            holds_layer_here(engine)
+                && is_connected
+                && engine.announcement.version == graph.id.version
         })
     }
 
-    /// Own requests on an engine that have not ended.
+    /// Requests of this process on an engine that have not ended.
     pub(crate) fn outstanding(&self, key: EngineKey) -> u64 {
         let engine = self.context.fleet.get(key);
         engine.map_or(u64::MAX, |engine| engine.load.own_sequences())
     }
 
-    /// Predicted seconds from here to the last token over the engine, with the mean time of the
-    /// layers after it. Without those, engines that hold few layers would always look quick.
+    /// Predicted seconds from here to the last token via this engine, plus the mean time of the
+    /// layers after it. Without those layers, engines that hold few layers would always seem fast.
     pub(crate) fn predicted_finish(&self, key: EngineKey) -> f64 {
         let Some(engine) = self.context.fleet.get(key) else {
             return f64::INFINITY;
         };
         let time = self.context.predict(key, engine, &self.point);
         let end = engine.announcement.layers.end;
-        let ahead = self.context.graph.remaining_time(self.context.phase, end);
-        time.plus(ahead).finish(self.context.query.expected_tokens)
+        let remaining = self.context.graph.remaining_time(self.context.phase, end);
+        time.plus(remaining)
+            .finish(self.context.query.expected_tokens)
     }
 }
--- a/crates/coordination/tests/routing_servers.rs
+++ b/crates/coordination/tests/routing_servers.rs
@@ -1,4 +1,4 @@
-//! Plain servers and surveyed engines: whom to ask, and how long what was told is believed.
+//! Selection of servers of plain services, and the validity of survey results.
 
 use std::time::Duration;
 
@@ -25,13 +25,14 @@
     }
 }
 
-fn chosen(loads: &ServerLoads, now: MonotonicTime, candidates: &[ServerCandidate]) -> String {
+fn choose(loads: &ServerLoads, now: MonotonicTime, candidates: &[ServerCandidate]) -> String {
     let choice = loads.choose(now, candidates);
     choice.map_or_else(|| "none".to_owned(), |choice| choice.server.to_string())
 }
 
-// A permit check waits behind nobody while a server is idle: it stays near, leaves for idle servers
-// elsewhere as soon as the near one has work, and what was told of others' requests fades.
+// Guards against a permit check that queues on one server while another is idle. Calls stay in the
+// local data centre, move to idle servers elsewhere as soon as the local one has work, and the
+// weight of other hosts' reported requests decays.
 #[test]
 fn calls_go_to_the_least_loaded_server() {
     let candidates = [
@@ -40,11 +41,11 @@
         candidate("new", true, true),
     ];
     let mut loads = ServerLoads::new(OutlierSettings::default());
-    let mut lines = vec![format!("idle: {}", chosen(&loads, at(0), &candidates))];
+    let mut lines = vec![format!("idle: {}", choose(&loads, at(0), &candidates))];
     loads.started(at(0), &name("near"));
     lines.push(format!(
         "one runs near: {}",
-        chosen(&loads, at(0), &candidates)
+        choose(&loads, at(0), &candidates)
     ));
     let busy = ReportedLoad {
         running: 4,
@@ -52,33 +53,34 @@
     };
     loads.reported(at(10), &name("far"), busy);
     lines.push(format!(
-        "far told of seven: {}",
-        chosen(&loads, at(10), &candidates)
+        "far reported seven: {}",
+        choose(&loads, at(10), &candidates)
     ));
     lines.push(format!(
         "a second on: {}",
-        chosen(&loads, at(1_010), &candidates)
+        choose(&loads, at(1_010), &candidates)
     ));
     loads.ended(&name("near"));
     lines.push(format!(
         "it ended: {}",
-        chosen(&loads, at(1_010), &candidates)
+        choose(&loads, at(1_010), &candidates)
     ));
-    lines.push(format!("nobody left: {}", chosen(&loads, at(1_010), &[])));
+    lines.push(format!("no candidates: {}", choose(&loads, at(1_010), &[])));
     insta::assert_snapshot!(lines.join("\n"), @"
     idle: near
     one runs near: far
-    far told of seven: new
+    far reported seven: new
     a second on: far
     it ended: near
-    nobody left: none
+    no candidates: none
     ");
 }
 
-// A server that fails every call is left for the others, and comes back after its ejection; where
-// all fail, calls still go somewhere, since a refusal helps nobody.
+// Guards against calls to a server that fails every one of them, and against a refusal when every
+// server is ejected. An ejected server receives calls again after its ejection; if all are ejected,
+// calls are still sent.
 #[test]
-fn a_server_that_fails_is_left_and_tried_again() {
+fn a_failing_server_is_ejected_and_later_used_again() {
     let candidates = [
         candidate("bad", true, false),
         candidate("good", false, false),
@@ -90,14 +92,14 @@
         loads.failed(at(0), &name("bad"), 2);
         loads.ended(&name("bad"));
     }
-    let during = chosen(&loads, at(1), &candidates);
-    let alone = chosen(&loads, at(1), &candidates[..1]);
+    let during = choose(&loads, at(1), &candidates);
+    let alone = choose(&loads, at(1), &candidates[..1]);
     loads.tick(at(600_000));
-    let after = chosen(&loads, at(600_000), &candidates);
+    let after = choose(&loads, at(600_000), &candidates);
     assert_eq!([during, alone, after], ["good", "bad", "bad"]);
 }
 
-fn engine_note(incarnation: u64, running: Option<u32>, age: u64) -> SurveyResult {
+fn survey_result(incarnation: u64, running: Option<u32>, age: u64) -> SurveyResult {
     SurveyResult {
         server: name("e"),
         incarnation: Incarnation(incarnation),
@@ -111,34 +113,35 @@
     }
 }
 
-// Surveys of two keepers meet after a partition, and an engine starts anew under its name: an older
-// note, one of a former life and one that is two seconds old tell nothing of the engine of now.
+// Guards against outdated survey results. After a partition the surveys of two keepers overlap, and
+// an engine restarts under its name. An older result, a result of a previous incarnation, or a
+// result that is two seconds old does not describe the current engine.
 #[test]
-fn only_fresh_notes_of_the_present_life_are_believed() {
-    let mut board = SurveyTable::default();
+fn outdated_survey_results_are_ignored() {
+    let mut table = SurveyTable::default();
     let mut lines = Vec::new();
     let steps = [
-        (1_000, engine_note(1, Some(5), 0)),
-        (1_100, engine_note(1, Some(2), 600)),
-        (1_200, engine_note(1, None, 0)),
-        (1_300, engine_note(2, Some(1), 0)),
+        (1_000, survey_result(1, Some(5), 0)),
+        (1_100, survey_result(1, Some(2), 600)),
+        (1_200, survey_result(1, None, 0)),
+        (1_300, survey_result(2, Some(1), 0)),
     ];
-    for (millis, note) in steps {
-        board.merge(at(millis), vec![note]);
-        let lives = [1, 2].map(|life| {
-            let known = board.get(at(millis), &name("e"), Incarnation(life));
+    for (millis, result) in steps {
+        table.merge(at(millis), vec![result]);
+        let incarnations = [1, 2].map(|incarnation| {
+            let known = table.get(at(millis), &name("e"), Incarnation(incarnation));
             let load = known.map(|known| known.load.map(|load| load.running));
-            format!("life {life}: {load:?}")
+            format!("incarnation {incarnation}: {load:?}")
         });
-        lines.push(format!("{millis} ms, {}", lives.join(", ")));
+        lines.push(format!("{millis} ms, {}", incarnations.join(", ")));
     }
-    let late = board.get(at(3_300), &name("e"), Incarnation(2));
+    let late = table.get(at(3_300), &name("e"), Incarnation(2));
     lines.push(format!("two seconds on: {}", late.is_some()));
     insta::assert_snapshot!(lines.join("\n"), @"
-    1000 ms, life 1: Some(Some(5)), life 2: None
-    1100 ms, life 1: Some(Some(5)), life 2: None
-    1200 ms, life 1: Some(None), life 2: None
-    1300 ms, life 1: None, life 2: Some(Some(1))
+    1000 ms, incarnation 1: Some(Some(5)), incarnation 2: None
+    1100 ms, incarnation 1: Some(Some(5)), incarnation 2: None
+    1200 ms, incarnation 1: Some(None), incarnation 2: None
+    1300 ms, incarnation 1: None, incarnation 2: Some(Some(1))
     two seconds on: false
     ");
 }
--- a/crates/coordination/tests/routing_slow_start.rs
+++ b/crates/coordination/tests/routing_slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start and deadlines.
+//! Slow start in the prediction of deadlines.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use std::time::Duration;
@@ -32,11 +32,11 @@
     }
 }
 
-// The caller is refused with "after the deadline" although its answer would have come in time: all
-// engines have just joined, and their slow start was counted as if they were ten times slower.
-// Slow start is about how much of the load an engine gets, so it may not enter the prediction.
+// Guards against a refusal with "after the deadline" of a request that would have finished in time.
+// All engines have just joined, and the prediction treated them as ten times slower because of slow
+// start. Slow start limits the share of the load of an engine and must not affect the prediction.
 #[test]
-fn a_new_engine_is_not_predicted_to_be_slow() {
+fn slow_start_does_not_affect_the_predicted_finish() {
     let mut planner = FleetPlanner::new(RoutingSettings::default(), 1);
     planner.announce(MonotonicTime::START, engine()).unwrap();
     planner.tick(MonotonicTime::START);
