--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,8 +1,9 @@
-//! Placement: which engine holds which layers of which version.
+//! Placement: assigns layers and versions of models to engines.
 //!
-//! A tick looks at what engines were seen to hold and at what selectors want, and orders loads: first
-//! the fewest that make a pipeline whole again, then those that even out the rate over the layers.
-//! The weight store serves few loads at a time, and only the holder of the placement right orders.
+//! Each tick compares the observed layers of engines with the targets of selectors, and orders
+//! loads: first the fewest loads that complete a pipeline, then loads that balance the rate across
+//! layers. The weight store serves only a few loads at a time, and only the holder of the placement
+//! right gives orders.
 
 mod balance;
 mod coverage;
--- a/crates/coordination/src/placement/coverage.rs
+++ b/crates/coordination/src/placement/coverage.rs
@@ -1,8 +1,8 @@
-//! Rate at which each layer of a model is served, and what is missing for a whole pipeline.
+//! Rate of each layer of a model, and the layers missing for a complete pipeline.
 
 use crate::base::LayerRange;
 
-/// Tokens a second by layer.
+/// Rate in tokens per second, and number of holders, by layer.
 #[derive(Clone, Debug)]
 pub(crate) struct LayerCoverage {
     rates: Vec<f64>,
@@ -10,7 +10,7 @@
 }
 
 impl LayerCoverage {
-    /// Nothing of a model of so many layers.
+    /// Creates a coverage of `layers` layers, all without holders.
     pub(crate) fn new(layers: u32) -> Self {
         let count = layers as usize;
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes an engine away that was added.
+    /// Removes an engine that was added with the same arguments.
     pub(crate) fn remove(&mut self, layers: LayerRange, rate: f64) {
         for layer in self.span(layers) {
             self.rates[layer] -= rate;
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Whether every layer is held, so that a pipeline is whole.
+    /// Whether every layer has a holder, so that a complete pipeline exists.
     pub(crate) fn is_complete(&self) -> bool {
         self.first_missing(0).is_none()
     }
 
-    /// First layer from `from` on that nobody holds.
+    /// First layer at or after `from` without a holder.
     pub(crate) fn first_missing(&self, from: u32) -> Option<u32> {
         let position = self
             .holders
@@ -50,7 +50,8 @@
         u32::try_from(position).ok().map(|offset| from + offset)
     }
 
-    /// Layers from `missing` on that nobody holds, of a model of `layers`.
+    /// Range of consecutive layers without a holder that starts at `missing`, in a model of
+    /// `layers` layers.
     pub(crate) fn find_gap(&self, missing: u32, layers: u32) -> LayerRange {
         let mut end = missing + 1;
         while end < layers && self.first_missing(end) == Some(end) {
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Whether every layer of `layers` is held by more than one.
+    /// Whether every layer of `layers` has more than one holder.
     pub(crate) fn is_redundant(&self, layers: LayerRange) -> bool {
         self.span(layers).all(|layer| self.holders[layer] > 1)
     }
 
-    /// Slowest layer and its rate.
+    /// Returns the slowest layer and its rate.
     pub(crate) fn slowest(&self) -> (u32, f64) {
         let mut slowest = (0, f64::INFINITY);
         for (layer, rate) in (0..).zip(&self.rates) {
@@ -82,7 +83,10 @@
     pub(crate) fn count_slowest(&self) -> usize {
         let (_, rate) = self.slowest();
         let limit = rate * 1.001 + f64::EPSILON;
-        self.rates.iter().filter(|other| **other <= limit).count()
+        self.rates
+            .iter()
+            .filter(|candidate| **candidate <= limit)
+            .count()
     }
 
     fn span(&self, layers: LayerRange) -> std::ops::Range<usize> {
--- a/crates/coordination/src/placement/engine.rs
+++ b/crates/coordination/src/placement/engine.rs
@@ -1,4 +1,4 @@
-//! Engines as placement sees them, and what selectors want placed.
+//! Engines and targets of the placement.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -12,70 +12,70 @@
     pub(crate) struct PlacedKey;
 }
 
-/// A model in one version.
+/// A version of a model.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{model}@{version}")]
 pub struct WeightsId {
-    /// Model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Version.
+    /// Name of the version.
     pub version: VersionName,
 }
 
-/// Weights on an engine.
+/// A range of layers of a model, on an engine.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{weights}[{layers}]")]
 pub struct HeldWeights {
-    /// Which weights.
+    /// Model and version.
     pub weights: WeightsId,
-    /// Which layers of them.
+    /// Range of layers.
     pub layers: LayerRange,
 }
 
-/// What an engine was last seen to be and to hold.
+/// Last observation of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Engine.
+    /// Name of the engine.
     pub server: ServerName,
-    /// Layers that fit in its memory.
+    /// Maximum number of layers that fit in the engine's memory.
     pub max_layers: u32,
-    /// Tokens a second that it would run through a single layer.
+    /// Rate through a single layer, in tokens per second.
     pub layer_rate: u32,
-    /// Its memory, where placement is to weigh request memory.
+    /// Memory of the engine, if the placement considers KV memory.
     pub memory: Option<EngineMemory>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine rejects orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// What it serves now.
+    /// Weights that the engine serves.
     pub held: Option<HeldWeights>,
-    /// What it is loading.
+    /// Weights that the engine is loading.
     pub loading: Option<HeldWeights>,
 }
 
-/// Weights that selectors want served.
+/// Weights that selectors require.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementTarget {
-    /// Which weights.
+    /// Model and version.
     pub weights: WeightsId,
     /// Number of layers of the model.
     pub layers: u32,
     /// Share of the engines relative to other targets; at least 1.
     pub share: u32,
-    /// The usual draft, where engines tell their memory: layers are laid out by the drafts that
-    /// fit, and not by steps a second.
+    /// Typical draft, if engines report their memory. With it, layouts are planned by the number of
+    /// drafts that fit rather than by the step rate.
     pub load: Option<DraftLoad>,
 }
 
 /// An engine in the placement table.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacedEngine {
-    pub(crate) seen: EngineObservation,
-    /// Load ordered by this process and not yet seen; it counts as planned.
+    pub(crate) observation: EngineObservation,
+    /// Load ordered by this process and not yet observed; it counts as planned.
     pub(crate) ordered: Option<PendingLoad>,
-    /// Until when the engine is left out, because a load was not seen in time.
+    /// End of the exclusion that follows a refused load, or a load that was not observed in time.
     pub(crate) excluded_until: Option<MonotonicTime>,
 }
 
-/// A load that was ordered.
+/// A load that was ordered and not yet observed.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingLoad {
     pub(crate) load: HeldWeights,
@@ -83,43 +83,45 @@
 }
 
 impl PlacedEngine {
-    /// What the engine will hold once its loads are done.
+    /// Weights that the engine holds after its pending loads finish.
     pub(crate) fn planned(&self) -> Option<&HeldWeights> {
         let ordered = self.ordered.as_ref().map(|pending| &pending.load);
         ordered
-            .or(self.seen.loading.as_ref())
-            .or(self.seen.held.as_ref())
+            .or(self.observation.loading.as_ref())
+            .or(self.observation.held.as_ref())
     }
 
-    /// Whether the weight store is loading to it, as far as is known.
+    /// Whether a load to the engine is ordered or in progress.
     pub(crate) fn is_loading(&self) -> bool {
-        self.ordered.is_some() || self.seen.loading.is_some()
+        self.ordered.is_some() || self.observation.loading.is_some()
     }
 
-    /// Most layers that leave `tokens` of request memory, where it tells its memory.
+    /// Maximum number of layers that leave `tokens` of KV memory, if the engine reports its memory.
     pub(crate) fn max_layers_beside(&self, tokens: u64) -> u32 {
-        let most = self.seen.max_layers;
+        let max_layers = self.observation.max_layers;
         let by_memory = self
-            .seen
+            .observation
             .memory
             .map(|memory| memory.max_layers_beside(tokens));
-        by_memory.map_or(most, |layers| layers.min(most))
+        by_memory.map_or(max_layers, |layers| layers.min(max_layers))
     }
 
-    /// Whether it may be ordered to load something else now.
+    /// Whether the engine can accept another load order now.
     pub(crate) fn can_be_ordered(&self, now: MonotonicTime) -> bool {
-        let is_left_out = self.excluded_until.is_some_and(|until| until > now);
-        !self.is_loading() && !is_left_out && self.seen.max_layers > 0
+        let is_excluded = self.excluded_until.is_some_and(|until| until > now);
+        !self.is_loading() && !is_excluded && self.observation.max_layers > 0
     }
 
-    /// What the engine adds to each layer of `layers`: drafts a second that would pass if it ran that
-    /// layer alone, where it tells its memory and the usual draft is known; else tokens a second.
+    /// Rate that the engine adds to each layer of `layers`. If the engine reports its memory and
+    /// the typical draft is known, the unit is drafts per second that it would serve if it ran that
+    /// layer alone; otherwise tokens per second.
     ///
-    /// Second copies go where this is lowest. By memory alone they went beside the quickest engines,
-    /// where hardly a draft needed them, and most drafts ran over single copies of the slow layers.
+    /// Second copies are placed where this rate is lowest. When they were placed by memory alone,
+    /// they went to layers of the fastest engines, where few drafts needed them, and most drafts
+    /// depended on single copies of the slow layers.
     pub(crate) fn rate_over(&self, layers: LayerRange, load: Option<DraftLoad>) -> f64 {
-        let layer_rate = f64::from(self.seen.layer_rate);
-        if let (Some(memory), Some(load)) = (self.seen.memory, load) {
+        let layer_rate = f64::from(self.observation.layer_rate);
+        if let (Some(memory), Some(load)) = (self.observation.memory, load) {
             return load.draft_throughput(memory.tokens(layers.len()), 1.0 / layer_rate.max(1.0));
         }
         layer_rate / f64::from(layers.len().max(1))
--- a/crates/coordination/src/placement/extend.rs
+++ b/crates/coordination/src/placement/extend.rs
@@ -1,25 +1,25 @@
-//! Closes a gap by engines beside it, which load the missing layers next to what they hold.
+//! Closes a gap with adjacent engines, which load the missing layers in addition to their own.
 //!
-//! Where every layer is held once, nobody can be spared when an engine dies, and its data centre
-//! stood without a whole chain until the engine came back or a new one was added. The engines on both
-//! sides of the gap have memory: with a few layers more they hold fewer drafts, but the chain is
-//! whole after the time of those few loads. What they hold stays in place meanwhile.
+//! If every layer has a single holder, no engine can be spared when one fails. Its data centre then
+//! had no complete chain until the engine came back or another one was added. The engines on both
+//! sides of the gap have free memory: with a few more layers they hold fewer drafts, but the chain
+//! is complete after these few loads. The layers that they hold remain loaded meanwhile.
 
 use super::coverage::LayerCoverage;
 use super::engine::PlacedKey;
 use super::restore::PlannedLoad;
 use crate::base::LayerRange;
 
-/// An engine that could hold more than it does.
+/// An engine that can hold additional layers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExtendableEngine {
     pub(crate) key: PlacedKey,
     pub(crate) held: LayerRange,
-    /// Layers that it could take on beside what it holds.
+    /// Number of layers that the engine can hold in addition to `held`.
     pub(crate) spare_layers: u32,
 }
 
-/// Loads that close all gaps of `coverage`; `None` if one of them can't be closed so.
+/// Returns the loads that close all gaps of `coverage`; `None` if a gap cannot be closed this way.
 pub(crate) fn find_extensions(
     coverage: &LayerCoverage,
     layers: u32,
@@ -30,19 +30,21 @@
     let mut from = 0;
     while let Some(missing) = coverage.first_missing(from) {
         let gap = coverage.find_gap(missing, layers);
-        let stretched = close_gap(gap, &mut engines)?;
-        loads.extend(stretched);
+        let extensions = close_gap(gap, &mut engines)?;
+        loads.extend(extensions);
         from = gap.end;
     }
     Some(loads)
 }
 
-/// Stretches the roomiest engine before the gap and the roomiest after it, each by its part.
+/// Extends the engine with the most spare layers on each side of the gap, in proportion to their
+/// spare layers.
 fn close_gap(gap: LayerRange, engines: &mut Vec<ExtendableEngine>) -> Option<Vec<PlannedLoad>> {
-    let before = find_roomiest(engines, |held| held.end == gap.first);
-    let after = find_roomiest(engines, |held| held.first == gap.end);
-    let room = |found: Option<ExtendableEngine>| found.map_or(0, |engine| engine.spare_layers);
-    let (left, right) = (room(before), room(after));
+    let before = find_most_spare(engines, |held| held.end == gap.first);
+    let after = find_most_spare(engines, |held| held.first == gap.end);
+    let spare_layers =
+        |found: Option<ExtendableEngine>| found.map_or(0, |engine| engine.spare_layers);
+    let (left, right) = (spare_layers(before), spare_layers(after));
     if left.saturating_add(right) < gap.len() {
         return None;
     }
@@ -59,12 +61,12 @@
     Some(loads)
 }
 
-fn find_roomiest<F>(engines: &[ExtendableEngine], touches: F) -> Option<ExtendableEngine>
+fn find_most_spare<F>(engines: &[ExtendableEngine], touches: F) -> Option<ExtendableEngine>
 where
     F: Fn(LayerRange) -> bool,
 {
-    let beside = engines.iter().filter(|engine| touches(engine.held));
-    beside.max_by_key(|engine| engine.spare_layers).copied()
+    let adjacent = engines.iter().filter(|engine| touches(engine.held));
+    adjacent.max_by_key(|engine| engine.spare_layers).copied()
 }
 
 fn extend(engine: ExtendableEngine, first: u32, end: u32) -> PlannedLoad {
--- a/crates/coordination/src/placement/memory.rs
+++ b/crates/coordination/src/placement/memory.rs
@@ -1,22 +1,24 @@
-//! Layers restored where engines tell their memory: the quickest way to a whole chain with room.
+//! Restores layers of engines that report their memory: the fastest way to a complete chain with
+//! sufficient KV memory.
 
 use super::engine::{PlacedEngine, PlacedKey, PlacementTarget};
 use super::extend::{ExtendableEngine, find_extensions};
 use super::layout::{DraftLoad, LayoutEngine, plan_layout};
 use super::order::{PlacementReport, PlacementWait};
 use super::restore::{PlannedLoad, SpareEngine, find_loads};
-use super::table::{HeldRight, PlacementTable, REFUSED_PAUSE};
+use super::table::{HeldRight, PlacementTable, REFUSAL_BACKOFF};
 use crate::base::{LayerRange, MonotonicTime};
 
-/// Parts of the layout's request memory that engines may be left with when they take over layers of
-/// one that was lost, tried in turn. A chain with a quarter of the room serves; one with a layer missing
-/// does not, and a new layout of all engines cuts what runs on them.
-const REPAIR_PARTS: [u64; 2] = [2, 4];
+/// Divisors of the layout's reserved KV memory for a repair, tried in order. Engines that take over
+/// layers of a lost engine must keep at least the reserved memory divided by this number. A chain
+/// with a quarter of the KV memory serves requests; a chain with a missing layer does not, and a
+/// new layout of all engines aborts their running requests.
+const REPAIR_DIVISORS: [u64; 2] = [2, 4];
 
 impl PlacementTable {
-    /// Orders what makes a target whole again: loads on engines that can be spared; else layers more
-    /// on engines beside the gap; else a new layout of all engines, since a data centre without a
-    /// whole chain has nothing to lose by it.
+    /// Orders the loads that complete a target again: on spare engines; otherwise additional layers
+    /// on engines next to the gap; otherwise a new layout of all engines, since a data centre
+    /// without a complete chain cannot serve in any case.
     pub(super) fn restore_by_memory(
         &mut self,
         now: MonotonicTime,
@@ -26,11 +28,11 @@
         report: &mut PlacementReport,
     ) {
         let planned = self.cover(target, PlacedEngine::planned);
-        let is_empty = planned.slowest().1 <= 0.0 && self.hold_nothing(target);
+        let is_empty = planned.slowest().1 <= 0.0 && self.is_unplaced(target);
         if !is_empty {
-            for part in REPAIR_PARTS {
-                let kept = self.reserved_tokens / part;
-                if let Some(loads) = self.find_repair(now, held, target, kept, report) {
+            for divisor in REPAIR_DIVISORS {
+                let reserved_tokens = self.reserved_tokens / divisor;
+                if let Some(loads) = self.find_repair(now, held, target, reserved_tokens, report) {
                     self.order_loads(now, held, target, &loads, report);
                     return;
                 }
@@ -49,18 +51,18 @@
         self.continue_layout(now, held, report);
     }
 
-    /// Learns how much request memory engines are to keep, where this process has laid nothing out.
+    /// Computes the KV memory that engines must keep, if this process has not planned a layout.
     ///
-    /// Failure: a host takes the right over from the one that laid the engines out, and repairs a loss or
-    /// places a new engine. Symptom: it knew of no memory to keep and gave one engine 38 layers where
-    /// 30 leave it room; its data centre served half of what it did. Worked out from the engines that
-    /// are there, the memory is what a layout made here would keep.
+    /// A host can take over the placement right from the host that planned the layout, and then
+    /// repair a loss or place a new engine. Without a reserve it assigned 38 layers to an engine
+    /// that has sufficient KV memory with at most 30, and its data centre served half as many
+    /// requests. The reserve is therefore derived from a layout of the current engines.
     pub(super) fn infer_reserved_tokens(&mut self, now: MonotonicTime) {
         let target = self.targets.first();
         let Some((target, load)) = target.and_then(|target| Some((target, target.load?))) else {
             return;
         };
-        if self.reserved_tokens > 0 || self.hold_nothing(target) {
+        if self.reserved_tokens > 0 || self.is_unplaced(target) {
             return;
         }
         let engines = self.layout_engines(now, target);
@@ -68,7 +70,8 @@
         self.reserved_tokens = layout.map_or(0, |layout| layout.reserved_tokens);
     }
 
-    /// Orders what is left of a layout, as many loads as the store serves; false if nothing is left.
+    /// Orders the rest of the pending layout, up to the load limit of the weight store; returns
+    /// false if nothing is pending.
     pub(super) fn continue_layout(
         &mut self,
         now: MonotonicTime,
@@ -77,11 +80,11 @@
     ) -> bool {
         let is_lost = |key: &PlacedKey| {
             let engine = self.engines.get(*key);
-            let later = now.after(REFUSED_PAUSE);
+            let later = now.after(REFUSAL_BACKOFF);
             engine.is_none_or(|engine| !engine.is_loading() && !engine.can_be_ordered(later))
         };
         if self.pending_layout.keys().any(is_lost) {
-            // Without it the rest of the layout would leave a gap.
+            // Without this engine the rest of the layout would leave a gap.
             self.pending_layout.clear();
         }
         let Some(target) = self.targets.first().cloned() else {
@@ -101,22 +104,22 @@
         !self.pending_layout.is_empty()
     }
 
-    /// Loads that close all gaps, on engines that can be spared or else beside the gaps, each of which
-    /// keeps `kept` tokens of request memory.
+    /// Returns loads that close all gaps, on spare engines or otherwise on engines next to the
+    /// gaps. Each engine keeps `reserved_tokens` of KV memory.
     fn find_repair(
         &self,
         now: MonotonicTime,
         held: HeldRight,
         target: &PlacementTarget,
-        kept: u64,
+        reserved_tokens: u64,
         report: &mut PlacementReport,
     ) -> Option<Vec<PlannedLoad>> {
         let planned = self.cover(target, PlacedEngine::planned);
-        let spares = self.find_spares_with_memory(now, held, kept, report);
+        let spares = self.find_spares_with_memory(now, held, reserved_tokens, report);
         if let Ok(loads) = find_loads(&planned, target.layers, &spares) {
             return Some(loads);
         }
-        let engines = self.find_extendable(now, target, kept);
+        let engines = self.find_extendable(now, target, reserved_tokens);
         find_extensions(&planned, target.layers, &engines)
     }
 
@@ -133,7 +136,7 @@
         }
     }
 
-    fn hold_nothing(&self, target: &PlacementTarget) -> bool {
+    fn is_unplaced(&self, target: &PlacementTarget) -> bool {
         let mut planned = self.engines.values().filter_map(PlacedEngine::planned);
         planned.all(|held| held.weights != target.weights)
     }
@@ -142,12 +145,15 @@
         &self,
         now: MonotonicTime,
         held: HeldRight,
-        kept: u64,
+        reserved_tokens: u64,
         report: &mut PlacementReport,
     ) -> Vec<SpareEngine> {
         let spares = self.find_spares(now, held, report).into_iter();
         let limited = spares.filter_map(|spare| {
-            let max_layers = self.engines.get(spare.key)?.max_layers_beside(kept);
+            let max_layers = self
+                .engines
+                .get(spare.key)?
+                .max_layers_beside(reserved_tokens);
             Some(SpareEngine {
                 max_layers,
                 ..spare
@@ -160,7 +166,7 @@
         &self,
         now: MonotonicTime,
         target: &PlacementTarget,
-        kept: u64,
+        reserved_tokens: u64,
     ) -> Vec<ExtendableEngine> {
         let engines = self
             .engines
@@ -171,7 +177,9 @@
             Some(ExtendableEngine {
                 key,
                 held,
-                spare_layers: engine.max_layers_beside(kept).saturating_sub(held.len()),
+                spare_layers: engine
+                    .max_layers_beside(reserved_tokens)
+                    .saturating_sub(held.len()),
             })
         });
         engines.collect()
@@ -185,9 +193,9 @@
         let engines = engines.filter_map(|(key, engine): (PlacedKey, &PlacedEngine)| {
             Some(LayoutEngine {
                 key,
-                memory: engine.seen.memory?,
-                max_layers: engine.seen.max_layers,
-                layer_rate: engine.seen.layer_rate,
+                memory: engine.observation.memory?,
+                max_layers: engine.observation.max_layers,
+                layer_rate: engine.observation.layer_rate,
                 held: held_of(engine, target),
             })
         });
--- a/crates/coordination/src/placement/order.rs
+++ b/crates/coordination/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, the right to give them, and why a tick gave none.
+//! Load orders, the placement right, and the reasons why a tick ordered nothing.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,92 +6,94 @@
 use super::engine::{HeldWeights, WeightsId};
 use crate::base::{FencingNumber, MonotonicTime, ServerName};
 
-/// Right to order engines, as the agreement granted it.
+/// Right to give orders to engines, granted by the agreement group.
 ///
-/// Invariant kept by its granter: one holder at a time, each with a higher number than the last.
+/// Invariant, enforced by the agreement group: there is one holder at a time, and each new holder
+/// has a higher fencing number than the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRight {
-    /// Number that orders carry.
+    /// Fencing number of the orders.
     pub fencing: FencingNumber,
-    /// End of the right, on this process's clock, with the drift taken off.
+    /// End of the right on this process's clock, reduced by the maximum clock drift.
     pub until: MonotonicTime,
 }
 
-/// What becomes of requests that run on layers which an order takes away.
+/// Handling of running requests on layers that an order unloads.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum UnloadPolicy {
-    /// They are finished first; the load waits for them.
+    /// The engine finishes them before it starts the load.
     #[default]
     #[display("finish")]
     Finish,
-    /// They are cut, and go on elsewhere.
+    /// The engine aborts them, and they continue on other engines.
     ///
-    /// Failure: many engines of one chain are ordered at once, and each finishes first what runs on it.
-    /// Symptom: a request waits for an engine that takes nothing new, and holds up the next one; a
-    /// data centre that was laid out anew stood still for 15 s, until the deadlines of its requests. It
-    /// had no whole chain in any case, so what is cut could not have gone on there.
+    /// When many engines of one chain are ordered at once and each finishes its requests first, a
+    /// request waits for an engine that accepts no new work, and delays the next engine. A data
+    /// centre with a new layout stalled for 15 s in this way, until the deadlines of its requests.
+    /// It has no complete chain at that time, so the aborted requests could not have continued
+    /// there.
     #[display("cut")]
     Cut,
 }
 
-/// Order to load weights in place of what an engine holds.
+/// Order to load weights in place of those that an engine holds.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{server} loads {load} (fencing {fencing})")]
 pub struct LoadOrder {
-    /// Engine.
+    /// Name of the engine.
     pub server: ServerName,
-    /// Number of the right under which it is given.
+    /// Fencing number of the placement right.
     pub fencing: FencingNumber,
-    /// When the right ends; the sender checks it once more before it writes.
+    /// End of the right; the sender checks it again before it sends the order.
     pub valid_until: MonotonicTime,
-    /// What to load.
+    /// Weights to load.
     pub load: HeldWeights,
-    /// What becomes of requests on layers that are given up for it.
+    /// Handling of requests on layers that the load replaces.
     pub given_up: UnloadPolicy,
 }
 
-/// Why something was not ordered.
+/// Reason why a load was not ordered.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementWait {
-    /// This process does not hold the right.
+    /// This process does not hold the placement right.
     #[display("without the placement right")]
     NoRight,
-    /// Engines still announce themselves.
+    /// Engines may not have announced themselves yet.
     #[display("settling until {until}")]
     Settling {
         /// End of the wait.
         until: MonotonicTime,
     },
-    /// The last holder's orders may still reach engines that ignore fencing numbers.
+    /// Orders of the previous holder may still reach engines that ignore fencing numbers.
     #[display("{server} ignores fencing numbers, waiting until {until}")]
     Unfenced {
-        /// Engine.
+        /// Name of the engine.
         server: ServerName,
         /// End of the wait.
         until: MonotonicTime,
     },
-    /// The weight store serves as many loads as it can.
+    /// The weight store serves the maximum number of loads.
     #[display("weight store busy")]
     StoreBusy,
-    /// No pipeline can be made whole with the engines that can be spared.
+    /// The spare engines cannot complete a pipeline.
     #[display("no engine to spare for {weights} from layer {layer}")]
     Blocked {
-        /// Weights that are wanted.
+        /// Required weights.
         weights: WeightsId,
-        /// First layer for which no engine can be had.
+        /// First layer for which no engine is available.
         layer: u32,
     },
 }
 
-/// What one tick decided.
+/// Result of one tick.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct PlacementReport {
     /// Orders to send now, the most urgent first.
     pub orders: Vec<LoadOrder>,
-    /// Why nothing, or nothing more, was ordered.
+    /// Reasons why nothing, or nothing more, was ordered.
     pub waits: Vec<PlacementWait>,
 }
--- a/crates/coordination/src/placement/restore.rs
+++ b/crates/coordination/src/placement/restore.rs
@@ -1,32 +1,35 @@
-//! The fewest loads that make a pipeline whole.
+//! Finds the fewest loads that complete a pipeline.
 
 use super::coverage::LayerCoverage;
 use super::engine::PlacedKey;
 use crate::base::LayerRange;
 
-/// An engine that can be spared.
+/// An engine that can be moved without loss of a complete pipeline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SpareEngine {
     pub(crate) key: PlacedKey,
     pub(crate) max_layers: u32,
     pub(crate) layer_rate: u32,
-    /// Whether it holds nothing.
+    /// Whether the engine holds no required weights.
     pub(crate) is_free: bool,
 }
 
-/// A load on a spare engine.
+/// A planned load on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PlannedLoad {
     pub(crate) key: PlacedKey,
     pub(crate) layers: LayerRange,
 }
 
-/// Loads that complete `coverage`, or the first layer for which there is no engine left.
+/// Returns the loads that complete `coverage`.
 ///
-/// The walk goes on over layers that are held; where one is missing, the spare engine that holds
-/// most starts there. Being further on is never worse, since whoever holds the layer before and
-/// reaches further also holds this one, so the largest engines first need the fewest loads. A
-/// smaller engine is taken where it closes the gap just as well.
+/// The walk skips layers that have a holder. At each missing layer it starts the spare engine with
+/// the largest capacity. An engine that reaches a later layer is never worse, because it also
+/// covers every layer in between; taking the largest engines first therefore needs the fewest
+/// loads. A smaller engine is used if it also closes the gap.
+///
+/// # Errors
+/// Returns the first layer for which no spare engine is left.
 pub(crate) fn find_loads(
     coverage: &LayerCoverage,
     layers: u32,
@@ -60,7 +63,7 @@
     Ok(loads)
 }
 
-/// Of the engines that close the gap, a free one before one that is in use.
+/// Among the engines that close the gap, prefers a free one over one in use.
 fn prefer_free(spares: &[SpareEngine], first: usize) -> usize {
     let free = spares.iter().skip(first).position(|spare| spare.is_free);
     free.map_or(first, |offset| first + offset)
--- a/crates/coordination/src/placement/settings.rs
+++ b/crates/coordination/src/placement/settings.rs
@@ -4,22 +4,23 @@
 
 use serde::{Deserialize, Serialize};
 
-/// When loads are ordered, and how many at a time.
+/// Timing and limits of load orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct PlacementSettings {
     /// Time after the start in which engines announce themselves and nothing is ordered.
     pub settle: Duration,
-    /// Time after the right was taken over before engines that ignore fencing numbers are ordered.
-    /// Longer than the longest lease of the right, with the drift of clocks.
+    /// Time after this process acquires the right before it gives orders to engines that ignore
+    /// fencing numbers. It must exceed the longest lease of the right plus the clock drift.
     pub unfenced_wait: Duration,
-    /// Loads that the weight store serves at a time.
+    /// Maximum number of concurrent loads from the weight store.
     pub max_loads: u32,
-    /// Time in which a load must be seen; after it the engine is left out for as long again.
+    /// Time in which a load must be observed. After it the engine is excluded for the same time.
     pub load_timeout: Duration,
-    /// Shortest time between two moves that only even out rates.
+    /// Minimum interval between two moves that only balance rates.
     pub balance_interval: Duration,
-    /// Gain of the slowest layer that a move of an engine in use must bring, in percent.
+    /// Minimum increase of the slowest layer's rate for which an engine in use is moved, in
+    /// percent.
     pub min_gain_percent: u32,
 }
 
--- a/crates/coordination/src/placement/spares.rs
+++ b/crates/coordination/src/placement/spares.rs
@@ -1,4 +1,5 @@
-//! Which engines can be spared: those that hold nothing, and those that no whole pipeline needs.
+//! Finds spare engines: those that hold no required weights, and those that no complete pipeline
+//! needs.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,8 @@
 use crate::base::MonotonicTime;
 
 impl PlacementTable {
-    /// Engines that hold nothing, or nothing that a whole pipeline needs, by name.
+    /// Returns engines that hold nothing, or nothing that a complete pipeline needs, ordered by
+    /// name.
     pub(super) fn find_spares(
         &self,
         now: MonotonicTime,
@@ -23,32 +25,33 @@
             let Some(engine) = self.engines.get(*key).filter(|e| e.can_be_ordered(now)) else {
                 continue;
             };
-            if !self.may_spare(engine, &mut coverages) || !self.may_order(now, held, engine, report)
+            if !self.can_spare(engine, &mut coverages)
+                || !self.can_order_safely(now, held, engine, report)
             {
                 continue;
             }
             spares.push(SpareEngine {
                 key: *key,
-                max_layers: engine.seen.max_layers,
-                layer_rate: engine.seen.layer_rate,
-                is_free: self.is_unwanted(engine),
+                max_layers: engine.observation.max_layers,
+                layer_rate: engine.observation.layer_rate,
+                is_free: self.is_free(engine),
             });
         }
         spares
     }
 
-    /// Whether a model is served no worse than by one whole pipeline without the engine. Each engine
-    /// that is found to be spare is taken out of the count, so that two that stand in for each other
-    /// are not both taken.
+    /// Whether a complete pipeline of the model remains without the engine. Each spare engine is
+    /// removed from the coverage, so that two engines that replace each other are not both moved.
     ///
-    /// During a roll-out the old version keeps a whole pipeline until one of the new version was
-    /// seen: planned loads may fail, and then neither version could serve a request.
-    fn may_spare(
+    /// During a rollout the old version keeps a complete pipeline until a complete pipeline of the
+    /// new version is observed: planned loads can fail, and then neither version could serve a
+    /// request.
+    fn can_spare(
         &self,
         engine: &PlacedEngine,
         coverages: &mut BTreeMap<WeightsId, LayerCoverage>,
     ) -> bool {
-        let Some(held) = &engine.seen.held else {
+        let Some(held) = &engine.observation.held else {
             return true;
         };
         let is_target = self
@@ -64,7 +67,7 @@
                 if e.is_loading() {
                     None
                 } else {
-                    e.seen.held.clone()
+                    e.observation.held.clone()
                 }
             };
             let mut coverage = LayerCoverage::new(layers);
@@ -78,7 +81,7 @@
         if coverage.is_complete() && !coverage.is_redundant(held.layers) {
             return false;
         }
-        // Without a whole pipeline there is none to break, but what the target wants stays.
+        // Without a complete pipeline there is none to break, but layers of a target stay.
         if !coverage.is_complete() && is_target && !coverage.is_redundant(held.layers) {
             return false;
         }
@@ -86,15 +89,16 @@
         true
     }
 
-    /// Whether the engine holds nothing, or only what is not wanted any more.
-    fn is_unwanted(&self, engine: &PlacedEngine) -> bool {
-        engine.seen.held.as_ref().is_none_or(|held| {
+    /// Whether the engine holds nothing, or only weights that are no longer required.
+    fn is_free(&self, engine: &PlacedEngine) -> bool {
+        engine.observation.held.as_ref().is_none_or(|held| {
             let is_target = self.targets.iter().any(|t| t.weights == held.weights);
             !is_target && self.is_replaced(&held.weights)
         })
     }
 
-    /// Whether another version of the model, one that is wanted, was seen to be whole.
+    /// Whether a complete pipeline of a target version of the model is observed, or no target
+    /// requires the model.
     fn is_replaced(&self, weights: &WeightsId) -> bool {
         let others = self
             .targets
@@ -105,12 +109,12 @@
             return true;
         }
         others.any(|target| {
-            self.cover(target, |engine| engine.seen.held.as_ref())
+            self.cover(target, |engine| engine.observation.held.as_ref())
                 .is_complete()
         })
     }
 
-    /// Layers of a model: what a target says, or what is held.
+    /// Number of layers of a model, from its target or otherwise from the held ranges.
     fn count_layers(&self, weights: &WeightsId) -> u32 {
         let target = self
             .targets
@@ -119,15 +123,16 @@
         let held = self
             .engines
             .values()
-            .filter_map(|engine| engine.seen.held.as_ref());
+            .filter_map(|engine| engine.observation.held.as_ref());
         let own = held.filter(|held| held.weights == *weights);
-        let most = own.map(|held| held.layers.end).max().unwrap_or(0);
-        target.map_or(most, |target| target.layers)
+        let held_layers = own.map(|held| held.layers.end).max().unwrap_or(0);
+        target.map_or(held_layers, |target| target.layers)
     }
 
-    /// Engines that check fencing numbers refuse the last holder's orders by themselves. The others
-    /// would take them, as late as its right lasted; after a wait longer than that none can come.
-    fn may_order(
+    /// Whether an order to the engine is safe. Engines that check fencing numbers reject orders of
+    /// the previous holder. The others accept them until its right expires, so this process waits
+    /// for longer than that first.
+    fn can_order_safely(
         &self,
         now: MonotonicTime,
         held: HeldRight,
@@ -135,10 +140,10 @@
         report: &mut PlacementReport,
     ) -> bool {
         let until = held.since.after(self.settings.unfenced_wait);
-        if engine.seen.checks_fencing || now >= until {
+        if engine.observation.checks_fencing || now >= until {
             return true;
         }
-        let server = engine.seen.server.clone();
+        let server = engine.observation.server.clone();
         let wait = PlacementWait::Unfenced { server, until };
         if !report.waits.contains(&wait) {
             report.waits.push(wait);
--- a/crates/coordination/src/placement/table.rs
+++ b/crates/coordination/src/placement/table.rs
@@ -1,4 +1,4 @@
-//! The placement table: observations and targets in, orders out.
+//! The placement table: turns observations and targets into load orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use super::settings::PlacementSettings;
 use crate::base::{FencingNumber, LayerRange, MonotonicTime, ServerName};
 
-/// Engines in use that are weighed for one move.
-const MAX_MOVES: usize = 32;
+/// Maximum number of engines in use that are considered for one move.
+const MAX_MOVE_CANDIDATES: usize = 32;
 
-/// Time for which an engine that refused an order is left alone: it is busy with another one, which
-/// takes about as long.
-pub(super) const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+/// Time for which an engine that refused an order receives no other one: it is busy with another
+/// load, which takes about as long.
+pub(super) const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A right in force, and since when.
+/// The current placement right, and when this process acquired it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldRight {
     pub(super) right: PlacementRight,
     pub(super) since: MonotonicTime,
 }
 
-/// Engines, what selectors want on them, and what was ordered.
+/// Engines, targets of selectors, and pending orders.
 ///
-/// Invariants: an engine has at most one load under way that this process ordered; no order takes
-/// an engine away from the last whole pipeline of a model.
+/// Invariants: an engine has at most one pending load that this process ordered; no order removes
+/// an engine from the last complete pipeline of a model.
 #[derive(Clone, Debug)]
 pub struct PlacementTable {
     pub(super) settings: PlacementSettings,
@@ -42,15 +42,15 @@
     pub(super) engines: SlotMap<PlacedKey, PlacedEngine>,
     pub(super) by_name: BTreeMap<ServerName, PlacedKey>,
     pub(super) targets: Vec<PlacementTarget>,
-    balanced: Option<MonotonicTime>,
-    /// Ranges of a layout that are still to be ordered.
+    balanced_at: Option<MonotonicTime>,
+    /// Ranges of a layout that are not yet ordered.
     pub(super) pending_layout: BTreeMap<PlacedKey, LayerRange>,
-    /// Request memory that the last layout leaves each engine, in tokens.
+    /// KV memory that the last layout leaves on each engine, in tokens.
     pub(super) reserved_tokens: u64,
 }
 
 impl PlacementTable {
-    /// A table that begins to see engines at `started`.
+    /// Creates an empty table; engines announce themselves from `started` on.
     pub fn new(settings: PlacementSettings, started: MonotonicTime) -> Self {
         Self {
             settings,
@@ -59,18 +59,18 @@
             engines: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             targets: Vec::new(),
-            balanced: None,
+            balanced_at: None,
             pending_layout: BTreeMap::new(),
             reserved_tokens: 0,
         }
     }
 
-    /// Sets what selectors want, the most important first.
+    /// Sets the targets of selectors, the most important first.
     pub fn set_targets(&mut self, targets: Vec<PlacementTarget>) {
         self.targets = targets;
     }
 
-    /// Takes or renews the right. A number lower than the one held changes nothing.
+    /// Acquires or renews the right; ignores a lower fencing number than the current one.
     pub fn grant(&mut self, now: MonotonicTime, right: PlacementRight) {
         let held = self
             .right
@@ -79,7 +79,7 @@
             return;
         }
         let since = match self.right {
-            // Renewed in time, no one else can have had the right meanwhile.
+            // With a renewal in time, no other process can have held the right in between.
             Some(held) if held.right.fencing == right.fencing && held.right.until >= now => {
                 held.since
             }
@@ -88,41 +88,42 @@
         self.right = Some(HeldRight { right, since });
     }
 
-    /// Takes what an engine was seen to hold. A load counts as done only when it is seen here.
-    pub fn observe(&mut self, seen: EngineObservation) {
+    /// Records an observation of an engine. An ordered load is done only once it is observed here.
+    pub fn observe(&mut self, observation: EngineObservation) {
         let Some(engine) = self
             .by_name
-            .get(&seen.server)
+            .get(&observation.server)
             .and_then(|key| self.engines.get_mut(*key))
         else {
-            self.insert(seen);
+            self.insert(observation);
             return;
         };
         let ordered = engine.ordered.as_ref().map(|pending| &pending.load);
-        if ordered.is_some() && ordered == seen.held.as_ref() {
+        if ordered.is_some() && ordered == observation.held.as_ref() {
             engine.ordered = None;
             engine.excluded_until = None;
         }
-        engine.seen = seen;
+        engine.observation = observation;
     }
 
-    /// An engine is gone, with what it held and was loading.
+    /// Removes an engine with its held and pending weights.
     pub fn remove(&mut self, server: &ServerName) {
         if let Some(key) = self.by_name.remove(server) {
             self.engines.remove(key);
         }
     }
 
-    /// An engine refused an order: it loads nothing, and is ordered again after a short while.
+    /// Records that an engine refused an order: its pending load is dropped, and the engine is
+    /// excluded for `REFUSAL_BACKOFF`.
     pub fn refused(&mut self, now: MonotonicTime, server: &ServerName) {
         let key = self.by_name.get(server);
         if let Some(engine) = key.and_then(|key| self.engines.get_mut(*key)) {
             engine.ordered = None;
-            engine.excluded_until = Some(now.after(REFUSED_PAUSE));
+            engine.excluded_until = Some(now.after(REFUSAL_BACKOFF));
         }
     }
 
-    /// Decides what to order now.
+    /// Decides which loads to order now.
     pub fn tick(&mut self, now: MonotonicTime) -> PlacementReport {
         let mut report = PlacementReport::default();
         self.expire_loads(now);
@@ -146,19 +147,19 @@
         report
     }
 
-    fn insert(&mut self, seen: EngineObservation) {
-        let server = seen.server.clone();
+    fn insert(&mut self, observation: EngineObservation) {
+        let server = observation.server.clone();
         let key = self.engines.insert(PlacedEngine {
-            seen,
+            observation,
             ordered: None,
             excluded_until: None,
         });
         self.by_name.insert(server, key);
     }
 
-    /// Loads not seen in time free the store; their engines are left out for a while. One that
-    /// ignores fencing numbers may still begin the load later, so what it holds is only believed
-    /// when it is seen, and until then it is not counted for any pipeline.
+    /// Expires loads that were not observed in time. This frees their slots of the weight store and
+    /// excludes their engines for a while. An engine that ignores fencing numbers may still start
+    /// the load later, so it counts for a pipeline only once its weights are observed.
     fn expire_loads(&mut self, now: MonotonicTime) {
         let timeout = self.settings.load_timeout;
         for engine in self.engines.values_mut() {
@@ -170,7 +171,8 @@
         }
     }
 
-    /// Orders the fewest loads that make each target whole; true if all are whole as planned.
+    /// Orders the fewest loads that complete each target; returns true if all targets are complete
+    /// as planned.
     fn restore(
         &mut self,
         now: MonotonicTime,
@@ -204,9 +206,9 @@
         is_complete
     }
 
-    /// Orders one load that raises the slowest layer of the target that is served least.
+    /// Orders one load that raises the slowest layer of the target with the lowest rate per share.
     fn balance(&mut self, now: MonotonicTime, held: HeldRight, report: &mut PlacementReport) {
-        let Some(target) = self.find_neediest() else {
+        let Some(target) = self.find_least_served() else {
             return;
         };
         let coverage = self.cover(&target, PlacedEngine::planned);
@@ -222,8 +224,8 @@
             load: target.load,
         };
         let choice = match free {
-            Some(spare) => self.weigh_free(search, spare.key),
-            None if may_move => self.weigh_moves(search, &target, &spares),
+            Some(spare) => self.place_free_engine(search, spare.key),
+            None if may_move => self.find_best_move(search, &target, &spares),
             None => None,
         };
         if let Some((key, layers)) = choice {
@@ -231,17 +233,20 @@
         }
     }
 
-    /// Moves of engines in use cost loads and caches; they keep an interval.
+    /// Whether the interval since the last move has passed. A move of an engine in use costs a load
+    /// and its caches, so moves keep a minimum interval.
     fn may_move(&mut self, now: MonotonicTime) -> bool {
         let interval = self.settings.balance_interval;
-        let is_due = self.balanced.is_none_or(|last| now.since(last) >= interval);
+        let is_due = self
+            .balanced_at
+            .is_none_or(|last| now.since(last) >= interval);
         if is_due {
-            self.balanced = Some(now);
+            self.balanced_at = Some(now);
         }
         is_due
     }
 
-    fn weigh_free(
+    fn place_free_engine(
         &self,
         search: RangeSearch<'_>,
         key: PlacedKey,
@@ -250,17 +255,18 @@
         Some((key, choice.layers))
     }
 
-    /// Best move of an engine in use, if it raises the slowest layer by the least gain or more.
-    fn weigh_moves(
+    /// Returns the best move of an engine in use, if it raises the slowest layer by at least the
+    /// minimum gain.
+    fn find_best_move(
         &self,
         search: RangeSearch<'_>,
         target: &PlacementTarget,
         spares: &[SpareEngine],
     ) -> Option<(PlacedKey, LayerRange)> {
         let gain = 1.0 + f64::from(self.settings.min_gain_percent) / 100.0;
-        let wanted = search.coverage.slowest().1 * gain;
+        let required_rate = search.coverage.slowest().1 * gain;
         let mut best = None;
-        for spare in spares.iter().take(MAX_MOVES) {
+        for spare in spares.iter().take(MAX_MOVE_CANDIDATES) {
             let engine = self.engines.get(spare.key)?;
             let mut without = search.coverage.clone();
             if let Some(held) = engine
@@ -277,19 +283,21 @@
                 continue;
             };
             let is_better = best.is_none_or(|(_, other)| choice.is_better_than(&other));
-            if choice.slowest >= wanted && is_better {
+            if choice.slowest >= required_rate && is_better {
                 best = Some((spare.key, choice));
             }
         }
         best.map(|(key, choice)| (key, choice.layers))
     }
 
-    fn find_neediest(&self) -> Option<PlacementTarget> {
-        let need = |target: &PlacementTarget| {
+    fn find_least_served(&self) -> Option<PlacementTarget> {
+        let rate_per_share = |target: &PlacementTarget| {
             let (_, rate) = self.cover(target, PlacedEngine::planned).slowest();
             rate / f64::from(target.share.max(1))
         };
-        let compare = |a: &&PlacementTarget, b: &&PlacementTarget| need(a).total_cmp(&need(b));
+        let compare = |a: &&PlacementTarget, b: &&PlacementTarget| {
+            rate_per_share(a).total_cmp(&rate_per_share(b))
+        };
         self.targets.iter().min_by(compare).cloned()
     }
 
@@ -303,7 +311,7 @@
         cuts.into_iter().collect()
     }
 
-    /// Coverage of a target by what `select` says of each engine.
+    /// Coverage of a target by the weights that `select` returns for each engine.
     pub(super) fn cover<F>(&self, target: &PlacementTarget, select: F) -> LayerCoverage
     where
         F: Fn(&PlacedEngine) -> Option<&HeldWeights>,
@@ -354,7 +362,7 @@
             UnloadPolicy::Finish
         };
         report.orders.push(LoadOrder {
-            server: engine.seen.server.clone(),
+            server: engine.observation.server.clone(),
             fencing: held.right.fencing,
             valid_until: held.right.until,
             load,
--- a/crates/coordination/tests/placement_failures.rs
+++ b/crates/coordination/tests/placement_failures.rs
@@ -1,4 +1,5 @@
-//! Placement: restoring, rolling out, fencing and balance, in tables and under random losses.
+//! Placement after failures: restoration, rollout, fencing and balance, with fixed cases and random
+//! losses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -58,7 +59,7 @@
     }
 }
 
-/// A table past its settling time that holds the right for a long time.
+/// A table that has passed its settling time and holds the right for a long time.
 fn table(settings: PlacementSettings, version: &str) -> PlacementTable {
     let mut table = PlacementTable::new(settings, at(0));
     table.grant(at(0), right(5, 1_000_000));
@@ -76,7 +77,7 @@
     all.join("; ")
 }
 
-/// What an engine shows while it loads, and when it is done.
+/// Applies the orders at once: each engine holds the ordered layers, and the table observes it.
 fn apply(table: &mut PlacementTable, fleet: &mut [EngineObservation], report: &PlacementReport) {
     for order in &report.orders {
         for engine in fleet
@@ -89,9 +90,10 @@
     }
 }
 
-// Callers get a whole pipeline back after the fewest loads. `b` is lost beside each set of spares.
-// One large engine beats two small ones, a free one beats one in use, and the smallest that closes
-// the gap is taken. Where nothing can be spared the tick says so and breaks nothing else.
+// Guards against a pipeline that stays incomplete, or needs more loads than necessary, after a
+// loss. `b` is lost with various spare engines present. One large engine is preferred over two
+// small ones, a free one over one in use, and the smallest one that closes the gap is used. Without
+// a spare engine, the tick reports that and orders nothing.
 #[test]
 fn a_lost_engine_is_replaced_with_the_fewest_loads() {
     let cases = [
@@ -136,31 +138,31 @@
     ");
 }
 
-// Nobody's engines are loaded anew after a full restart, nor by one who lost the right.
-// The table starts knowing nothing; engines that hold everything announce themselves within 20 s.
-// Without the settling time the tick at 10 s would order loads over engines that are fine.
+// Guards against loads on healthy engines after a full restart, and against orders without the
+// right. The table starts without observations, and engines that hold all layers announce
+// themselves within 20 s. Without the settling time the tick at 10 s would order loads to them.
 #[test]
 fn nothing_is_ordered_before_settling_or_without_the_right() {
     let mut table = PlacementTable::new(PlacementSettings::default(), at(0));
     table.set_targets(vec![target("v1")]);
     let mut lines = Vec::new();
-    let mut note = |name: &str, report| lines.push(format!("{name}: {}", describe(&report)));
-    note("no right", table.tick(at(5)));
+    let mut record = |name: &str, report| lines.push(format!("{name}: {}", describe(&report)));
+    record("no right", table.tick(at(5)));
     table.grant(at(5), right(3, 60));
     table.observe(engine("free", 32, None));
-    note("10 s", table.tick(at(10)));
+    record("10 s", table.tick(at(10)));
     table.observe(engine("a", 16, held("v1", 0, 16)));
     table.observe(engine("b", 16, held("v1", 16, 32)));
-    note("at 29 s", table.tick(at(29)));
+    record("at 29 s", table.tick(at(29)));
     table.remove(&ServerName::from("free"));
-    note("all there", table.tick(at(30)));
+    record("all there", table.tick(at(30)));
     table.remove(&ServerName::from("b"));
     table.observe(engine("c", 16, None));
-    note("right ended", table.tick(at(60)));
+    record("right ended", table.tick(at(60)));
     table.grant(at(61), right(2, 900));
-    note("older number", table.tick(at(61)));
+    record("older number", table.tick(at(61)));
     table.grant(at(62), right(4, 900));
-    note("granted again", table.tick(at(62)));
+    record("granted again", table.tick(at(62)));
     insta::assert_snapshot!(lines.join("\n"), @r"
     no right: without the placement right
     10 s: settling until 30000000us
@@ -172,11 +174,12 @@
     ");
 }
 
-// An engine that ignores fencing numbers never gets orders from two holders at a time.
-// The right is taken over at 100 s; the old holder's orders may still come for its lease. `u` is
-// ordered only after the longer wait; renewals do not start it anew, a lapsed right does.
+// Guards against an engine that ignores fencing numbers and gets orders from two holders at a time.
+// The right changes hands at 100 s, and orders of the previous holder can arrive until its lease
+// expires. `u` is ordered only after the longer wait; a renewal does not restart the wait, a lapsed
+// right does.
 #[test]
-fn engines_that_ignore_fencing_wait_out_the_old_holder() {
+fn engines_without_fencing_are_ordered_after_the_previous_right_expires() {
     let mut table = PlacementTable::new(PlacementSettings::default(), at(0));
     table.set_targets(vec![target("v1")]);
     let mut unfenced = engine("u", 32, None);
@@ -203,11 +206,11 @@
     ");
 }
 
-// No load is ordered twice, and one that does not show is given up in time.
-// `s1` takes the order and shows nothing; 300 s later `s2` is ordered, and `s1` left out, though it
-// may still begin to load. What it then holds counts as soon as it is seen.
+// Guards against a load that is ordered twice, or blocks its target when it never starts. `s1`
+// accepts the order and shows no progress. 300 s later `s2` is ordered and `s1` is excluded,
+// although it may still start the load. Its layers count as soon as they are observed.
 #[test]
-fn a_load_counts_when_it_is_seen() {
+fn a_load_counts_once_it_is_observed() {
     let mut table = table(PlacementSettings::default(), "v1");
     table.observe(engine("s1", 32, None));
     let mut lines = Vec::new();
@@ -236,11 +239,12 @@
     ");
 }
 
-// Callers have a whole pipeline at every step of a roll-out, in one version or the other.
-// Two pairs of engines go from v1 to v2, two loads at a time. One pair is spared first; the other
-// keeps v1 until v2 was seen whole. With one pair only, the roll-out is blocked and says so.
+// Guards against a rollout that leaves neither version with a complete pipeline. Two pairs of
+// engines change from v1 to v2, with two loads at a time. One pair is spare first; the other keeps
+// v1 until a complete v2 is observed. With only one pair the rollout is blocked and the tick
+// reports it.
 #[test]
-fn a_roll_out_keeps_a_whole_pipeline() {
+fn a_rollout_keeps_a_complete_pipeline() {
     let mut table = table(PlacementSettings::default(), "v2");
     let mut fleet: Vec<EngineObservation> = Vec::new();
     for name in ["a", "c"] {
@@ -255,7 +259,7 @@
         let report = table.tick(at(now));
         lines.push(format!("{now} s: {}", describe(&report)));
         apply(&mut table, &mut fleet, &report);
-        assert!(is_whole(&fleet, "v1") || is_whole(&fleet, "v2"));
+        assert!(is_complete(&fleet, "v1") || is_complete(&fleet, "v2"));
     }
     for name in ["c", "c2"] {
         table.remove(&ServerName::from(name));
@@ -271,10 +275,11 @@
     ");
 }
 
-// Throughput follows the slowest layers: a free engine goes where it raises them most, an engine in
-// use moves only for a gain of a fifth or more, and not again within the interval.
+// Guards against low throughput, which the slowest layers limit, and against frequent moves. A free
+// engine is placed where it raises these layers most. An engine in use moves only for a gain of a
+// fifth or more, and not again within the interval.
 #[test]
-fn the_slowest_layers_are_raised() {
+fn engines_move_to_the_slowest_layers() {
     let mut table = table(PlacementSettings::default(), "v1");
     let mut fleet = vec![
         engine("a", 16, held("v1", 0, 16)),
@@ -301,7 +306,7 @@
     ");
 }
 
-fn is_whole(fleet: &[EngineObservation], version: &str) -> bool {
+fn is_complete(fleet: &[EngineObservation], version: &str) -> bool {
     let held = fleet.iter().filter_map(|engine| engine.held.as_ref());
     let ranges: Vec<LayerRange> = held
         .filter(|h| h.weights == weights(version))
@@ -313,9 +318,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    // Callers never lose a pipeline to an order: a model that was whole before a tick is whole
-    // though every ordered engine drops what it held at once. Engines of random sizes hold random
-    // ranges of two versions; some are lost between ticks, loads end after a tick or two.
+    // Guards against an order that breaks the last pipeline. A model that was complete before a
+    // tick stays complete even if every ordered engine drops its layers at once. Engines of random
+    // sizes hold random ranges of two versions; some are lost between ticks, and loads finish after
+    // one or two ticks.
     #[test]
     fn no_order_breaks_the_last_pipeline(
         engines in prop::collection::vec((4_u32..33, 0_u32..32, 0_u8..3), 1..14),
@@ -352,14 +358,14 @@
             let after: Vec<EngineObservation> = fleet.values().cloned().collect();
             let loading = after.iter().filter(|engine| engine.loading.is_some()).count();
             assert!(loading <= 2, "{loading} loads");
-            let was_whole = is_whole(&before, "v1") || is_whole(&before, "v2");
-            assert!(!was_whole || is_whole(&after, "v1") || is_whole(&after, "v2"));
+            let was_complete = is_complete(&before, "v1") || is_complete(&before, "v2");
+            assert!(!was_complete || is_complete(&after, "v1") || is_complete(&after, "v2"));
             after.into_iter().for_each(|engine| table.observe(engine));
         }
         let layers: u32 = fleet.values().map(|engine| engine.max_layers).sum();
         if fleet.values().all(|engine| engine.held.is_none() || is_v2(engine)) && layers >= 4 * LAYERS {
             let all: Vec<EngineObservation> = fleet.into_values().collect();
-            assert!(is_whole(&all, "v2"));
+            assert!(is_complete(&all, "v2"));
         }
     }
 }
--- a/crates/coordination/tests/placement_layout.rs
+++ b/crates/coordination/tests/placement_layout.rs
@@ -1,5 +1,5 @@
-//! Layers laid out by request memory: from nothing, and after losses. The engines and drafts are made
-//! up, with round figures from which tokens can be worked out by hand.
+//! Layouts planned by KV memory: from scratch and after losses. Engines and drafts are synthetic,
+//! with round numbers that allow token counts to be computed by hand.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,8 +21,8 @@
     MonotonicTime::from_millis(millis)
 }
 
-/// An engine of `memory` megabytes. A layer takes one, and a token ten bytes in each layer: an engine of
-/// ten that holds five layers has room for 100,000 tokens.
+/// An engine with `memory` megabytes. A layer takes one megabyte, and a token ten bytes per layer:
+/// an engine of ten megabytes that holds five layers has KV memory for 100,000 tokens.
 fn engine(name: &str, memory: u64, layer_rate: u32) -> EngineObservation {
     let memory = EngineMemory {
         total: memory * 1_000_000,
@@ -47,7 +47,7 @@
         .collect()
 }
 
-/// One data centre whose engines take every load in 300 ms.
+/// One data centre whose engines finish every load in 300 ms.
 struct Centre {
     table: PlacementTable,
     engines: Vec<EngineObservation>,
@@ -93,7 +93,7 @@
         centre
     }
 
-    /// Ticks until nothing is ordered any more; the time that it took, in milliseconds.
+    /// Ticks until two ticks in a row order nothing; returns the elapsed time in milliseconds.
     fn settle(&mut self) -> u64 {
         let from = self.now;
         for engine in &self.engines {
@@ -106,7 +106,7 @@
         self.now - from
     }
 
-    /// One tick, whose orders are carried out; whether there were any.
+    /// Runs one tick and applies its orders; returns whether there were any.
     fn step(&mut self) -> bool {
         self.now += 300;
         let report = self.table.tick(at(self.now));
@@ -122,7 +122,8 @@
         has_orders
     }
 
-    /// Another host takes over: it knows what engines hold, and nothing of how it came about.
+    /// Hands the placement right to another host, which knows the layers that engines hold but not
+    /// the layout behind them.
     fn hand_over(&mut self) {
         self.table = Self::table();
     }
@@ -145,8 +146,8 @@
         format!("narrowest {narrowest}, mean {mean}, fewest holders {fewest}, loads {loads}")
     }
 
-    /// Request memory of the narrowest and of the mean layer, in thousands of tokens, and the fewest
-    /// holders of a layer.
+    /// KV memory of the narrowest layer and of the mean layer in thousands of tokens, and the
+    /// lowest number of holders of a layer.
     fn tokens(&self) -> (u64, u64, u32) {
         let mut tokens = vec![0; LAYERS as usize];
         let mut holders = vec![0; LAYERS as usize];
@@ -164,12 +165,12 @@
     }
 }
 
-// Callers of a fleet that holds some layers three times are declined at those that few hold: laid
-// out by step rates, the narrowest layer had a third of the mean's request memory, and engines
-// beside it stood idle. From nothing, the narrowest must have half of the mean or more, whatever
-// the mix of kinds and however many engines there are.
+// Guards against a layer with little KV memory, at which requests are declined while adjacent
+// engines are idle. In a layout by step rates the narrowest layer had a third of the mean KV
+// memory. In a layout from scratch it must have half of the mean or more, for any mix of kinds and
+// number of engines.
 #[test]
-fn no_layer_is_a_waist() {
+fn no_layer_has_far_less_kv_memory_than_the_mean() {
     let mixed = |scale: u32| {
         let mut engines = kind("large", scale, 40, 400);
         engines.extend(kind("quick", 6 * scale, 8, 190));
@@ -189,7 +190,10 @@
     for (name, engines) in cases {
         let centre = Centre::new(engines);
         let (narrowest, mean, _) = centre.tokens();
-        assert!(narrowest * 2 >= mean, "{name} has a waist");
+        assert!(
+            narrowest * 2 >= mean,
+            "{name}: narrowest {narrowest}, mean {mean}"
+        );
         lines.push(format!("{name}: {}", centre.describe()));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -203,12 +207,13 @@
     ");
 }
 
-// Every layer is held once, and one engine dies. Nobody can be spared, so its data centre had no
-// whole chain until the engine came back, and each caller was sent away or to a far one. Engines
-// beside the gap take its layers over; where the gap is too wide for them, all are laid out anew.
-// After it, each layer must be held, and an engine that comes back must find a place.
+// Guards against a data centre without a complete chain after a loss. Each layer has one holder, so
+// no engine can be spared; the data centre had no complete chain until the engine came back, and
+// its callers were refused or sent to a remote data centre. Engines next to the gap load its
+// layers; if the gap is too wide for them, all engines get a new layout. Afterwards each layer must
+// be held, and an engine that comes back must get layers.
 #[test]
-fn a_lost_engine_is_made_up_for_by_those_that_are_left() {
+fn remaining_engines_take_over_the_layers_of_a_lost_engine() {
     let mut engines = kind("large", 1, 40, 400);
     engines.extend(kind("quick", 7, 8, 190));
     let mut lines = Vec::new();
@@ -238,11 +243,11 @@
     ");
 }
 
-// Engines of one data centre die one after the other, each while the layout that makes up for the last
-// is being loaded. No layout may be waited for that a dead engine was part of: what is left is laid
-// out anew, and every layer is held in the end.
+// Guards against a layout that waits for a lost engine. Engines of one data centre fail one after
+// the other, each while the layout that replaces the previous one is loading. The remaining engines
+// get a new layout, and every layer is held in the end.
 #[test]
-fn engines_that_die_one_after_the_other_are_made_up_for() {
+fn layers_are_restored_after_successive_losses() {
     let mut centre = Centre::new(kind("only", 12, 10, 100));
     for lost in ["only0", "only5", "only6", "only7", "only11"] {
         centre.lose(lost);
@@ -252,12 +257,12 @@
     insta::assert_snapshot!(centre.describe(), @"narrowest 42, mean 56, fewest holders 1, loads 15");
 }
 
-// Drafts of a data centre stand still until their deadlines. A large engine dies, and all others are
-// laid out anew: each would finish first what runs on it, which waits for the next one. Orders of a new
-// layout cut it. An engine that refuses its order, being busy, is ordered again after a second, and the
-// layout is not given up for it.
+// Guards against drafts that stall until their deadlines after a large engine fails and all others
+// get a new layout: each engine would finish its running requests first, which wait for the next
+// engine. Orders of a new layout abort them. An engine that is busy and refuses its order gets it
+// again after a second, and the layout stays pending.
 #[test]
-fn a_new_layout_cuts_the_work_on_layers_that_are_given_up() {
+fn a_new_layout_aborts_requests_on_replaced_layers() {
     let mut engines = kind("large", 1, 40, 400);
     engines.extend(kind("quick", 7, 8, 190));
     let mut lines = Vec::new();
@@ -282,8 +287,8 @@
             centre.table.refused(at(centre.now), &order.server);
         }
         for wait in [900, 1_000] {
-            let again = centre.table.tick(at(centre.now + wait)).orders.len();
-            lines.push(format!("  refused, {wait} ms later: {again} orders"));
+            let order_count = centre.table.tick(at(centre.now + wait)).orders.len();
+            lines.push(format!("  refused, {wait} ms later: {order_count} orders"));
         }
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -294,17 +299,17 @@
     ");
 }
 
-// A data centre serves half of what it did after the host that orders engines was replaced. The next one
-// repairs a loss and places an engine that comes: it must leave each as much request memory as the one
-// before would have, though it laid nothing out itself.
+// Guards against a data centre that serves half as many requests after the placement right moves to
+// another host. The new holder repairs a loss and places a new engine. It must leave each engine as
+// much KV memory as the previous holder would have, although it did not plan the layout.
 #[test]
-fn the_next_host_keeps_as_much_memory_as_the_one_before() {
+fn a_new_holder_reserves_as_much_kv_memory() {
     let mut engines = kind("large", 1, 40, 400);
     engines.extend(kind("quick", 7, 8, 190));
     let mut lines = Vec::new();
-    for is_next in [false, true] {
+    for is_new_holder in [false, true] {
         let mut centre = Centre::new(engines.clone());
-        if is_next {
+        if is_new_holder {
             centre.hand_over();
         }
         centre.lose("quick3");
