--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -1,9 +1,9 @@
-//! Routing: which pipeline of engines runs a request.
+//! Routing: selects the pipeline of engines that runs a request.
 //!
-//! A pipeline covers the layers of a model once, in order, in one version. Engines announce which
-//! range of layers they hold; [`FleetPlanner`] keeps them in tables, works out the maximum flow
-//! over the layer graph each tick, and picks the engine of each stage from a few samples, so the
-//! cost of a decision does not grow with the fleet.
+//! A pipeline runs every layer of one model version exactly once, in order. Each engine announces
+//! the range of layers that it holds. [`FleetPlanner`] stores these announcements, computes the
+//! maximum flow over the layer graph each tick, and picks the engine of each stage from a few
+//! samples, so that the cost of a decision does not grow with the fleet.
 
 mod bound;
 mod capacity;
--- a/crates/coordination/src/routing/bound.rs
+++ b/crates/coordination/src/routing/bound.rs
@@ -1,8 +1,9 @@
-//! Flow over a layer graph: the throughput that the hardware allows, and the weights that reach it.
+//! Maximum flow over a layer graph: the throughput bound, and the flow weights that achieve it.
 //!
-//! Each group is an edge with its capacity; at every boundary and data centre stand two hubs, one
-//! that collects what ends there and one that hands out what begins there, joined by the links
-//! between data centres. The network thus grows with groups and data centres, not with engines.
+//! Each group is an edge with the capacity of the group. Every pair of boundary and data centre has
+//! two hub nodes: stages that end there lead to the outgoing hub, and stages that begin there start
+//! from the incoming hub. Edges with the capacity of the links between data centres connect the
+//! hubs of a boundary. The network therefore grows with groups and data centres, not with engines.
 
 use std::collections::BTreeMap;
 
@@ -17,25 +18,27 @@
 use super::settings::{ChainScope, RoutingSettings, WorkloadMix};
 use crate::base::LayerRange;
 
-/// Where a request comes from before its first stage; every data centre is as near.
+/// Placeholder for the data centre before the first stage; it is equally close to all others.
 pub(crate) const ENTRY: DataCentreIndex = DataCentreIndex(u16::MAX);
 
-/// Steps of the search for the lowest load at which the whole flow still passes.
+/// Bisection steps of the search for the lowest load factor that still carries the total flow.
 const BALANCE_STEPS: u32 = 8;
 
-/// Cuts that are fixed one after the other while the load is evened out.
+/// Limit on the number of cuts that load balancing fixes, one per round.
 const BALANCE_ROUNDS: u32 = 16;
 
-/// Steps of the search for the compute bound; 40 halvings leave less than a thousandth of a token.
+/// Bisection steps of the search for the compute bound; 40 halvings leave an error of less than a
+/// thousandth of a token per second.
 const BISECTION_STEPS: u32 = 40;
 
-/// Throughput that a graph's engines allow for the mean request, in generated tokens a second.
+/// Upper bounds on the throughput of a graph for the mean request, in generated tokens per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct FlowBound {
-    /// Largest flow with compute, KV cache and links; engines that are cut count as uncut.
+    /// Maximum flow limited by compute, KV cache and links. An engine counts with the capacity for its
+    /// whole range even where a stage runs only a part of it.
     pub flow: f64,
-    /// What compute alone allows if every engine could share each of its layers freely. No routing
-    /// can exceed it.
+    /// Limit by compute alone if every engine divides its compute freely between its layers. No route
+    /// choice can exceed it.
     pub compute: f64,
 }
 
@@ -44,15 +47,16 @@
     network: FlowNetwork,
     source: NodeIndex,
     sink: NodeIndex,
-    /// Edge that carries a group's whole flow.
+    /// Edge that carries the total flow of a group.
     groups: BTreeMap<GroupKey, EdgeIndex>,
-    /// Edge from a boundary's hub into a group.
+    /// Edge from the incoming hub of a boundary into a group.
     entries: BTreeMap<(u32, GroupKey), EdgeIndex>,
-    /// Edge between the hubs of a boundary, by data centre before and after.
+    /// Edge between the hubs of a boundary, by layer, source and target data centre.
     hops: BTreeMap<(u32, DataCentreIndex, DataCentreIndex), EdgeIndex>,
 }
 
-/// Works out the flow weights of a graph's boundaries, where they changed.
+/// Recomputes the flow weights of all boundaries, or only those of the changed data centres if
+/// pipelines stay within one data centre.
 pub(crate) fn refresh_flow(fleet: &FleetTable, graph: &mut LayerGraph, settings: &RoutingSettings) {
     let mix = &settings.workload;
     match settings.chain_scope {
@@ -75,7 +79,7 @@
     graph.stale.clear();
 }
 
-/// Forgets what was worked out for one data centre.
+/// Removes the flow weights of one data centre.
 fn clear_centre(graph: &mut LayerGraph, centre: DataCentreIndex) {
     let groups = &graph.groups;
     let is_other = |key: GroupKey| {
@@ -88,7 +92,7 @@
     }
 }
 
-/// Flow of whole pipelines, within one data centre or over all; writes the weights that reach it.
+/// Writes the flow weights of all pipelines, or of those within `only`, and returns their total flow.
 fn refresh_scope(
     fleet: &FleetTable,
     graph: &mut LayerGraph,
@@ -109,21 +113,21 @@
     flow
 }
 
-/// The bound of a graph. With split roles it is that of the whole pipelines or of the pairs of
-/// prefill and decode pipelines, whichever is higher.
+/// Computes the bounds of a graph. With split roles, the flow bound is the higher one of combined
+/// pipelines and of pairs of prefill and decode pipelines.
 pub(crate) fn find_bound(fleet: &FleetTable, graph: &LayerGraph, mix: &WorkloadMix) -> FlowBound {
     let flow_of = |phase| {
         let mut built = build_network(fleet, graph, phase, mix, None);
         built.network.max_flow(built.source, built.sink) as f64 / MILLI
     };
-    let whole = flow_of(RoutePhase::Combined);
+    let combined = flow_of(RoutePhase::Combined);
     let split = if graph.has_split_roles {
         flow_of(RoutePhase::Prefill).min(flow_of(RoutePhase::Decode))
     } else {
         0.0
     };
     FlowBound {
-        flow: whole.max(split),
+        flow: combined.max(split),
         compute: find_compute_bound(fleet, graph, mix),
     }
 }
@@ -158,23 +162,23 @@
     let entry = only.unwrap_or(ENTRY);
     add_hops(&mut built, fleet, graph, mix, entry, &hubs_in, &hubs_out);
     for (key, group) in &graph.groups {
-        let is_left_out = only.is_some_and(|centre| centre != group.shape.data_centre);
-        if is_left_out || !phase.fits(group.shape.role) {
+        let is_excluded = only.is_some_and(|centre| centre != group.shape.data_centre);
+        if is_excluded || !phase.fits(group.shape.role) {
             continue;
         }
-        let entry = built.network.add_node();
+        let group_node = built.network.add_node();
         let centre = group.shape.data_centre;
         let end = hubs_out.get(&(group.shape.layers.end, centre)).copied();
         let exit = end.unwrap_or(sink);
         if end.is_none() && group.shape.layers.end != graph.id.layers {
             continue;
         }
-        let edge = built.network.add_edge(entry, exit, group.capacity);
+        let edge = built.network.add_edge(group_node, exit, group.capacity);
         built.groups.insert(key, edge);
         for (layer, boundary) in &graph.boundaries {
             let hub = hubs_in.get(&(*layer, centre)).copied();
             if let Some(hub) = hub.filter(|_| boundary.groups.contains(&key)) {
-                let edge = built.network.add_edge(hub, entry, UNBOUNDED);
+                let edge = built.network.add_edge(hub, group_node, UNBOUNDED);
                 built.entries.insert((*layer, key), edge);
             }
         }
@@ -230,18 +234,19 @@
     centres
 }
 
-/// An edge whose load is evened out, with its full capacity.
+/// An edge whose load is balanced, with its full capacity.
 #[derive(Clone, Copy, Debug)]
 struct ScaledEdge {
     edge: EdgeIndex,
     capacity: u64,
 }
 
-/// Evens out the load: lowers the capacities of groups and links as far as the whole flow passes.
+/// Balances the load: lowers the capacities of groups and links as far as the total flow permits.
 ///
-/// A maximum flow fills some groups to the brim and leaves others empty wherever there is more
-/// capacity than the narrowest cut needs; requests would queue beside idle engines. So the highest
-/// load is made as low as it can be, what is narrowest at it is fixed there, and the rest goes on.
+/// Where the capacity exceeds the minimum cut, a maximum flow saturates some groups and leaves
+/// others idle, so requests would queue while other engines have nothing to do. Each round therefore
+/// finds the lowest load factor that carries the total flow, fixes the edges of the minimum cut at
+/// that factor, and continues with the remaining edges.
 fn balance(built: &mut GraphNetwork, graph: &LayerGraph, total: u64) {
     let mut active: Vec<ScaledEdge> = find_scaled_edges(built, graph);
     for _ in 0..BALANCE_ROUNDS {
@@ -249,10 +254,10 @@
             break;
         }
         let (low, high) = find_load(built, &active, total);
-        scale(built, &active, low);
+        scale_capacities(built, &active, low);
         built.network.max_flow(built.source, built.sink);
         let cut = built.network.min_cut(built.source);
-        scale(built, &active, high);
+        scale_capacities(built, &active, high);
         active.retain(|scaled| !cut.contains(&scaled.edge));
         if cut.is_empty() {
             break;
@@ -278,24 +283,25 @@
         .collect()
 }
 
-/// Load at which the whole flow does not pass, and one a little higher at which it does.
+/// Returns a load factor that is too low for the total flow, and a slightly higher one that is
+/// sufficient.
 fn find_load(built: &mut GraphNetwork, active: &[ScaledEdge], total: u64) -> (f64, f64) {
     let (mut low, mut high) = (0.0, 1.0);
     for _ in 0..BALANCE_STEPS {
-        let middle = f64::midpoint(low, high);
-        scale(built, active, middle);
+        let factor = f64::midpoint(low, high);
+        scale_capacities(built, active, factor);
         if built.network.max_flow(built.source, built.sink) >= total {
-            high = middle;
+            high = factor;
         } else {
-            low = middle;
+            low = factor;
         }
     }
     (low, high)
 }
 
-fn scale(built: &mut GraphNetwork, active: &[ScaledEdge], share: f64) {
+fn scale_capacities(built: &mut GraphNetwork, active: &[ScaledEdge], factor: f64) {
     for scaled in active {
-        let capacity = (scaled.capacity as f64 * share).ceil() as u64;
+        let capacity = (scaled.capacity as f64 * factor).ceil() as u64;
         built.network.set_capacity(scaled.edge, capacity);
     }
 }
@@ -310,31 +316,32 @@
             continue;
         }
         let weight = |key: &GroupKey| find_weight(built, groups.get(*key), *layer, *from, *key);
-        let own = boundary
+        let usable_groups = boundary
             .groups
             .iter()
             .filter(|key| built.groups.contains_key(*key));
         let row = FlowRow {
-            groups: own.clone().copied().collect(),
-            ends: sum_up(own.map(weight)),
+            groups: usable_groups.clone().copied().collect(),
+            ends: cumulative_sums(usable_groups.map(weight)),
         };
         boundary.rows.insert((phase, *from), row);
     }
     for (layer, boundary) in &mut graph.boundaries {
         let entry = |key| built.entries.get(&(*layer, key));
-        let own = boundary
+        let usable_groups = boundary
             .groups
             .iter()
             .filter(|key| built.groups.contains_key(*key));
         let flow = |key: &GroupKey| entry(*key).map_or(0, |edge| built.network.flow(*edge)) as f64;
-        let flows = own.map(|key| ((phase, *key), flow(key)));
+        let flows = usable_groups.map(|key| ((phase, *key), flow(key)));
         let flows: Vec<((RoutePhase, GroupKey), f64)> = flows.collect();
         boundary.flows.extend(flows);
         drop_empty_rows(boundary);
     }
 }
 
-/// Flow from data centre `from` into a group: the hop's flow, by the group's part of its hub.
+/// Returns the flow from data centre `from` into a group: the flow from `from` into the group's hub,
+/// multiplied by the group's share of the hub's total flow.
 fn find_weight(
     built: &GraphNetwork,
     group: Option<&EngineGroup>,
@@ -347,20 +354,20 @@
         return 0.0;
     };
     let to = group.shape.data_centre;
-    let into_hub: f64 = built
+    let hub_inflow: f64 = built
         .hops
         .iter()
         .filter(|((at, _, target), _)| *at == layer && *target == to)
         .map(|(_, edge)| flow(Some(edge)))
         .sum();
-    if into_hub <= 0.0 {
+    if hub_inflow <= 0.0 {
         return 0.0;
     }
     let hop = flow(built.hops.get(&(layer, from, to)));
-    hop * flow(built.entries.get(&(layer, key))) / into_hub
+    hop * flow(built.entries.get(&(layer, key))) / hub_inflow
 }
 
-fn sum_up<I>(weights: I) -> Vec<f64>
+fn cumulative_sums<I>(weights: I) -> Vec<f64>
 where
     I: Iterator<Item = f64>,
 {
@@ -372,24 +379,27 @@
         .collect()
 }
 
-/// A row without flow says nothing; without it the pick falls back to the number of members.
+/// Removes rows without flow, so that sampling by flow falls back to uniform sampling of members.
 fn drop_empty_rows(boundary: &mut LayerBoundary) {
     boundary.rows.retain(|_, row| row.total() > 0.0);
 }
 
-/// Largest rate at which all layers can be run, when each engine spreads its compute freely over
-/// its layers: by bisection on a flow from engines to the segments between range ends.
+/// Returns the highest rate, in tokens per second, at which the engines can run all layers if each
+/// engine divides its compute freely between its layers.
+///
+/// Bisects the rate. A rate is feasible if a flow from the groups to the layer segments between
+/// consecutive range bounds meets the demand of every segment.
 fn find_compute_bound(fleet: &FleetTable, graph: &LayerGraph, mix: &WorkloadMix) -> f64 {
-    let mut cuts: Vec<u32> = vec![0, graph.id.layers];
+    let mut range_bounds: Vec<u32> = vec![0, graph.id.layers];
     for group in graph.groups.values() {
-        cuts.extend([group.shape.layers.first, group.shape.layers.end]);
+        range_bounds.extend([group.shape.layers.first, group.shape.layers.end]);
     }
-    cuts.sort_unstable();
-    cuts.dedup();
+    range_bounds.sort_unstable();
+    range_bounds.dedup();
     let mut network = FlowNetwork::default();
     let source = network.add_node();
     let sink = network.add_node();
-    let segments: Vec<_> = cuts
+    let segments: Vec<_> = range_bounds
         .windows(2)
         .filter_map(|pair| LayerRange::new(pair[0], pair[1]))
         .map(|range| {
@@ -397,7 +407,7 @@
             (range, node, network.add_edge(node, sink, 0))
         })
         .collect();
-    let mut all = 0.0;
+    let mut total_rate = 0.0;
     for group in graph
         .groups
         .values()
@@ -410,7 +420,7 @@
             .map(|record| compute_capacity(&record.announcement, mix))
             .sum();
         let layer_rate = rate * f64::from(group.shape.layers.len());
-        all += layer_rate;
+        total_rate += layer_rate;
         let node = network.add_node();
         network.add_edge(source, node, (layer_rate * MILLI) as u64);
         for (range, segment, _) in &segments {
@@ -419,14 +429,14 @@
             }
         }
     }
-    let (mut low, mut high) = (0.0, all / f64::from(graph.id.layers.max(1)));
+    let (mut low, mut high) = (0.0, total_rate / f64::from(graph.id.layers.max(1)));
     for _ in 0..BISECTION_STEPS {
         let rate = f64::midpoint(low, high);
         let mut demand = 0;
         for (range, _, edge) in &segments {
-            let wanted = (rate * f64::from(range.len()) * MILLI) as u64;
-            network.set_capacity(*edge, wanted);
-            demand += wanted;
+            let required = (rate * f64::from(range.len()) * MILLI) as u64;
+            network.set_capacity(*edge, required);
+            demand += required;
         }
         if network.max_flow(source, sink) >= demand {
             low = rate;
--- a/crates/coordination/src/routing/capacity.rs
+++ b/crates/coordination/src/routing/capacity.rs
@@ -1,13 +1,13 @@
-//! Capacity of one engine for the mean request.
+//! Throughput of one engine for the mean request of a workload.
 
 use super::engine::{EngineAnnouncement, EngineRole};
 use super::settings::WorkloadMix;
 
-/// Thousandths in one token a second; flow is counted in whole thousandths.
+/// Flow units per token per second: flow is an integer number of milli-tokens per second.
 pub(crate) const MILLI: f64 = 1_000.0;
 
-/// Generated tokens a second, in thousandths, that an engine sustains over its whole range: the
-/// least of what compute, KV cache and its own link allow.
+/// Returns the generated milli-tokens per second that an engine sustains over its whole range: the
+/// minimum of the limits by compute, KV cache and the engine's own link.
 pub(crate) fn mean_capacity(engine: &EngineAnnouncement, mix: &WorkloadMix) -> u64 {
     let capacity = compute_capacity(engine, mix)
         .min(kv_capacity(engine, mix))
@@ -15,7 +15,7 @@
     (capacity * MILLI) as u64
 }
 
-/// Generated tokens a second that compute allows, with the prompt's share counted in.
+/// Returns the generated tokens per second that compute allows, including the time for the prompt.
 pub(crate) fn compute_capacity(engine: &EngineAnnouncement, mix: &WorkloadMix) -> f64 {
     let prompt = engine
         .prefill_rate
@@ -29,7 +29,8 @@
     f64::from(mix.output_tokens) / seconds.max(f64::MIN_POSITIVE)
 }
 
-/// Little's law: as many sequences as fit, each of which yields a token per interval.
+/// Returns the generated tokens per second that the KV cache allows, by Little's law: the number of
+/// sequences that fit, divided by the token interval.
 fn kv_capacity(engine: &EngineAnnouncement, mix: &WorkloadMix) -> f64 {
     if engine.role == EngineRole::Prefill {
         return f64::INFINITY;
@@ -40,14 +41,15 @@
 }
 
 fn link_capacity(engine: &EngineAnnouncement, mix: &WorkloadMix) -> f64 {
-    let has_neighbour = engine.layers.first > 0 || engine.layers.end < engine.model_layers;
-    if !has_neighbour {
+    let has_adjacent_stage = engine.layers.first > 0 || engine.layers.end < engine.model_layers;
+    if !has_adjacent_stage {
         return f64::INFINITY;
     }
     engine.link_rate.per_second() / bytes_per_output(engine.activation_bytes, mix)
 }
 
-/// Bytes between two stages for each generated token, with its share of the prompt.
+/// Returns the bytes sent between two stages per generated token, including its share of the prompt
+/// tokens; at least 1.
 pub(crate) fn bytes_per_output(activation_bytes: u32, mix: &WorkloadMix) -> f64 {
     let output = f64::from(mix.output_tokens.max(1));
     let share = (f64::from(mix.prompt_tokens) + output) / output;
--- a/crates/coordination/src/routing/choice.rs
+++ b/crates/coordination/src/routing/choice.rs
@@ -1,4 +1,4 @@
-//! One choice: the versions that may serve, a walk through the layer graph, and the search behind.
+//! Chooses one route: selects a version, walks its layer graph, and falls back to a full search.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
 use super::view::{ChoiceContext, StageTime, StageView, WalkPoint};
 use crate::base::{LayerRange, MonotonicTime};
 
-/// Tables that a choice reads.
+/// Tables from which a route is chosen.
 #[derive(Clone, Copy)]
 pub(crate) struct ChoiceTables<'a> {
     pub(crate) settings: &'a RoutingSettings,
@@ -27,7 +27,7 @@
 }
 
 impl<'a> ChoiceTables<'a> {
-    /// What the stages of one choice in a graph look at.
+    /// Builds the context that all stages of one route through a graph share.
     fn context(
         self,
         now: MonotonicTime,
@@ -51,18 +51,21 @@
     }
 }
 
-/// A version's graph.
+/// Layer graph of one version, with its key.
 type VersionGraph<'a> = (GraphKey, &'a LayerGraph);
 
-/// Engines of a pipeline and the time that they were predicted to take.
+/// Stages of a pipeline, their predicted time, and the prompt tokens that all of them cache.
 struct Walk {
     stages: Vec<RouteStage>,
     time: StageTime,
     cached_tokens: u32,
 }
 
-/// Chooses a route in the version asked for, or else in one by the share of its flow: while a
-/// version is rolled out, the first engines that hold it are not sent every request.
+/// Chooses a route in the requested version.
+///
+/// Without a requested version, draws one with a probability proportional to its flow, and tries
+/// the others if it has no route. During a roll-out, the first engines of a new version therefore
+/// do not receive every request.
 pub(crate) fn choose_route(
     now: MonotonicTime,
     tables: ChoiceTables<'_>,
@@ -87,7 +90,7 @@
         let context = tables.context(now, (graph_key, graph), query, within);
         match plan_in_graph(context, policy, rng) {
             Ok(plan) => return check_deadline(now, query, plan),
-            Err(found) => reasons.extend(found),
+            Err(graph_reasons) => reasons.extend(graph_reasons),
         }
     }
     if reasons.is_empty() {
@@ -96,7 +99,7 @@
     Err(NoRoute { reasons })
 }
 
-/// The route `plan`, in use, with other engines in place of those that are excluded.
+/// Replaces the excluded engines of `plan`, the route of a running request.
 pub(crate) fn repair_in_tables(
     now: MonotonicTime,
     tables: ChoiceTables<'_>,
@@ -116,16 +119,16 @@
     repair_route(&context, plan)
 }
 
-/// Puts one version first, by chance and as likely as its share of the flow.
+/// Moves one version to the front, drawn with a probability proportional to its flow.
 fn draw_version(graphs: &mut [VersionGraph<'_>], rng: &mut ChaCha8Rng) {
     let total: u64 = graphs.iter().map(|(_, graph)| graph.flow).sum();
     if graphs.len() < 2 || total == 0 {
         return;
     }
-    let mut mark = rng.random_range(0..total);
+    let mut offset = rng.random_range(0..total);
     let drawn = graphs.iter().position(|(_, graph)| {
-        let is_drawn = mark < graph.flow;
-        mark = mark.saturating_sub(graph.flow);
+        let is_drawn = offset < graph.flow;
+        offset = offset.saturating_sub(graph.flow);
         is_drawn
     });
     graphs.swap(0, drawn.unwrap_or(0));
@@ -155,25 +158,25 @@
     if !context.graph.has_pipeline() {
         return Err(vec![find_missing_layer(context.graph)]);
     }
-    let whole = walk(context, policy, rng);
+    let combined = walk(context, policy, rng);
     if !context.graph.has_split_roles {
-        return whole.map(|walk| make_plan(&context, walk, None));
+        return combined.map(|walk| make_plan(&context, walk, None));
     }
     let split = walk_split(context, policy, rng);
-    match (whole, split) {
-        (Ok(whole), Ok((prefill, decode))) => {
-            let whole = make_plan(&context, whole, None);
+    match (combined, split) {
+        (Ok(combined), Ok((prefill, decode))) => {
+            let combined = make_plan(&context, combined, None);
             let split = make_plan(&context, decode, Some(prefill));
-            Ok(if split.finish < whole.finish {
+            Ok(if split.finish < combined.finish {
                 split
             } else {
-                whole
+                combined
             })
         }
-        (Ok(whole), Err(_)) => Ok(make_plan(&context, whole, None)),
+        (Ok(combined), Err(_)) => Ok(make_plan(&context, combined, None)),
         (Err(_), Ok((prefill, decode))) => Ok(make_plan(&context, decode, Some(prefill))),
-        (Err(mut reasons), Err(others)) => {
-            reasons.extend(others);
+        (Err(mut reasons), Err(split_reasons)) => {
+            reasons.extend(split_reasons);
             Err(reasons)
         }
     }
@@ -197,9 +200,10 @@
     Ok((prefill, decode))
 }
 
-/// Walks by the policy's samples; where they fail, by more samples if there are many engines, then
-/// by the complete search, and only then with engines that are ejected, since a doubtful pipeline
-/// serves the caller better than none.
+/// Finds a pipeline by the samples of `policy`.
+///
+/// Falls back to more samples if a boundary has many engines, then to the full search, and last to
+/// a search that includes ejected engines: an unreliable pipeline is better than a refusal.
 fn walk(
     context: ChoiceContext<'_>,
     policy: &mut dyn RoutePolicy,
@@ -208,7 +212,7 @@
     if let Some(keys) = walk_by_policy(&context, policy, rng) {
         return Ok(finish_walk(&context, &keys));
     }
-    // With fewer engines the complete search is as quick, and finds the best.
+    // With fewer engines the full search is as fast and finds the best pipeline.
     let mut boundaries = context.graph.boundaries.values();
     if boundaries.any(|boundary| boundary.len() > MAX_SAMPLES)
         && let Some(keys) = walk_by_policy(&context, &mut ExtendedSampling, rng)
@@ -289,15 +293,17 @@
     }
 }
 
-/// Tokens of the prompt that each stage need not work through. A stage must still run what a later
-/// one lacks, since that one needs its activations; a stage that holds more than those before it
-/// works through less than they do.
+/// Returns the number of prompt tokens that each stage can skip.
+///
+/// A stage skips only tokens that all later stages also cache, because a later stage needs the
+/// activations of the tokens that it lacks. A stage that caches more tokens than the stages before
+/// it therefore processes fewer tokens than they do.
 fn find_cached(context: &ChoiceContext<'_>, keys: &[EngineKey]) -> Vec<u32> {
     let mut cached: Vec<u32> = keys.iter().map(|key| context.cached_tokens(*key)).collect();
-    let mut least = u32::MAX;
+    let mut min_tokens = u32::MAX;
     for tokens in cached.iter_mut().rev() {
-        least = least.min(*tokens);
-        *tokens = least;
+        min_tokens = min_tokens.min(*tokens);
+        *tokens = min_tokens;
     }
     cached
 }
@@ -330,8 +336,9 @@
     }
 }
 
-/// Seconds until the last decoding stage has its KV cache; stages receive at the same time, each
-/// over the slowest link that any sender of its layers has.
+/// Predicts the seconds until all decode stages have received their KV cache.
+///
+/// The stages receive in parallel, and each waits for the slowest sender of its layers.
 fn hand_over_seconds(
     context: &ChoiceContext<'_>,
     prefill: &[RouteStage],
--- a/crates/coordination/src/routing/flow.rs
+++ b/crates/coordination/src/routing/flow.rs
@@ -1,30 +1,31 @@
-//! Maximum flow through a network with capacities, by Dinic's algorithm.
+//! Maximum flow by Dinic's algorithm.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// Capacity that no flow reaches.
+/// Capacity of an edge without a limit; larger than any possible flow.
 pub(crate) const UNBOUNDED: u64 = u64::MAX / 4;
 
 /// Node of a flow network.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NodeIndex(usize);
 
-/// Edge of a flow network, as it was added.
+/// Edge of a flow network; refers to the forward edge, not its reverse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct EdgeIndex(usize);
 
 #[derive(Clone, Copy, Debug)]
 struct FlowEdge {
     target: usize,
-    /// Capacity that is left.
+    /// Remaining capacity.
     residual: u64,
 }
 
-/// A directed network. Edges lie in pairs: an even one as added, and after it its reverse.
+/// A directed flow network. Edges are stored in pairs: a forward edge at an even index, then its
+/// reverse edge.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlowNetwork {
     edges: Vec<FlowEdge>,
-    /// Capacity of each pair, as added or last set.
+    /// Capacity of the forward edge of each pair.
     capacities: Vec<u64>,
     outgoing: Vec<Vec<usize>>,
 }
@@ -48,24 +49,25 @@
         EdgeIndex(index)
     }
 
-    /// Sets an edge's capacity; takes effect with the next [`FlowNetwork::max_flow`].
+    /// Sets the capacity of an edge, which the next [`FlowNetwork::max_flow`] uses.
     pub(crate) fn set_capacity(&mut self, edge: EdgeIndex, capacity: u64) {
         if let Some(slot) = self.capacities.get_mut(edge.0 / 2) {
             *slot = capacity;
         }
     }
 
-    /// Flow over an edge after [`FlowNetwork::max_flow`].
+    /// Returns the flow over an edge, as of the last [`FlowNetwork::max_flow`].
     pub(crate) fn flow(&self, edge: EdgeIndex) -> u64 {
         self.edges.get(edge.0 + 1).map_or(0, |edge| edge.residual)
     }
 
-    /// Capacity of an edge, as added or last set.
+    /// Returns the current capacity of an edge.
     pub(crate) fn capacity(&self, edge: EdgeIndex) -> u64 {
         self.capacities.get(edge.0 / 2).copied().unwrap_or(0)
     }
 
-    /// Edges of the smallest cut nearest to `source`, after [`FlowNetwork::max_flow`].
+    /// Returns the edges of the minimum cut nearest to `source`, as of the last
+    /// [`FlowNetwork::max_flow`].
     pub(crate) fn min_cut(&self, source: NodeIndex) -> BTreeSet<EdgeIndex> {
         let levels = self.find_levels(source.0);
         let is_reached = |node: usize| levels[node] != usize::MAX;
@@ -77,7 +79,7 @@
             .collect()
     }
 
-    /// Works out the largest flow from `source` to `sink`, from no flow.
+    /// Clears the flow and computes the maximum flow from `source` to `sink`.
     pub(crate) fn max_flow(&mut self, source: NodeIndex, sink: NodeIndex) -> u64 {
         self.clear_flow();
         let mut total = 0;
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Distance of each node from `source` over edges with capacity left.
+    /// Returns the distance of each node from `source` over edges with remaining capacity;
+    /// `usize::MAX` for unreachable nodes.
     fn find_levels(&self, source: usize) -> Vec<usize> {
         let mut levels = vec![usize::MAX; self.outgoing.len()];
         levels[source] = 0;
@@ -125,7 +128,8 @@
         levels
     }
 
-    /// Pushes flow along one shortest path; the depth is at most the number of levels.
+    /// Pushes up to `limit` along one shortest path and returns the pushed flow. The recursion depth
+    /// is at most the number of levels.
     fn push(
         &mut self,
         node: usize,
@@ -159,8 +163,9 @@
 mod tests {
     use super::{FlowNetwork, UNBOUNDED};
 
+    // Guards against a wrong flow, and against flow that one run leaves behind for the next.
     #[test]
-    fn flow_is_bounded_by_the_smallest_cut() {
+    fn max_flow_equals_the_min_cut_on_every_run() {
         let mut network = FlowNetwork::default();
         let nodes: Vec<_> = (0..6).map(|_| network.add_node()).collect();
         let edges = [
@@ -182,8 +187,9 @@
         assert_eq!(network.max_flow(nodes[0], nodes[5]), 23);
     }
 
+    // Guards against a run that keeps using the capacity with which the edge was added.
     #[test]
-    fn a_capacity_can_be_set_anew() {
+    fn max_flow_uses_a_changed_capacity() {
         let mut network = FlowNetwork::default();
         let source = network.add_node();
         let sink = network.add_node();
--- a/crates/coordination/src/routing/graph.rs
+++ b/crates/coordination/src/routing/graph.rs
@@ -1,9 +1,9 @@
-//! Layer graph of one model, version and adapter: which engines may run a stage at which layer.
+//! Layer graph of one model, version and adapter: the engines that can run a stage at each layer.
 //!
-//! Engines of one kind, data centre, role and layer range form a group. A stage begins at a layer
-//! where another may have ended and runs to the end of its engine's range, so an engine that holds
-//! more than is left to do is cut at the front. Groups keep the graph small however many engines
-//! there are.
+//! Engines of one kind, data centre, role and layer range form a group. A stage begins at layer 0
+//! or where another stage can end, and runs to the end of its engine's range. An engine whose range
+//! begins earlier than the stage runs only the end of that range. Grouping bounds the size of the
+//! graph regardless of the number of engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,27 +21,27 @@
     pub(crate) struct GroupKey;
 }
 
-/// What all engines of a graph have in common.
+/// Properties shared by all engines of a graph.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct GraphId {
-    /// Model.
+    /// Model name.
     pub model: ModelName,
-    /// Adapter; none for the model as it is.
+    /// Adapter; `None` for the base model.
     pub adapter: Option<AdapterName>,
     /// Version of the weights.
     pub version: VersionName,
-    /// Number of layers.
+    /// Number of layers of the model.
     pub layers: u32,
 }
 
-/// Which part of a request a walk through the graph is for.
+/// Part of a request that a walk through the graph serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RoutePhase {
-    /// Prompt and tokens on the same engines.
+    /// The same engines process the prompt and generate the tokens.
     Combined,
-    /// The prompt, on engines that hand over their KV cache.
+    /// Processes the prompt, then hands over the KV cache.
     Prefill,
-    /// The tokens, on engines that take the KV cache over.
+    /// Generates the tokens from the received KV cache.
     Decode,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What all engines of a group have in common.
+/// Properties shared by all engines of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GroupShape {
     pub(crate) layers: LayerRange,
@@ -70,23 +70,24 @@
 #[derive(Clone, Debug)]
 pub(crate) struct EngineGroup {
     pub(crate) shape: GroupShape,
-    /// Members in no order; never empty.
+    /// Members in arbitrary order; never empty.
     pub(crate) members: Vec<EngineKey>,
-    /// Sum of the members' capacities for the mean request, in thousandths of a token a second.
+    /// Sum of the members' capacities for the mean request, in milli-tokens per second.
     pub(crate) capacity: u64,
 }
 
-/// Flow from one data centre into the groups at a boundary. Groups that were removed since the flow was
-/// worked out may still be named.
+/// Flow from one data centre into the groups at a boundary.
+///
+/// May contain keys of groups that were removed after the flow was computed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FlowRow {
     pub(crate) groups: Vec<GroupKey>,
-    /// Flow into each of `groups`, summed up; as long as `groups`.
+    /// Cumulative flow into `groups`, one entry per group.
     pub(crate) ends: Vec<f64>,
 }
 
 impl FlowRow {
-    /// Flow into all groups.
+    /// Returns the flow into all groups.
     pub(crate) fn total(&self) -> f64 {
         self.ends.last().copied().unwrap_or(0.0)
     }
@@ -95,20 +96,20 @@
 /// A layer at which stages may begin.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LayerBoundary {
-    /// Groups that hold the layer and from whose end the last layer can be reached.
+    /// Groups that hold the layer and from whose end a pipeline can reach the last layer.
     pub(crate) groups: Vec<GroupKey>,
-    /// Members of `groups` up to and with each; as long as `groups`.
+    /// Cumulative number of members of `groups`, one entry per group.
     pub(crate) cumulative: Vec<u32>,
-    /// Flow weights by phase and data centre of the stage before, as of the last tick.
+    /// Flow weights by phase and data centre of the previous stage, as of the last refresh.
     pub(crate) rows: BTreeMap<(RoutePhase, DataCentreIndex), FlowRow>,
-    /// Flow into each group by phase, from all data centres, as of the last tick.
+    /// Flow into each group by phase, from all data centres, as of the last refresh.
     pub(crate) flows: BTreeMap<(RoutePhase, GroupKey), f64>,
-    /// Mean time from here to the last layer by phase, as of the last tick.
+    /// Mean time from here to the last layer by phase, as of the last refresh.
     pub(crate) remaining_times: BTreeMap<RoutePhase, StageTime>,
 }
 
 impl LayerBoundary {
-    /// Engines that may run a stage here.
+    /// Returns the number of engines that can run a stage from here.
     pub(crate) fn len(&self) -> u32 {
         self.cumulative.last().copied().unwrap_or(0)
     }
@@ -121,13 +122,14 @@
     pub(crate) groups: SlotMap<GroupKey, EngineGroup>,
     by_shape: BTreeMap<GroupShape, GroupKey>,
     pub(crate) boundaries: BTreeMap<u32, LayerBoundary>,
-    /// Data centres whose members changed since the flow was last worked out.
+    /// Data centres whose members or links changed since the last flow computation.
     pub(crate) stale: BTreeSet<DataCentreIndex>,
-    /// Flow of whole pipelines when it was last worked out, in thousandths of a token a second.
+    /// Flow of complete pipelines at the last computation, in milli-tokens per second.
     pub(crate) flow: u64,
-    /// The same of those within one data centre, where they are worked out by themselves.
+    /// Flow of complete pipelines within each data centre, in milli-tokens per second; empty if
+    /// pipelines may span data centres.
     pub(crate) centre_flows: BTreeMap<DataCentreIndex, u64>,
-    /// Whether any engine works on prompts only or on tokens only.
+    /// Whether any engine has the role `Prefill` or `Decode`.
     pub(crate) has_split_roles: bool,
 }
 
@@ -145,11 +147,11 @@
         }
     }
 
-    /// Adds an engine.
+    /// Adds an engine to the group of its shape, which is created if missing.
     pub(crate) fn insert(&mut self, key: EngineKey, shape: GroupShape, capacity: u64) {
         self.stale.insert(shape.data_centre);
-        let known = self.by_shape.get(&shape).copied();
-        let Some(group) = known.and_then(|group| self.groups.get_mut(group)) else {
+        let existing = self.by_shape.get(&shape).copied();
+        let Some(group) = existing.and_then(|group| self.groups.get_mut(group)) else {
             self.insert_group(key, shape, capacity);
             return;
         };
@@ -158,7 +160,7 @@
         self.count_members();
     }
 
-    /// Removes an engine at once, also from what is sampled.
+    /// Removes an engine; policies no longer sample it.
     pub(crate) fn remove(&mut self, key: EngineKey, shape: &GroupShape, capacity: u64) {
         self.stale.insert(shape.data_centre);
         let Some(group_key) = self.by_shape.get(shape).copied() else {
@@ -178,14 +180,15 @@
         self.rebuild();
     }
 
-    /// Whether any pipeline covers all layers, with all engines permitted.
+    /// Returns whether a complete pipeline exists when every engine is permitted.
     pub(crate) fn has_pipeline(&self) -> bool {
         self.boundaries
             .get(&0)
             .is_some_and(|boundary| boundary.len() > 0)
     }
 
-    /// Mean time from a layer to the last one; nothing after the last, or before the first tick.
+    /// Returns the mean time from `layer` to the last one; zero at the end of the model and before
+    /// the first refresh.
     pub(crate) fn remaining_time(&self, phase: RoutePhase, layer: u32) -> StageTime {
         let boundary = self.boundaries.get(&layer);
         boundary
@@ -193,7 +196,7 @@
             .unwrap_or_default()
     }
 
-    /// First layer that no engine holds; none if all are held.
+    /// Returns the first layer that no engine holds, or `None` if engines hold all layers.
     pub(crate) fn first_uncovered(&self) -> Option<u32> {
         let mut next = 0;
         loop {
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Number of engines whose range is `layers`; peers for the ejection floor.
+    /// Counts the engines with the range `layers`. The ejection limit applies to this peer group.
     pub(crate) fn count_peers(&self, layers: LayerRange) -> usize {
         self.groups
             .values()
@@ -234,19 +237,19 @@
         self.rebuild();
     }
 
-    /// Finds boundaries and their groups anew; flow weights that changed follow with the next tick.
+    /// Recomputes the boundaries and their groups. The next refresh updates the flow weights.
     fn rebuild(&mut self) {
         let mut starts: Vec<u32> = self.groups.values().map(|g| g.shape.layers.end).collect();
         starts.push(0);
         starts.sort_unstable();
         starts.dedup();
-        let mut before = std::mem::take(&mut self.boundaries);
+        let mut previous = std::mem::take(&mut self.boundaries);
         for start in starts.into_iter().rev() {
             let groups = self.find_groups(start);
             if !groups.is_empty() {
                 let boundary = LayerBoundary {
                     groups,
-                    ..before.remove(&start).unwrap_or_default()
+                    ..previous.remove(&start).unwrap_or_default()
                 };
                 self.boundaries.insert(start, boundary);
             }
@@ -259,11 +262,12 @@
     }
 
     fn find_groups(&self, start: u32) -> Vec<GroupKey> {
-        let leads_on = |end: u32| end == self.id.layers || self.boundaries.contains_key(&end);
+        let reaches_last_layer =
+            |end: u32| end == self.id.layers || self.boundaries.contains_key(&end);
         self.by_shape
             .iter()
             .filter(|(shape, _)| shape.layers.first <= start && start < shape.layers.end)
-            .filter(|(shape, _)| leads_on(shape.layers.end))
+            .filter(|(shape, _)| reaches_last_layer(shape.layers.end))
             .map(|(_, key)| *key)
             .collect()
     }
--- a/crates/coordination/src/routing/plan.rs
+++ b/crates/coordination/src/routing/plan.rs
@@ -1,4 +1,4 @@
-//! What is asked of the planner, and what it answers.
+//! Route queries, route plans, and the reasons for having no route.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,9 +13,10 @@
 };
 use crate::ledger::ChainLink;
 
-/// Says which engines a request may use; a selector's verdict, which its owner caches by revision.
+/// Decides which engines a request may use: the result of a selector, which the caller caches by
+/// configuration revision.
 pub trait EngineFilter {
-    /// Whether the request may use `engine`.
+    /// Returns whether the request may use `engine`.
     fn permits(&self, engine: &EngineRecord) -> bool;
 }
 
@@ -38,88 +39,89 @@
     }
 }
 
-/// How much a request matters when memory is short.
+/// Priority of a request when KV memory is scarce.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RoutePriority {
-    /// May not use the reserve.
+    /// Leaves the reserved part of the KV cache to urgent requests.
     #[default]
     Normal,
-    /// May use the KV cache that is kept in reserve.
+    /// May use the reserved part of the KV cache.
     Urgent,
 }
 
-/// A request for a route.
+/// Parameters of a route choice.
 #[derive(Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// Model that is asked for.
+    /// Requested model.
     pub model: &'a ModelName,
-    /// Version that the route must have; none before the first attempt.
+    /// Version that the route must use; `None` before the first attempt.
     pub version: Option<&'a VersionName>,
-    /// Adapter that all engines must support.
+    /// Adapter that every engine must support, if any.
     pub adapter: Option<&'a AdapterName>,
-    /// Data centre in which the whole route must lie; none if it may lie in several.
+    /// Data centre that must contain every stage; `None` if the route may span several.
     pub within: Option<&'a DataCentreName>,
     /// Engines that the request may use.
     pub allowed: &'a dyn EngineFilter,
     /// Engines that failed in earlier attempts.
     pub excluded: &'a [ServerName],
-    /// Tokens of the prompt, replayed tokens included.
+    /// Number of prompt tokens, including replayed tokens.
     pub prompt_tokens: u32,
-    /// Tokens still expected.
+    /// Number of tokens that remain to be generated, as expected.
     pub expected_tokens: u32,
-    /// Prefixes of the prompt, by rising length.
+    /// Prefixes of the prompt, in order of increasing length.
     pub prefixes: &'a [PromptPrefix],
-    /// Time by which the answer must be complete.
+    /// Time by which the answer must be complete, if any.
     pub deadline: Option<MonotonicTime>,
-    /// How much the request matters.
+    /// Priority when KV memory is scarce.
     pub priority: RoutePriority,
 }
 
 /// One stage of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteStage {
-    /// Engine.
+    /// Key of the engine in the fleet table.
     #[serde(skip)]
     pub engine: EngineKey,
-    /// Its name.
+    /// Name of the engine.
     pub server: ServerName,
-    /// Layers that it runs; the end of the range that it holds.
+    /// Layers that the stage runs, a part of the layers that the engine holds. A planned stage runs
+    /// to the end of the engine's range, a repaired one may end earlier.
     pub layers: LayerRange,
-    /// Tokens of the prompt that it need not work through: it and all stages after it hold them.
+    /// Prompt tokens that the stage skips because it and all later stages cache them.
     pub cached_tokens: u32,
 }
 
-/// A pipeline that covers all layers once, in order, in one version.
+/// A pipeline that runs every layer once, in order, with one version of the weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RoutePlan {
     /// Model.
     pub model: ModelName,
-    /// Version of the weights on all stages.
+    /// Version of the weights, the same on all stages.
     pub version: VersionName,
-    /// Adapter that all stages apply.
+    /// Adapter that all stages apply, if any.
     pub adapter: Option<AdapterName>,
     /// Number of layers of the model.
     pub model_layers: u32,
     /// Stages that generate the tokens, in order.
     pub stages: Vec<RouteStage>,
-    /// Stages that work through the prompt and hand over their KV cache; empty if `stages` do it.
+    /// Stages that process the prompt and hand over their KV cache; empty if `stages` process the
+    /// prompt themselves.
     pub prefill: Vec<RouteStage>,
-    /// Tokens of the prompt that all stages that work on it hold in their caches; later stages may
-    /// hold more.
+    /// Prompt tokens cached by all stages that process the prompt; later stages may cache more.
     pub cached_tokens: u32,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens expected.
+    /// Number of tokens that the plan expects the request to generate.
     pub expected_tokens: u32,
-    /// Predicted time to the first token.
+    /// Predicted time from the start to the first token.
     pub first_token: Duration,
-    /// Predicted time to the last token.
+    /// Predicted time from the start to the last token.
     pub finish: Duration,
 }
 
 impl RoutePlan {
-    /// The chain that every token of the attempt must carry.
+    /// Returns the chain of stages that every token of the attempt must carry.
     pub fn chain(&self) -> Vec<ChainLink> {
         let link = |stage: &RouteStage| ChainLink {
             server: stage.server.clone(),
@@ -130,7 +132,9 @@
     }
 }
 
-/// Whether ranges, in their order, run each of so many layers once.
+/// Returns whether `ranges`, in their order, cover each of the layers `0..layers` exactly once.
+///
+/// Empty ranges and a model without layers are not complete.
 pub fn is_complete_chain(ranges: &[LayerRange], layers: u32) -> bool {
     let mut next = 0;
     for range in ranges {
@@ -142,34 +146,34 @@
     next == layers && layers > 0
 }
 
-/// Why an engine was not taken for a stage.
+/// Reason for which an engine was rejected for a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RejectReason {
-    /// Its role does not fit.
+    /// The engine's role does not match the phase.
     Role,
-    /// The selector does not permit it.
+    /// The selector or the data centre restriction does not permit the engine.
     NotPermitted,
-    /// It failed in an earlier attempt.
+    /// The engine failed in an earlier attempt.
     Excluded,
-    /// It is ejected for its failures.
+    /// The engine is ejected because of failures, or declined a request moments ago.
     Ejected,
-    /// Its KV cache has no room.
+    /// The engine's KV cache has too little free memory.
     KvFull,
 }
 
-/// Engines that were not taken for a stage, by reason.
+/// Number of engines rejected for a stage, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RejectCounts {
-    /// Of another role.
+    /// Engines of a role that does not match.
     pub role: u32,
-    /// Not permitted by the selector.
+    /// Engines that the selector or the data centre restriction does not permit.
     pub not_permitted: u32,
-    /// Failed in an earlier attempt.
+    /// Engines that failed in an earlier attempt.
     pub excluded: u32,
-    /// Ejected for their failures.
+    /// Engines that are ejected, or that declined a request moments ago.
     pub ejected: u32,
-    /// Without room in their KV cache.
+    /// Engines with too little free KV memory.
     pub kv_full: u32,
 }
 
@@ -204,49 +208,50 @@
     }
 }
 
-/// Why there is no route.
+/// Reason for having no route.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NoRouteReason {
     /// No engine serves the model with the adapter in the version.
     #[display("no engine serves the model with the adapter in the version")]
     NotServed,
-    /// No engine holds a layer, in a version.
+    /// No engine of a version holds a layer.
     #[display("no engine holds layer {layer} of version {version}")]
     LayerMissing {
-        /// Version.
+        /// Version of the weights.
         version: VersionName,
-        /// First such layer.
+        /// First missing layer.
         layer: u32,
     },
-    /// Engines hold a layer, but none could be taken.
+    /// Engines hold a layer, but all of them were rejected.
     #[display("no engine for layer {layer} of version {version} could be taken: {counts}")]
     Rejected {
-        /// Version.
+        /// Version of the weights.
         version: VersionName,
         /// Layer at which the stage would begin.
         layer: u32,
-        /// Engines by reason.
+        /// Rejected engines by reason.
         counts: RejectCounts,
     },
     /// The best route would finish after the deadline.
     #[display("the best route takes {} ms, after the deadline", predicted.as_millis())]
     DeadlineMissed {
-        /// Predicted time to the last token.
+        /// Predicted time from the start to the last token.
         predicted: Duration,
     },
 }
 
-/// No route, with all reasons found.
+/// Error of a route choice that found no route.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize)]
 #[display("no route: {}", reasons.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
 pub struct NoRoute {
-    /// At least one.
+    /// All reasons found; at least one.
     pub reasons: Vec<NoRouteReason>,
 }
 
 impl NoRoute {
-    /// Whether waiting for running requests to end can help: an engine had no room for now.
+    /// Returns whether a route may exist once running requests end: whether an engine was rejected
+    /// for lack of free KV memory.
     pub fn is_transient(&self) -> bool {
         self.reasons.iter().any(|reason| match reason {
             NoRouteReason::Rejected { counts, .. } => counts.kv_full > 0,
--- a/crates/coordination/src/routing/planner.rs
+++ b/crates/coordination/src/routing/planner.rs
@@ -1,4 +1,4 @@
-//! The route planner: tables, policy and feedback behind one trait object.
+//! Route planner: the [`RoutePlanner`] trait and its implementation over the announced fleet.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -23,44 +23,46 @@
 };
 use crate::retries::OutlierTable;
 
-/// Plans routes from what engines announce and report, and from what became of earlier plans.
+/// Plans routes from engine announcements, load reports and the outcomes of earlier plans.
 pub trait RoutePlanner: Send {
-    /// Takes an announcement; one that is not newer than the one in force changes nothing.
+    /// Applies an announcement unless the planner already has one that is as new or newer.
     ///
     /// # Errors
-    /// All findings about the announcement.
+    /// Returns every finding of an invalid announcement, which changes nothing.
     fn announce(
         &mut self,
         now: MonotonicTime,
         announcement: EngineAnnouncement,
     ) -> Result<UpsertOutcome, FindingList>;
 
-    /// Takes a load report; says if it was newer.
+    /// Applies a load report. Returns `false` and ignores it if it is not newer.
     fn report(&mut self, report: &LoadReport) -> bool;
 
-    /// Takes a cache event; says if a snapshot must be asked for.
+    /// Applies a cache event. The outcome says whether the engine must send a snapshot.
     fn cache_event(&mut self, event: &CacheEvent) -> CacheOutcome;
 
-    /// Removes an engine that leaves or whose lease ended; says if it was known.
+    /// Removes an engine that left or whose lease ended. Returns whether it was present.
     fn remove(&mut self, server: &ServerName) -> bool;
 
-    /// Sets the link between two data centres, both ways.
+    /// Sets the figures of the link between two data centres, for both directions.
     fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkFigures);
 
-    /// Refreshes flow weights and ends ejections.
+    /// Ends expired ejections and refreshes the flow weights if the flow interval has passed.
     fn tick(&mut self, now: MonotonicTime);
 
     /// Chooses a route.
     ///
     /// # Errors
-    /// All reasons why there is none; no engine was left unseen.
+    /// Returns every reason why no route exists, after checking every engine.
     fn choose(&mut self, now: MonotonicTime, query: &RouteQuery<'_>) -> Result<RoutePlan, NoRoute>;
 
-    /// The route `plan`, in use, with other engines in place of those that `query` excludes; its prompt
-    /// is all that the request's engines have worked through.
+    /// Replaces the engines of `plan` that `query` excludes, while its request is running.
+    ///
+    /// The prompt of `query` includes all tokens that the engines of the request have processed.
     ///
     /// # Errors
-    /// The first engine is excluded, or there are no others.
+    /// Fails if `query` excludes the first engine, or if no other engines can replace the excluded
+    /// ones.
     fn repair(
         &mut self,
         now: MonotonicTime,
@@ -68,22 +70,22 @@
         query: &RouteQuery<'_>,
     ) -> Result<RoutePlan, NoRoute>;
 
-    /// The request is being sent over `plan`.
+    /// Records the start of a request over `plan`.
     fn started(&mut self, now: MonotonicTime, plan: &RoutePlan) -> FlightKey;
 
-    /// The first token of a started request came.
+    /// Records the arrival of the first token of a started request.
     fn first_token(&mut self, now: MonotonicTime, flight: FlightKey);
 
-    /// A started request ended well, or its caller cancelled it.
+    /// Records that a started request succeeded or that its caller cancelled it.
     fn finished(&mut self, now: MonotonicTime, flight: FlightKey);
 
-    /// A started request failed, by the fault of `culprit` where that is known.
+    /// Records that a started request failed, and that `culprit` caused it if the cause is known.
     fn failed(&mut self, now: MonotonicTime, flight: FlightKey, culprit: Option<&ServerName>);
 
-    /// An engine declined a request for want of room.
+    /// Records that an engine declined a request for lack of KV memory.
     fn declined(&mut self, now: MonotonicTime, server: &ServerName);
 
-    /// Throughput that the engines of a model, adapter and version allow.
+    /// Computes the maximum throughput of the engines of a model, adapter and version.
     fn bound(
         &self,
         model: &ModelName,
@@ -91,35 +93,35 @@
         version: &VersionName,
     ) -> FlowBound;
 
-    /// What the planner knows, for a dump.
+    /// Returns the settings, the engines and the number of running requests.
     fn dump(&self, now: MonotonicTime) -> RoutingDump;
 }
 
 /// State of one engine in a dump.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct EngineDump {
-    /// What it announced.
+    /// Latest announcement of the engine.
     pub announcement: EngineAnnouncement,
-    /// Load expected now.
+    /// Estimated current load.
     pub load: LoadFigures,
-    /// Own requests on it that have not ended.
+    /// Running requests that this planner sent to the engine.
     pub own_sequences: u64,
-    /// Whether it is ejected.
+    /// Whether the engine is ejected because of failures.
     pub ejected: bool,
 }
 
 /// State of the planner in a dump.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RoutingDump {
-    /// Settings in force.
+    /// Current settings.
     pub settings: RoutingSettings,
-    /// Engines by name.
+    /// Engines, sorted by name.
     pub engines: Vec<EngineDump>,
-    /// Own requests under way.
+    /// Running requests of this planner.
     pub flights: usize,
 }
 
-/// Planner over the fleet that announced itself to this process.
+/// Planner over the engines whose announcements this process has received.
 #[derive(Debug)]
 pub struct FleetPlanner {
     settings: RoutingSettings,
@@ -129,11 +131,11 @@
     flights: FlightTable,
     policy: Box<dyn RoutePolicy>,
     rng: ChaCha8Rng,
-    refreshed: Option<MonotonicTime>,
+    last_refresh: Option<MonotonicTime>,
 }
 
 impl FleetPlanner {
-    /// A planner without engines; `seed` fixes what it picks by chance.
+    /// Creates a planner without engines; `seed` initialises its random number generator.
     pub fn new(settings: RoutingSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -143,11 +145,11 @@
             flights: FlightTable::default(),
             policy: settings.policy.build(settings.candidates),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            refreshed: None,
+            last_refresh: None,
         }
     }
 
-    /// Engines known.
+    /// Returns the table of announced engines.
     pub fn fleet(&self) -> &FleetTable {
         &self.fleet
     }
@@ -172,12 +174,12 @@
     fn refresh_graphs(&mut self, now: MonotonicTime) {
         let interval = self.settings.flow_interval;
         let is_due = self
-            .refreshed
+            .last_refresh
             .is_none_or(|last| now.since(last) >= interval);
         if !is_due {
             return;
         }
-        self.refreshed = Some(now);
+        self.last_refresh = Some(now);
         let keys: Vec<_> = self.fleet.graphs.keys().collect();
         for key in keys {
             self.refresh_graph(key);
@@ -199,7 +201,7 @@
         }
     }
 
-    fn note_failure(&mut self, now: MonotonicTime, server: &ServerName) {
+    fn record_failure(&mut self, now: MonotonicTime, server: &ServerName) {
         let Some(key) = self.fleet.find(server) else {
             return;
         };
@@ -303,7 +305,7 @@
     fn failed(&mut self, now: MonotonicTime, flight: FlightKey, culprit: Option<&ServerName>) {
         self.flights.end(now, &mut self.fleet, flight);
         if let Some(server) = culprit {
-            self.note_failure(now, server);
+            self.record_failure(now, server);
         }
     }
 
--- a/crates/coordination/src/routing/policy.rs
+++ b/crates/coordination/src/routing/policy.rs
@@ -1,4 +1,4 @@
-//! Policies that pick the engine of one stage. One file each; all see the same view.
+//! Policies that pick the engine of a stage, one module each. All of them work on a [`StageView`].
 
 mod extended_sampling;
 mod flow_weighted;
@@ -17,32 +17,32 @@
 use super::fleet::EngineKey;
 use super::view::StageView;
 
-/// Which policy picks engines.
+/// Policy that picks the engine of each stage.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum PolicyKind {
-    /// By the weights of the maximum flow.
+    /// Samples engines by the weights of the maximum flow.
     #[display("flow-weighted")]
     FlowWeighted,
-    /// The fewest own requests outstanding.
+    /// Picks the engine with the fewest own requests in progress.
     #[display("least-outstanding")]
     LeastOutstanding,
-    /// The less loaded of two at random.
+    /// Picks the less loaded of two random engines.
     #[display("power-of-two")]
     PowerOfTwo,
-    /// The earliest predicted finish of some by flow and some at random.
+    /// Picks the earliest predicted finish among samples by flow and uniform samples.
     #[default]
     #[display("predicted-finish")]
     PredictedFinish,
-    /// Each in turn.
+    /// Picks each engine in turn.
     #[display("round-robin")]
     RoundRobin,
 }
 
 impl PolicyKind {
-    /// All policies, by name.
+    /// All policies, sorted by name.
     pub const ALL: [Self; 5] = [
         Self::FlowWeighted,
         Self::LeastOutstanding,
@@ -66,6 +66,6 @@
 
 /// Picks the engine of one stage, in time that does not grow with the fleet.
 pub(crate) trait RoutePolicy: Debug + Send {
-    /// An engine that the view accepts, or none if a few tries found none.
+    /// Returns an engine that the view accepts, or `None` if a bounded number of tries finds none.
     fn pick(&mut self, view: &mut StageView<'_>) -> Option<EngineKey>;
 }
--- a/crates/coordination/src/routing/policy/least_outstanding.rs
+++ b/crates/coordination/src/routing/policy/least_outstanding.rs
@@ -1,11 +1,11 @@
-//! Picks the engine with the fewest own requests among a window that starts at random.
+//! Picks the engine with the fewest own requests in a window that starts at a random engine.
 
 use super::RoutePolicy;
 use crate::routing::fleet::EngineKey;
 use crate::routing::view::StageView;
 use rand::RngExt;
 
-/// Engines looked at; all of a small fleet.
+/// Number of engines in the window; a smaller fleet is compared completely.
 const WINDOW: u32 = 64;
 
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
                 continue;
             };
             let outstanding = view.outstanding(key);
-            let is_better = best.is_none_or(|(_, least)| outstanding < least);
+            let is_better = best.is_none_or(|(_, fewest)| outstanding < fewest);
             if is_better && view.accepts(key) {
                 best = Some((key, outstanding));
             }
--- a/crates/coordination/src/routing/policy/power_of_two.rs
+++ b/crates/coordination/src/routing/policy/power_of_two.rs
@@ -1,11 +1,11 @@
-//! Picks the one with fewer own requests of two engines at random.
+//! Picks the engine with fewer own requests out of two random engines.
 
 use super::RoutePolicy;
 use crate::routing::fleet::EngineKey;
 use crate::routing::view::StageView;
 
-/// Samples until two are accepted.
-const TRIES: u32 = 8;
+/// Limit on the samples per stage to get two accepted engines.
+const SAMPLE_LIMIT: u32 = 8;
 
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PowerOfTwo;
@@ -13,7 +13,7 @@
 impl RoutePolicy for PowerOfTwo {
     fn pick(&mut self, view: &mut StageView<'_>) -> Option<EngineKey> {
         let mut first = None;
-        for _ in 0..TRIES {
+        for _ in 0..SAMPLE_LIMIT {
             let key = view.sample_uniform()?;
             if !view.accepts(key) {
                 continue;
--- a/crates/coordination/src/routing/policy/predicted_finish.rs
+++ b/crates/coordination/src/routing/policy/predicted_finish.rs
@@ -1,18 +1,19 @@
-//! Picks the earliest predicted finish among a few engines: some by flow, some at random, and some
-//! that hold the prompt's prefix.
+//! Picks the engine with the earliest predicted finish among a few samples: some by flow, some
+//! uniform, and some engines that cache a prefix of the prompt.
 //!
-//! The flow steers the whole onto the links and kinds that carry it; the prediction evens out
-//! queues; the random ones find capacity that the flow leaves free at low load. More than three do
-//! worse: all entries see the same lagging reports, and would send to the same few engines.
+//! Samples by flow direct the total load to the links and accelerator kinds that can carry it. The
+//! prediction balances queues. Uniform samples find capacity that the flow leaves unused at low
+//! load. More than three samples perform worse, because all entries see the same delayed load
+//! reports and would send requests to the same few engines.
 
 use super::RoutePolicy;
 use crate::routing::fleet::EngineKey;
 use crate::routing::view::StageView;
 
-/// Every third sample is uniform.
+/// Interval of uniform samples: every third sample is uniform, the others are by flow.
 const UNIFORM_EVERY: u32 = 3;
 
-/// Holders of the prompt's prefix that are compared as well.
+/// Limit on the number of engines compared because they cache a prefix of the prompt.
 const MAX_HOLDERS: usize = 4;
 
 #[derive(Clone, Copy, Debug)]
--- a/crates/coordination/src/routing/policy/round_robin.rs
+++ b/crates/coordination/src/routing/policy/round_robin.rs
@@ -6,10 +6,10 @@
 use crate::routing::fleet::{EngineKey, GraphKey};
 use crate::routing::view::StageView;
 
-/// Engines tried before giving up.
-const TRIES: u32 = 64;
+/// Limit on the engines tried per stage.
+const MAX_TRIED_ENGINES: u32 = 64;
 
-/// Boundaries whose turn is remembered; more than that start anew.
+/// Limit on the number of stored cursors, one per boundary; at the limit all are cleared.
 const MAX_CURSORS: usize = 4_096;
 
 #[derive(Clone, Debug, Default)]
@@ -26,9 +26,9 @@
         if self.cursors.len() >= MAX_CURSORS {
             self.cursors.clear();
         }
-        let place = (view.context.graph_key, view.point.layer);
-        let cursor = self.cursors.entry(place).or_default();
-        for _ in 0..count.min(TRIES) {
+        let cursor_key = (view.context.graph_key, view.point.layer);
+        let cursor = self.cursors.entry(cursor_key).or_default();
+        for _ in 0..count.min(MAX_TRIED_ENGINES) {
             *cursor = (*cursor + 1) % count;
             let member = view.member(*cursor);
             if let Some(key) = member.filter(|key| view.accepts(*key)) {
--- a/crates/coordination/src/routing/prefix.rs
+++ b/crates/coordination/src/routing/prefix.rs
@@ -1,4 +1,5 @@
-//! Which engines hold which prompt prefixes, from cache events that come late and with gaps.
+//! Index of the prompt prefixes that engines cache, built from cache events that may arrive late or
+//! get lost.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,10 +9,10 @@
 use super::fleet::EngineKey;
 use crate::base::{Incarnation, SequenceNumber, ServerName};
 
-/// Most engines that are remembered as holders of one prefix.
+/// Limit on the number of engines that the index stores as holders of one prefix.
 const MAX_HOLDERS: usize = 16;
 
-/// Number of the first event in an engine's life.
+/// Sequence number of the first event of an incarnation.
 const FIRST_EVENT: SequenceNumber = SequenceNumber(1);
 
 /// Digest of a prompt prefix.
@@ -22,65 +23,65 @@
 /// A prefix of a request's prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPrefix {
-    /// Its digest.
+    /// Digest of the prefix.
     pub digest: PrefixDigest,
-    /// Its length.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
 }
 
-/// What happened to an engine's cache.
+/// Change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheChange {
-    /// Prefixes were stored.
+    /// The engine stored these prefixes.
     Stored(Vec<PrefixDigest>),
-    /// Prefixes were evicted.
+    /// The engine evicted these prefixes.
     Evicted(Vec<PrefixDigest>),
-    /// The whole content, which ends a gap.
+    /// The complete content of the cache; resynchronises the index after a gap.
     Snapshot(Vec<PrefixDigest>),
 }
 
-/// A cache event.
+/// A numbered change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Engine that it speaks of.
+    /// Engine whose cache changed.
     pub server: ServerName,
-    /// Life of the engine's process.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
-    /// Number within that life; events follow each other by one.
+    /// Sequence number within the incarnation; starts at 1 and increases by 1.
     pub sequence: SequenceNumber,
-    /// What happened.
+    /// Change of the cache.
     pub change: CacheChange,
 }
 
-/// What became of a cache event.
+/// Result of applying a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheOutcome {
-    /// It was applied.
+    /// The index applied the event.
     Applied,
-    /// It is not newer than what is known.
+    /// The event is not newer than the last one, or the engine is unknown.
     Ignored,
-    /// Events before it are missing; nothing counts as cached until a snapshot comes.
+    /// Earlier events are missing; no prefix of the engine counts as cached until a snapshot arrives.
     ResyncNeeded,
 }
 
 #[derive(Clone, Debug, Default)]
 struct EngineCache {
     incarnation: Incarnation,
-    /// Last event that was applied, or that showed a gap.
+    /// Sequence number of the last event that was applied or that revealed a gap.
     sequence: SequenceNumber,
-    /// Whether `digests` follows from events without a gap.
-    is_known: bool,
-    /// Empty unless `is_known`.
+    /// Whether `digests` is derived from events without a gap.
+    is_synced: bool,
+    /// Empty unless `is_synced`.
     digests: HashSet<PrefixDigest>,
 }
 
-/// Prefixes by engine, and some holders by prefix.
+/// Cached prefixes by engine, and some holders by prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixIndex {
     max_prefixes: usize,
     caches: SecondaryMap<EngineKey, EngineCache>,
-    /// At most [`MAX_HOLDERS`] each; a hint that `caches` confirms.
+    /// At most [`MAX_HOLDERS`] engines per prefix. A hint: `caches` decides whether an engine holds it.
     holders: HashMap<PrefixDigest, Vec<EngineKey>>,
 }
 
@@ -93,39 +94,39 @@
         }
     }
 
-    /// Applies an event of the engine with `key`.
+    /// Applies an event of the engine `key`.
     pub(crate) fn apply(&mut self, key: EngineKey, event: &CacheEvent) -> CacheOutcome {
         let Some(entry) = self.caches.entry(key) else {
             return CacheOutcome::Ignored;
         };
         let cache = entry.or_default();
-        let known = (cache.incarnation, cache.sequence);
+        let last = (cache.incarnation, cache.sequence);
         let number = (event.incarnation, event.sequence);
-        let is_first = known == (Incarnation(0), SequenceNumber(0));
-        if number <= known && !is_first {
+        let has_no_events = last == (Incarnation(0), SequenceNumber(0));
+        if number <= last && !has_no_events {
             return CacheOutcome::Ignored;
         }
-        // The first event of a life has none before it: the cache was empty.
-        let begins = event.incarnation > known.0 && event.sequence == FIRST_EVENT;
-        let continues = event.incarnation == known.0 && event.sequence == known.1.next();
-        let follows = begins || (continues && cache.is_known);
+        // Before the first event of an incarnation, the cache is empty.
+        let starts_incarnation = event.incarnation > last.0 && event.sequence == FIRST_EVENT;
+        let is_next = event.incarnation == last.0 && event.sequence == last.1.next();
+        let is_contiguous = starts_incarnation || (is_next && cache.is_synced);
         cache.incarnation = event.incarnation;
         cache.sequence = event.sequence;
-        if begins {
-            self.forget(key);
-            self.set_known(key, true);
+        if starts_incarnation {
+            self.clear_digests(key);
+            self.set_synced(key, true);
         }
         match &event.change {
             CacheChange::Snapshot(digests) => {
-                self.forget(key);
-                self.set_known(key, true);
+                self.clear_digests(key);
+                self.set_synced(key, true);
                 self.store(key, digests);
             }
-            // What was evicted meanwhile is not known. Counting on it would send prompts to engines
-            // for a hit that is not there, so nothing counts until the snapshot.
-            _ if !follows => {
-                self.forget(key);
-                self.set_known(key, false);
+            // A lost event may have evicted any prefix. Trusting the old content would route prompts to
+            // engines that no longer cache them, so no prefix counts until the next snapshot.
+            _ if !is_contiguous => {
+                self.clear_digests(key);
+                self.set_synced(key, false);
                 return CacheOutcome::ResyncNeeded;
             }
             CacheChange::Stored(digests) => self.store(key, digests),
@@ -134,15 +135,17 @@
         CacheOutcome::Applied
     }
 
-    /// Forgets an engine.
+    /// Removes an engine and its prefixes.
     pub(crate) fn remove(&mut self, key: EngineKey) {
-        self.forget(key);
+        self.clear_digests(key);
         self.caches.remove(key);
     }
 
-    /// Tokens of the longest of `prefixes`, which rise in length, that the engine holds.
+    /// Returns the length in tokens of the longest of `prefixes` that the engine caches, or 0.
+    ///
+    /// `prefixes` must be in order of increasing length.
     pub(crate) fn cached_tokens(&self, key: EngineKey, prefixes: &[PromptPrefix]) -> u32 {
-        let Some(cache) = self.caches.get(key).filter(|cache| cache.is_known) else {
+        let Some(cache) = self.caches.get(key).filter(|cache| cache.is_synced) else {
             return 0;
         };
         prefixes
@@ -152,7 +155,7 @@
             .map_or(0, |prefix| prefix.tokens)
     }
 
-    /// Some engines that hold the longest prefix that any engine holds.
+    /// Returns some engines that cache the longest of `prefixes` that any engine caches.
     pub(crate) fn holders(&self, prefixes: &[PromptPrefix]) -> &[EngineKey] {
         prefixes
             .iter()
@@ -161,9 +164,9 @@
             .map_or(&[], Vec::as_slice)
     }
 
-    fn set_known(&mut self, key: EngineKey, is_known: bool) {
+    fn set_synced(&mut self, key: EngineKey, is_synced: bool) {
         if let Some(cache) = self.caches.get_mut(key) {
-            cache.is_known = is_known;
+            cache.is_synced = is_synced;
         }
     }
 
@@ -187,20 +190,20 @@
             if let Some(cache) = self.caches.get_mut(key) {
                 cache.digests.remove(digest);
             }
-            self.drop_holder(key, *digest);
+            self.remove_holder(key, *digest);
         }
     }
 
-    fn forget(&mut self, key: EngineKey) {
+    fn clear_digests(&mut self, key: EngineKey) {
         let Some(cache) = self.caches.get_mut(key) else {
             return;
         };
         for digest in std::mem::take(&mut cache.digests) {
-            self.drop_holder(key, digest);
+            self.remove_holder(key, digest);
         }
     }
 
-    fn drop_holder(&mut self, key: EngineKey, digest: PrefixDigest) {
+    fn remove_holder(&mut self, key: EngineKey, digest: PrefixDigest) {
         let Some(holders) = self.holders.get_mut(&digest) else {
             return;
         };
--- a/crates/coordination/src/routing/repair.rs
+++ b/crates/coordination/src/routing/repair.rs
@@ -1,9 +1,9 @@
-//! Repair of a pipeline in use: other engines in place of those that are lost.
+//! Repairs the pipeline of a running request by replacing its lost engines.
 //!
-//! A draft that begins anew elsewhere works through its whole prompt again, is one more request at a
-//! service, and takes memory on every stage. With the lost stages alone replaced, the others keep what
-//! they hold. After a rack is lost that is the difference between a few stages and hundreds of drafts
-//! that all begin again at once on what is left.
+//! A draft that restarts elsewhere processes its whole prompt again, adds a request to a service, and
+//! uses memory on every stage. If only the lost stages are replaced, the other stages keep their KV
+//! cache. After the loss of a rack, a repair recomputes a few stages, while a restart would make
+//! hundreds of drafts begin again at the same time on the remaining engines.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,19 @@
 use super::view::{ChoiceContext, StageTime, engine_time, span_share};
 use crate::base::LayerRange;
 
-/// Best way found from the start of a gap to a layer within it.
+/// Fastest sequence of stages found from the start of a gap to a layer within it.
 #[derive(Clone, Debug, Default)]
-struct GapWay {
+struct GapPath {
     time: StageTime,
     stages: Vec<RouteStage>,
 }
 
-/// The pipeline with its stages on excluded engines replaced. The first stage holds the request and
-/// can't be replaced.
+/// Returns `plan` with its stages on excluded engines replaced.
+///
+/// The first stage holds the request, so it can't be replaced.
 ///
 /// # Errors
-/// The first stage is excluded, or no engines can take the place of others.
+/// Fails if the first stage is excluded, or if no usable engines cover the layers of the lost stages.
 pub(crate) fn repair_route(
     context: &ChoiceContext<'_>,
     plan: &RoutePlan,
@@ -36,32 +37,32 @@
     }
     let mut stages: Vec<RouteStage> = Vec::with_capacity(plan.stages.len());
     let mut time = StageTime::default();
-    let mut rest = plan.stages.as_slice();
-    while let Some(stage) = rest.first() {
-        let lost = rest.iter().take_while(|stage| is_lost(stage)).count();
-        if lost == 0 {
-            // It has worked through the prompt already.
+    let mut remaining = plan.stages.as_slice();
+    while let Some(stage) = remaining.first() {
+        let lost_count = remaining.iter().take_while(|stage| is_lost(stage)).count();
+        if lost_count == 0 {
+            // The stage has already processed the prompt.
             let cached_tokens = context.query.prompt_tokens;
-            let kept = RouteStage {
+            let kept_stage = RouteStage {
                 cached_tokens,
                 ..stage.clone()
             };
-            stages.push(kept);
-            rest = &rest[1..];
+            stages.push(kept_stage);
+            remaining = &remaining[1..];
             continue;
         }
         let gap = LayerRange {
             first: stage.layers.first,
-            end: rest[lost - 1].layers.end,
+            end: remaining[lost_count - 1].layers.end,
         };
-        let taken = |key: EngineKey| {
+        let is_in_use = |key: EngineKey| {
             let is_kept = |stage: &RouteStage| stage.engine == key && !is_lost(stage);
             plan.stages.iter().any(is_kept) || stages.iter().any(|stage| stage.engine == key)
         };
-        let way = fill_gap(context, gap, taken)?;
-        time = time.plus(way.time);
-        stages.extend(way.stages);
-        rest = &rest[lost..];
+        let path = fill_gap(context, gap, is_in_use)?;
+        time = time.plus(path.time);
+        stages.extend(path.stages);
+        remaining = &remaining[lost_count..];
     }
     Ok(RoutePlan {
         stages,
@@ -71,14 +72,20 @@
     })
 }
 
-/// Engines that run `gap` with the earliest predicted end, none of them `taken` or named twice.
-fn fill_gap<F>(context: &ChoiceContext<'_>, gap: LayerRange, taken: F) -> Result<GapWay, NoRoute>
+/// Returns the stages that run `gap` with the earliest predicted finish.
+///
+/// Skips engines for which `is_in_use` is true, and uses no engine twice.
+fn fill_gap<F>(
+    context: &ChoiceContext<'_>,
+    gap: LayerRange,
+    is_in_use: F,
+) -> Result<GapPath, NoRoute>
 where
     F: Fn(EngineKey) -> bool,
 {
     let mut counts = RejectCounts::default();
     let mut usable: Vec<(EngineKey, &EngineRecord)> = Vec::new();
-    for (key, engine) in context.fleet.iter().filter(|(key, _)| !taken(*key)) {
+    for (key, engine) in context.fleet.iter().filter(|(key, _)| !is_in_use(*key)) {
         if !overlaps(context, engine, gap) {
             continue;
         }
@@ -87,13 +94,13 @@
             Err(reason) => counts.add(reason),
         }
     }
-    let mut ways = BTreeMap::from([(gap.first, GapWay::default())]);
-    while let Some((layer, way)) = ways.pop_first() {
+    let mut paths = BTreeMap::from([(gap.first, GapPath::default())]);
+    while let Some((layer, path)) = paths.pop_first() {
         if layer == gap.end {
-            return Ok(way);
+            return Ok(path);
         }
         for (key, engine) in &usable {
-            extend_way(context, &mut ways, &way, (*key, engine), layer, gap.end);
+            extend_path(context, &mut paths, &path, (*key, engine), layer, gap.end);
         }
     }
     let reasons = vec![NoRouteReason::Rejected {
@@ -114,35 +121,39 @@
         && gap.first < layers.end
 }
 
-fn extend_way(
+fn extend_path(
     context: &ChoiceContext<'_>,
-    ways: &mut BTreeMap<u32, GapWay>,
-    way: &GapWay,
+    paths: &mut BTreeMap<u32, GapPath>,
+    path: &GapPath,
     (key, engine): (EngineKey, &EngineRecord),
     layer: u32,
     gap_end: u32,
 ) {
-    let held = engine.announcement.layers;
-    let is_named = way.stages.iter().any(|stage| stage.engine == key);
-    if is_named || layer < held.first || held.end <= layer {
+    let engine_layers = engine.announcement.layers;
+    let is_used = path.stages.iter().any(|stage| stage.engine == key);
+    if is_used || layer < engine_layers.first || engine_layers.end <= layer {
         return;
     }
-    let end = held.end.min(gap_end);
-    let run = LayerRange { first: layer, end };
-    let part = f64::from(run.len()) / f64::from(held.len().max(1)) / span_share(held, layer);
-    let fresh = f64::from(context.query.prompt_tokens);
-    let time = way.time.plus(engine_time(engine, fresh, layer).times(part));
+    let end = engine_layers.end.min(gap_end);
+    let stage_layers = LayerRange { first: layer, end };
+    let share = f64::from(stage_layers.len())
+        / f64::from(engine_layers.len().max(1))
+        / span_share(engine_layers, layer);
+    let prompt_tokens = f64::from(context.query.prompt_tokens);
+    let time = path
+        .time
+        .plus(engine_time(engine, prompt_tokens, layer).times(share));
     let expected = context.query.expected_tokens;
-    let is_better = |known: &GapWay| time.finish(expected) < known.time.finish(expected);
-    if ways.get(&end).is_some_and(|known| !is_better(known)) {
+    let is_better = |known: &GapPath| time.finish(expected) < known.time.finish(expected);
+    if paths.get(&end).is_some_and(|known| !is_better(known)) {
         return;
     }
-    let mut stages = way.stages.clone();
+    let mut stages = path.stages.clone();
     stages.push(RouteStage {
         engine: key,
         server: engine.announcement.server.clone(),
-        layers: run,
+        layers: stage_layers,
         cached_tokens: 0,
     });
-    ways.insert(end, GapWay { time, stages });
+    paths.insert(end, GapPath { time, stages });
 }
--- a/crates/coordination/src/routing/search.rs
+++ b/crates/coordination/src/routing/search.rs
@@ -1,8 +1,8 @@
-//! Complete search for a pipeline, when a policy's few samples found none.
+//! Full search for a pipeline, for cases where the samples of a policy find none.
 //!
-//! A refusal must be true: before the caller is told that there is no route, every engine that
-//! could run a stage has been looked at. It costs time that grows with the engines of the model,
-//! and is reached only where nearly all of them are rejected.
+//! A request may be refused only if no route exists, so the search checks every engine that could
+//! run a stage. Its cost grows with the number of engines of the model, but it runs only where
+//! nearly all of them are rejected.
 
 use std::collections::BTreeMap;
 
@@ -12,50 +12,53 @@
 use super::settings::ChainScope;
 use super::view::{ChoiceContext, WalkPoint};
 
-/// Best way found to a layer.
+/// Fastest partial pipeline found that ends at a layer.
 #[derive(Clone, Debug)]
-struct BestWay {
+struct PartialPath {
     seconds: f64,
     point: WalkPoint,
     stages: Vec<EngineKey>,
 }
 
-/// What the search found.
+/// Result of the search.
 pub(crate) enum SearchOutcome {
-    /// Engines of a whole pipeline.
+    /// Engines of a complete pipeline, in order.
     Found(Vec<EngineKey>),
-    /// No pipeline; where and why, and whether ejected engines stood in the way.
+    /// No pipeline exists. Holds the rejections by layer, and whether any engine was rejected as
+    /// ejected.
     Missing {
         reasons: Vec<NoRouteReason>,
         has_ejected: bool,
     },
 }
 
-/// Start of every walk.
+/// Returns the point at which every walk starts.
+///
+/// A route restricted to one data centre starts there if the chain scope is one data centre.
 pub(crate) fn start_point(context: &ChoiceContext<'_>) -> WalkPoint {
-    let alone = context.settings.chain_scope == ChainScope::WithinDataCentre;
+    let is_local = context.settings.chain_scope == ChainScope::WithinDataCentre;
     WalkPoint {
         layer: 0,
-        data_centre: context.within.filter(|_| alone).unwrap_or(ENTRY),
+        data_centre: context.within.filter(|_| is_local).unwrap_or(ENTRY),
         link_rate: None,
     }
 }
 
-/// Looks for the pipeline with the earliest predicted finish over all engines.
+/// Searches all engines for the pipeline with the earliest predicted finish.
 pub(crate) fn search(context: &ChoiceContext<'_>) -> SearchOutcome {
-    let start = BestWay {
+    let start = PartialPath {
         seconds: 0.0,
         point: start_point(context),
         stages: Vec::new(),
     };
-    let mut ways = BTreeMap::from([(0, start)]);
+    let mut paths = BTreeMap::from([(0, start)]);
     let mut reasons = Vec::new();
     let mut has_ejected = false;
-    while let Some((layer, way)) = ways.pop_first() {
+    while let Some((layer, path)) = paths.pop_first() {
         if layer == context.graph.id.layers {
-            return SearchOutcome::Found(way.stages);
+            return SearchOutcome::Found(path.stages);
         }
-        let counts = extend_way(context, &way, &mut ways);
+        let counts = extend_path(context, &path, &mut paths);
         has_ejected |= counts.ejected > 0;
         if counts != RejectCounts::default() {
             reasons.push(NoRouteReason::Rejected {
@@ -71,13 +74,13 @@
     }
 }
 
-fn extend_way(
+fn extend_path(
     context: &ChoiceContext<'_>,
-    way: &BestWay,
-    ways: &mut BTreeMap<u32, BestWay>,
+    path: &PartialPath,
+    paths: &mut BTreeMap<u32, PartialPath>,
 ) -> RejectCounts {
     let mut counts = RejectCounts::default();
-    let Some(boundary) = context.graph.boundaries.get(&way.point.layer) else {
+    let Some(boundary) = context.graph.boundaries.get(&path.point.layer) else {
         return counts;
     };
     let groups = boundary
@@ -85,7 +88,7 @@
         .iter()
         .filter_map(|key| context.graph.groups.get(*key));
     for key in groups.flat_map(|group| group.members.iter().copied()) {
-        if let Err(reason) = try_engine(context, way, key, ways) {
+        if let Err(reason) = try_engine(context, path, key, paths) {
             counts.add(reason);
         }
     }
@@ -94,30 +97,33 @@
 
 fn try_engine(
     context: &ChoiceContext<'_>,
-    way: &BestWay,
+    path: &PartialPath,
     key: EngineKey,
-    ways: &mut BTreeMap<u32, BestWay>,
+    paths: &mut BTreeMap<u32, PartialPath>,
 ) -> Result<(), RejectReason> {
     let Some(engine) = context.fleet.get(key) else {
         return Ok(());
     };
     context.check(key, engine)?;
-    let time = context.predict(key, engine, &way.point);
-    let seconds = way.seconds + time.finish(context.query.expected_tokens);
+    let time = context.predict(key, engine, &path.point);
+    let seconds = path.seconds + time.finish(context.query.expected_tokens);
     let end = engine.announcement.layers.end;
-    if ways.get(&end).is_some_and(|known| known.seconds <= seconds) {
+    if paths
+        .get(&end)
+        .is_some_and(|known| known.seconds <= seconds)
+    {
         return Ok(());
     }
-    let mut stages = way.stages.clone();
+    let mut stages = path.stages.clone();
     stages.push(key);
     let point = WalkPoint {
         layer: end,
         data_centre: engine.data_centre,
         link_rate: Some(engine.announcement.link_rate),
     };
-    ways.insert(
+    paths.insert(
         end,
-        BestWay {
+        PartialPath {
             seconds,
             point,
             stages,
--- a/crates/coordination/src/routing/unit.rs
+++ b/crates/coordination/src/routing/unit.rs
@@ -1,4 +1,4 @@
-//! Units of routing: token and byte rates, token counts.
+//! Units: token rates, byte rates and token counts.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 }
 
 unit_type!(
-    /// Tokens a second.
+    /// A rate in tokens per second.
     TokenRate(u32)
 );
 unit_type!(
-    /// Bytes a second.
+    /// A rate in bytes per second.
     ByteRate(u64)
 );
 unit_type!(
@@ -31,24 +31,24 @@
 );
 
 impl TokenRate {
-    /// Tokens a second, for arithmetic.
+    /// Returns the rate in tokens per second as a float.
     pub fn per_second(self) -> f64 {
         f64::from(self.0)
     }
 
-    /// Seconds that `tokens` take at this rate; infinite at rate 0.
+    /// Returns the seconds that `tokens` take at this rate; infinite at rate 0.
     pub fn seconds_for(self, tokens: f64) -> f64 {
         tokens / self.per_second()
     }
 }
 
 impl ByteRate {
-    /// Bytes a second, for arithmetic.
+    /// Returns the rate in bytes per second as a float.
     pub fn per_second(self) -> f64 {
         self.0 as f64
     }
 
-    /// The slower of two rates in a row.
+    /// Returns the lower of two rates: the rate of two links in series.
     #[must_use]
     pub fn slower(self, other: Self) -> Self {
         self.min(other)
@@ -56,13 +56,13 @@
 }
 
 impl TokenCount {
-    /// The count, for arithmetic.
+    /// Returns the count as a float.
     pub fn as_f64(self) -> f64 {
         self.0 as f64
     }
 }
 
-/// A duration of `seconds`; the maximum where that is infinite or out of range, zero where negative.
+/// Converts seconds to a duration: the maximum if infinite or out of range, zero if negative or NaN.
 pub(crate) fn duration_of(seconds: f64) -> Duration {
     if seconds.is_nan() || seconds <= 0.0 {
         return Duration::ZERO;
