--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -1,9 +1,10 @@
-//! Leases of backend servers: who may get new work, and until when.
+//! Leases of backend servers. A server may get new work until its lease expires.
 //!
-//! A backend server announces itself to any entry, and each entry hears the others' announcements
-//! as deltas, late, twice and out of order. [`LeaseTable::merge`] therefore orders announcements by
-//! (incarnation, sequence) alone and never by arrival. [`LeaseTable::tick`] acts when leases run
-//! out; [`LeaseTable::delta`] feeds the other entries.
+//! A backend server sends its announcements to any entry, and the entries replicate them to each
+//! other as deltas, which can arrive late, twice or out of order. [`LeaseTable::merge`] therefore
+//! orders announcements by (incarnation, sequence) and ignores the order of arrival.
+//! [`LeaseTable::tick`] expires leases; [`LeaseTable::delta`] returns the changes to send to other
+//! entries.
 
 mod assignment;
 mod batch;
@@ -42,37 +43,38 @@
     pub struct LeaseKey;
 }
 
-/// Leases of all backend servers that this host has heard of.
+/// Leases of all backend servers known to this host.
 ///
 /// Invariants: `by_name` holds each lease of `leases` once; `by_expiry` holds each lease once,
-/// under its present deadline; neither a version in `by_version` nor a lease's number is reused.
+/// under its current deadline; neither a version in `by_version` nor a lease's number is reused.
 #[derive(Debug)]
 pub struct LeaseTable {
     settings: BackendLeaseSettings,
-    /// Tells this table from that of an earlier process of the host.
-    table: Incarnation,
+    /// Distinguishes this table from the table of an earlier process of the same host.
+    incarnation: Incarnation,
     leases: SlotMap<LeaseKey, ServerLease>,
     by_name: BTreeMap<ServerName, LeaseKey>,
     by_expiry: BTreeSet<(MonotonicTime, LeaseKey)>,
     by_version: BTreeMap<u64, LeaseKey>,
     version: u64,
-    /// Number of the lease that was added last.
+    /// Number of the lease added last.
     last_number: LeaseNumber,
-    /// Numbers that other hosts gave to leases held here.
+    /// For each sending host, its lease numbers and the leases of this table they refer to.
     numbers: BTreeMap<HostName, NumberMap>,
 }
 
 impl LeaseTable {
-    /// An empty table.
+    /// Creates a table without leases and with table incarnation 0.
     pub fn new(settings: BackendLeaseSettings) -> Self {
         Self::with_incarnation(settings, Incarnation(0))
     }
 
-    /// An empty table whose numbers are told from those of others of the host by `table`.
-    pub fn with_incarnation(settings: BackendLeaseSettings, table: Incarnation) -> Self {
+    /// Creates a table without leases whose batches carry `incarnation`, so that receivers can
+    /// distinguish its lease numbers from those of an earlier process of this host.
+    pub fn with_incarnation(settings: BackendLeaseSettings, incarnation: Incarnation) -> Self {
         Self {
             settings,
-            table,
+            incarnation,
             leases: SlotMap::with_key(),
             by_name: BTreeMap::new(),
             by_expiry: BTreeSet::new(),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes an announcement that came to this host.
+    /// Merges an announcement that a backend server sent to this host.
     pub fn merge(&mut self, now: MonotonicTime, announce: ServerAnnounce) -> MergeVerdict {
         self.merge_announce(now, announce, Duration::ZERO, LeaseSource::Server)
     }
@@ -100,8 +102,9 @@
         }
         let receipt = AnnounceReceipt {
             heard_at: now.before(age),
-            // Not counted from `heard_at`, which is held at the start of this process: a delta
-            // that outlived a restart of its receiver would then renew for a whole lease.
+            // The deadline isn't computed from `heard_at`, because `heard_at` cannot be earlier
+            // than the start of this process: a delta sent before a restart of the receiver would
+            // then renew the lease for its full duration.
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
@@ -111,57 +114,61 @@
         }
     }
 
-    /// Ends the leases that ran out and forgets servers after the retention; call it every tick.
+    /// Ends expired leases and removes servers whose retention has passed. Callers run it on every
+    /// tick.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<LeaseEvent> {
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         while let Some((deadline, key)) = self.by_expiry.first().copied() {
             if deadline > now {
                 break;
             }
             self.by_expiry.pop_first();
-            news.extend(self.expire(now, key));
+            events.extend(self.expire(now, key));
         }
-        self.forget_numbers(now);
-        news
+        self.remove_expired_numbers(now);
+        events
     }
 
     /// Whether `server` may get new work at `now`.
     ///
-    /// Asked at the moment of the effect: a process that was paused holds old state, and a server
-    /// that left meanwhile would get work if only the last tick were asked.
+    /// The answer depends on `now` and not on the last [`LeaseTable::tick`]: after a pause of this
+    /// process the table is out of date, and a server whose lease expired during the pause would
+    /// get work. Callers check it immediately before they send work.
     pub fn may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         self.get(server).is_some_and(|lease| lease.is_serving(now))
     }
 
-    /// Whether `announce` brings nothing but a heartbeat of a server that may get new work.
+    /// Whether `announce` is only a heartbeat: the server may get new work and its content is
+    /// unchanged.
     pub fn is_renewal(&self, now: MonotonicTime, announce: &ServerAnnounce) -> bool {
         let lease = self.get(&announce.server);
         lease.is_some_and(|lease| lease.is_serving(now) && !lease.differs_from(announce))
     }
 
-    /// The lease of `server`.
+    /// Returns the lease of `server`, which may have ended.
     pub fn get(&self, server: &ServerName) -> Option<&ServerLease> {
         self.leases.get(*self.by_name.get(server)?)
     }
 
-    /// All leases by server name.
+    /// Iterates over all leases in the order of server names.
     pub fn iter(&self) -> impl Iterator<Item = &ServerLease> {
         self.by_name
             .values()
             .filter_map(|key| self.leases.get(*key))
     }
 
-    /// Number of servers held, ended leases included until they are forgotten.
+    /// Number of servers in the table, including servers with ended leases until their removal.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether no server is held.
+    /// Whether the table contains no server.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Time at which [`LeaseTable::tick`] has something to do.
+    /// Time at which [`LeaseTable::tick`] next ends a lease or removes a server; `None` for an
+    /// empty table.
     pub fn next_deadline(&self) -> Option<MonotonicTime> {
         self.by_expiry.first().map(|(deadline, _)| *deadline)
     }
@@ -193,9 +200,9 @@
         if !lease.is_older_than(announce.incarnation, announce.sequence) {
             return MergeVerdict::Stale;
         }
-        // A heartbeat sent before the leave can arrive after it with a higher sequence when the
-        // server's threads race. Work would go to a server that is closing down. Only a new
-        // incarnation, which the server takes at its next start, ends a leave.
+        // When the server's threads race, a heartbeat sent before the leave can arrive after it
+        // with a higher sequence. Accepting it would send work to a server that is shutting down.
+        // Only a new incarnation, which the server takes at its next start, ends a leave.
         if lease.announce.state == ServerState::Leaving
             && announce.incarnation == lease.announce.incarnation
         {
@@ -206,7 +213,8 @@
         self.renew(key, announce, receipt, changed)
     }
 
-    /// The server of a lease was heard again, by a host that says no more than that.
+    /// Renews a lease whose content and load are unchanged. Returns `None` if the renewal isn't
+    /// newer, has reached the lease duration, or belongs to another incarnation.
     fn renew_unchanged(
         &mut self,
         now: MonotonicTime,
@@ -258,7 +266,7 @@
         let lease = self.leases.get_mut(key)?;
         let server = lease.announce.server.clone();
         if lease.ended {
-            self.forget(key);
+            self.remove(key);
             return Some(LeaseEvent::Forgotten { server });
         }
         lease.ended = true;
@@ -267,7 +275,7 @@
         Some(LeaseEvent::Ended { server })
     }
 
-    fn forget(&mut self, key: LeaseKey) {
+    fn remove(&mut self, key: LeaseKey) {
         let Some(lease) = self.leases.remove(key) else {
             return;
         };
--- a/crates/coordination/src/leases/assignment.rs
+++ b/crates/coordination/src/leases/assignment.rs
@@ -1,9 +1,9 @@
-//! Which host takes the heartbeats of a backend server.
+//! Assignment of backend servers to the hosts that receive their heartbeats.
 //!
-//! A server announces itself to a keeper, which names another host for its later heartbeats: one of
-//! the server's data centre, by rendezvous hashing, so that every keeper names the same and a host that
-//! comes or goes moves its own share only. A server that is back with nothing new could not reach that
-//! host, and is named the next one.
+//! A server announces itself to a keeper, which assigns a host of the server's data centre for the
+//! following heartbeats. The keeper uses rendezvous hashing, so every keeper assigns the same host,
+//! and a host that joins or leaves moves only its own servers. A server that returns to the keeper
+//! with an unchanged announcement could not reach its host; the keeper assigns the next one.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,71 +15,75 @@
 use super::subset::weight;
 use crate::base::{DataCentreName, HostName, MonotonicTime, ServerName};
 
-/// Time between two looks for servers that can be forgotten.
-const FORGET_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two scans for servers that can be removed.
+const SCAN_PERIOD: Duration = Duration::from_secs(1);
 
-/// How heartbeats are assigned.
+/// Settings of an [`AssignmentTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignmentSettings {
-    /// Time for which a host that a server could not reach is not named to it again.
-    pub avoided: Duration,
-    /// Servers that came back and are remembered, at most.
+    /// Time after the last return of a server during which the keeper does not assign it a host
+    /// that it could not reach.
+    #[serde(rename = "avoided")]
+    pub avoid_duration: Duration,
+    /// Maximum number of returned servers in the table.
     pub max_servers: usize,
 }
 
 impl Default for AssignmentSettings {
     fn default() -> Self {
         Self {
-            avoided: Duration::from_secs(30),
+            avoid_duration: Duration::from_secs(30),
             max_servers: 20_000,
         }
     }
 }
 
-/// A host that takes heartbeats.
+/// A host that receives heartbeats of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatHost {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreName,
-    /// Where it takes them.
+    /// Address at which the host receives heartbeats.
     pub address: SocketAddr,
 }
 
-/// What one keeper named to servers.
+/// Assigns heartbeat hosts to servers and records the servers that returned to this keeper.
 #[derive(Clone, Debug)]
 pub struct AssignmentTable {
     settings: AssignmentSettings,
-    /// Servers that came back.
+    /// Servers that returned, with the hosts to avoid.
     returned: BTreeMap<ServerName, ReturnedServer>,
-    /// When those that are long settled were forgotten last.
-    forgot_at: MonotonicTime,
+    /// Time of the last scan for servers that can be removed.
+    scanned_at: MonotonicTime,
 }
 
-/// A server that came back to a keeper.
+/// A server that returned to this keeper instead of its assigned host.
 #[derive(Clone, Debug)]
 struct ReturnedServer {
-    /// Hosts that it could not reach.
+    /// Hosts that the server could not reach.
     avoided: Vec<HostName>,
-    named: Option<HostName>,
+    /// Host assigned last; `None` if no host was available.
+    assigned: Option<HostName>,
     returned_at: MonotonicTime,
 }
 
 impl AssignmentTable {
-    /// A table that remembers no server.
+    /// Creates a table without returned servers.
     pub fn new(settings: AssignmentSettings) -> Self {
         Self {
             settings,
             returned: BTreeMap::new(),
-            forgot_at: MonotonicTime::START,
+            scanned_at: MonotonicTime::START,
         }
     }
 
-    /// The host to name to `server` of `data_centre`; `None` where it is to go on as it does.
+    /// Returns the host for the heartbeats of `server`, which runs in `data_centre`. `None` means
+    /// that no host is available and the server keeps sending heartbeats as before.
     ///
-    /// `is_back` says that it brings nothing but a heartbeat, which the host that was named to it would
-    /// have taken.
+    /// `is_back` means that the server sent only a heartbeat, which it should have sent to its
+    /// assigned host.
     pub fn assign<'hosts>(
         &mut self,
         now: MonotonicTime,
@@ -88,28 +92,28 @@
         is_back: bool,
         hosts: &'hosts [HeartbeatHost],
     ) -> Option<&'hosts HeartbeatHost> {
-        self.forget(now);
-        let near = hosts.iter().filter(|host| host.data_centre == *data_centre);
-        let mut ranked: Vec<&HeartbeatHost> = near.collect();
+        self.remove_expired(now);
+        let local = hosts.iter().filter(|host| host.data_centre == *data_centre);
+        let mut ranked: Vec<&HeartbeatHost> = local.collect();
         ranked.sort_by_cached_key(|host| Reverse((weight(server, &host.host), host.host.clone())));
         if is_back {
-            self.note_return(now, server, ranked.first().map(|host| &host.host));
+            self.record_return(now, server, ranked.first().map(|host| &host.host));
         }
         let returned = self.returned.get_mut(server);
         let avoided = returned.as_ref().map(|returned| returned.avoided.clone());
         let avoided = avoided.unwrap_or_default();
-        let named = ranked
+        let assigned = ranked
             .into_iter()
             .find(|host| !avoided.contains(&host.host));
         if let Some(returned) = returned {
-            returned.named = named.map(|host| host.host.clone());
+            returned.assigned = assigned.map(|host| host.host.clone());
         }
-        named
+        assigned
     }
 
-    /// A server is back: it did not reach the host that was named to it, by this keeper or, as far as it
-    /// can tell, by another one.
-    fn note_return(&mut self, now: MonotonicTime, server: &ServerName, first: Option<&HostName>) {
+    /// Records that a server could not reach its assigned host. If this keeper assigned none, the
+    /// host is assumed to be `first`, which another keeper would have assigned.
+    fn record_return(&mut self, now: MonotonicTime, server: &ServerName, first: Option<&HostName>) {
         if !self.returned.contains_key(server) && self.returned.len() >= self.settings.max_servers {
             return;
         }
@@ -118,23 +122,25 @@
             .entry(server.clone())
             .or_insert_with(|| ReturnedServer {
                 avoided: Vec::new(),
-                named: None,
+                assigned: None,
                 returned_at: now,
             });
         returned.returned_at = now;
-        let missed = returned.named.take().or_else(|| first.cloned());
-        if let Some(missed) = missed.filter(|missed| !returned.avoided.contains(missed)) {
-            returned.avoided.push(missed);
+        let unreachable = returned.assigned.take().or_else(|| first.cloned());
+        if let Some(unreachable) =
+            unreachable.filter(|unreachable| !returned.avoided.contains(unreachable))
+        {
+            returned.avoided.push(unreachable);
         }
     }
 
-    fn forget(&mut self, now: MonotonicTime) {
-        if now.since(self.forgot_at) < FORGET_PERIOD {
+    fn remove_expired(&mut self, now: MonotonicTime) {
+        if now.since(self.scanned_at) < SCAN_PERIOD {
             return;
         }
-        self.forgot_at = now;
-        let avoided = self.settings.avoided;
+        self.scanned_at = now;
+        let avoid_duration = self.settings.avoid_duration;
         self.returned
-            .retain(|_, returned| now.since(returned.returned_at) < avoided);
+            .retain(|_, returned| now.since(returned.returned_at) < avoid_duration);
     }
 }
--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -1,9 +1,10 @@
-//! Batches of leases as one host tells another: what is new by name, heartbeats by number.
+//! Batches of leases that one host sends to another: new and changed leases by server name,
+//! heartbeats by lease number.
 //!
-//! Where hosts find each other, a heartbeat goes up from the host that took it to the keeper which
-//! that host follows, across to the other keepers, and down to the hosts that follow those. What each
-//! of them is told is a [`LeaseScope`]. Ages only grow on the way, so a word that comes back by a
-//! detour renews nothing.
+//! With host discovery, the host that received a heartbeat sends it to the keeper it follows. That
+//! keeper sends it to the other keepers, and each keeper sends it to the hosts that follow it. A
+//! [`LeaseScope`] selects the leases for each of these receivers. The age of a renewal only grows
+//! on the way, so a renewal that returns to its sender by another path renews nothing.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,22 +17,23 @@
 };
 use crate::base::{HostName, Incarnation, MonotonicTime, ServerName};
 
-/// Time without a word after which the numbers of a sender are forgotten; it is asked for them again.
-const NUMBERS_KEPT: Duration = Duration::from_secs(30);
+/// Time since the last batch of a sender after which its lease numbers are removed. If the sender
+/// returns, the receiver requests the numbers again.
+const NUMBER_RETENTION: Duration = Duration::from_secs(30);
 
-/// Which leases a receiver is told.
+/// Selects the leases that a receiver is sent, by the source of the announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseScope {
-    /// Those of servers that this host heard itself.
+    /// Leases of servers that sent their announcement to this host.
     Own,
-    /// Those, and what hosts that follow this keeper heard.
+    /// `Own`, and leases received from hosts that follow this keeper.
     OwnAndFollowers,
-    /// All.
+    /// Leases from every source.
     All,
 }
 
 impl LeaseScope {
-    /// Whether leases heard `from` there are in it.
+    /// Whether the scope contains leases whose announcement came `from` that source.
     pub fn includes(self, from: LeaseSource) -> bool {
         match self {
             Self::Own => from == LeaseSource::Server,
@@ -41,66 +43,71 @@
     }
 }
 
-/// How a receiver is told of leases for the first time.
+/// Form in which a receiver gets a lease for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialSync {
-    /// With their contents: it holds none.
+    /// With its content, for a receiver that has no leases.
     Full,
-    /// By name: another host told it the contents, and it asks for what it lacks.
+    /// By server name and digest, for a receiver that got the content from another host. It
+    /// requests the content that it lacks.
     NamesOnly,
 }
 
-/// A lease by name, and its number from now on.
+/// A lease by server name, with the number that later batches of the sender use for it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedLease {
-    /// Number at the sender.
+    /// Number of the lease in the sender's table.
     pub number: LeaseNumber,
-    /// What is told of it.
+    /// Content or renewal of the lease.
     pub delta: LeaseDelta,
 }
 
-/// What one host tells another of leases.
+/// Leases and renewals that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseBatch {
-    /// Table whose numbers these are: a process that starts anew numbers anew.
+    /// Incarnation of the sender's table. The lease numbers are valid only for this incarnation,
+    /// because a restarted process assigns new numbers.
     pub table: Incarnation,
-    /// Leases that are new to the receiver or changed.
+    /// Leases that are new to the receiver or have changed.
     pub named: Vec<NamedLease>,
-    /// Heartbeats of leases that were named before.
-    pub heard: PackedRenewals,
+    /// Heartbeats of leases whose number the receiver already has.
+    #[serde(rename = "heard")]
+    pub renewals: PackedRenewals,
 }
 
 impl LeaseBatch {
-    /// Whether it tells nothing.
+    /// Whether the batch contains no lease and no renewal.
     pub fn is_empty(&self) -> bool {
-        self.named.is_empty() && self.heard.is_empty()
+        self.named.is_empty() && self.renewals.is_empty()
     }
 }
 
-/// What became of a batch.
+/// Result of merging a batch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchOutcome {
-    /// Servers whose leases changed or were renewed.
+    /// Servers of the processed leases, with the verdict on each.
     pub merged: Vec<(ServerName, MergeVerdict)>,
-    /// Servers whose announcements must be asked for.
+    /// Servers whose full announcements must be requested from the sender.
     pub unknown_servers: Vec<ServerName>,
-    /// Numbers that must be asked for.
+    /// Lease numbers whose servers must be requested from the sender.
     pub unknown_numbers: Vec<LeaseNumber>,
-    /// Why heartbeats by number were not taken.
+    /// Why the heartbeats by number were rejected; `None` if they were decoded.
     pub fault: Option<RenewalDecodeError>,
 }
 
-/// Numbers that one sender gave to leases.
+/// Lease numbers of one sender.
 #[derive(Clone, Debug)]
 pub(super) struct NumberMap {
+    /// Incarnation of the sender's table.
     table: Incarnation,
     leases: BTreeMap<LeaseNumber, (LeaseKey, Incarnation)>,
     used_at: MonotonicTime,
 }
 
 impl LeaseTable {
-    /// Leases of `scope` that changed or were renewed after `cursor`, at most `limit` by name, and the new
-    /// cursor. `first` counts for a receiver that was told nothing yet.
+    /// Returns the leases of `scope` that changed or were renewed after `cursor`, with at most
+    /// `limit` leases by name, and the new cursor. `first` applies to a receiver that has not yet
+    /// been sent the whole table.
     pub fn batch(
         &self,
         now: MonotonicTime,
@@ -110,7 +117,7 @@
         first: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         let mut named = Vec::new();
-        let mut heard = Vec::new();
+        let mut renewals = Vec::new();
         let mut reached = cursor.reached;
         let mut complete = cursor.complete;
         let is_first = first == InitialSync::NamesOnly && cursor.complete == 0;
@@ -130,8 +137,8 @@
             if lease.ended || !scope.includes(lease.from) {
                 continue;
             }
-            if !is_first && lease.is_told_by_number(cursor) {
-                heard.push(lease.numbered_renewal(now));
+            if !is_first && lease.is_sent_by_number(cursor) {
+                renewals.push(lease.numbered_renewal(now));
                 continue;
             }
             named.push(NamedLease {
@@ -144,51 +151,54 @@
             });
         }
         let batch = LeaseBatch {
-            table: self.table,
+            table: self.incarnation,
             named,
-            heard: PackedRenewals::pack(heard),
+            renewals: PackedRenewals::pack(renewals),
         };
         (batch, DeltaCursor { complete, reached })
     }
 
-    /// Servers that said since `version` of this table that they leave, to this host or to one that follows
-    /// it, and the present version.
+    /// Returns the leases that changed to leaving after `version` of this table, and the current
+    /// version. It includes only announcements that came from the server itself or from a host
+    /// that follows this keeper.
     pub fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
         let leases = self.by_version.range(version.saturating_add(1)..);
         let leases = leases.filter_map(|(_, key)| self.leases.get(*key));
-        let left = leases.filter(|lease| {
+        let leaving = leases.filter(|lease| {
             lease.content_version > version
                 && lease.announce.state == ServerState::Leaving
                 && LeaseScope::OwnAndFollowers.includes(lease.from)
         });
-        let named = left.map(|lease| lease.named_lease(now));
+        let named = leaving.map(|lease| lease.named_lease(now));
         (named.collect(), self.version)
     }
 
-    /// Full announcements of `servers`, as far as they are held.
+    /// Returns the full announcements of those of `servers` whose lease has not ended.
     pub fn full_leases(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<NamedLease> {
         let leases = servers.iter().filter_map(|server| self.get(server));
         let held = leases.filter(|lease| !lease.ended);
         held.map(|lease| lease.named_lease(now)).collect()
     }
 
-    /// Names of `numbers`, as far as they are held.
+    /// Returns renewals by name for those of `numbers` whose lease has not ended. `numbers` must be
+    /// sorted.
     pub fn leases_by_number(&self, now: MonotonicTime, numbers: &[LeaseNumber]) -> Vec<NamedLease> {
-        let is_asked = |lease: &&ServerLease| numbers.binary_search(&lease.number).is_ok();
+        let is_requested = |lease: &&ServerLease| numbers.binary_search(&lease.number).is_ok();
         let leases = self.leases.values().filter(|lease| !lease.ended);
-        let named = leases.filter(is_asked).map(|lease| NamedLease {
+        let named = leases.filter(is_requested).map(|lease| NamedLease {
             number: lease.number,
             delta: lease.renewal(now, true),
         });
         named.collect()
     }
 
-    /// Number of this table, which its batches carry.
+    /// Incarnation of this table, which its batches carry.
     pub fn table_incarnation(&self) -> Incarnation {
-        self.table
+        self.incarnation
     }
 
-    /// Takes a batch of `sender`; `transit` is the longest time that it may have travelled.
+    /// Merges a batch from `sender`. `transit` is the longest time that the batch can have spent on
+    /// the way; it is added to every age.
     pub fn merge_batch(
         &mut self,
         now: MonotonicTime,
@@ -212,8 +222,8 @@
             }
             outcome.merged.push((server, verdict));
         }
-        match batch.heard.unpack() {
-            Ok(heard) => self.merge_numbered(now, &map, heard, from, transit, &mut outcome),
+        match batch.renewals.unpack() {
+            Ok(renewals) => self.merge_numbered(now, &map, renewals, from, transit, &mut outcome),
             Err(fault) => outcome.fault = Some(fault),
         }
         self.numbers.insert(host.clone(), map);
@@ -224,12 +234,12 @@
         &mut self,
         now: MonotonicTime,
         map: &NumberMap,
-        heard: Vec<NumberedRenewal>,
+        renewals: Vec<NumberedRenewal>,
         from: LeaseSource,
         transit: Duration,
         outcome: &mut BatchOutcome,
     ) {
-        for NumberedRenewal { number, age } in heard {
+        for NumberedRenewal { number, age } in renewals {
             let Some((key, incarnation)) = map.leases.get(&number).copied() else {
                 outcome.unknown_numbers.push(number);
                 continue;
@@ -243,7 +253,8 @@
         }
     }
 
-    /// The numbers of a sender's table, taken out of this one.
+    /// Removes and returns the lease numbers of a sender. Returns an empty map if the sender is new
+    /// or its table has another incarnation.
     fn numbers_of(&mut self, now: MonotonicTime, host: &HostName, table: Incarnation) -> NumberMap {
         let known = self.numbers.remove(host);
         let mut map = known
@@ -257,16 +268,17 @@
         map
     }
 
-    /// Forgets the numbers of senders that say nothing any more.
-    pub(super) fn forget_numbers(&mut self, now: MonotonicTime) {
+    /// Removes the lease numbers of senders without a batch during [`NUMBER_RETENTION`].
+    pub(super) fn remove_expired_numbers(&mut self, now: MonotonicTime) {
         self.numbers
-            .retain(|_, map| now.since(map.used_at) < NUMBERS_KEPT);
+            .retain(|_, map| now.since(map.used_at) < NUMBER_RETENTION);
     }
 }
 
 impl ServerLease {
-    /// Whether the receiver was told name and content, and neither content nor load changed since.
-    fn is_told_by_number(&self, cursor: DeltaCursor) -> bool {
+    /// Whether a renewal by number is enough: the receiver was sent the name and the content, and
+    /// the renewal doesn't have to include the load.
+    fn is_sent_by_number(&self, cursor: DeltaCursor) -> bool {
         let named_at = self.content_version.max(self.from_version);
         named_at <= cursor.complete && !self.includes_load(cursor)
     }
--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -1,8 +1,8 @@
-//! Deltas that spread leases between entries.
+//! Deltas that replicate leases between entries.
 //!
-//! Each host tells every other what it heard from servers themselves, with the age of the news, so
-//! that a lease ends on every host by that host's own clock. An announcement travels in full once
-//! per link and change; heartbeats between travel as renewals of a few bytes.
+//! Each host sends every other host the announcements that it received from the servers themselves,
+//! with their age, so that each host ends a lease by its own clock. A link carries an announcement
+//! in full once per change, and the heartbeats in between as renewals of a few bytes.
 
 use std::time::Duration;
 
@@ -14,68 +14,69 @@
 };
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
-/// Every heartbeat whose number this divides tells its load, moved or not.
+/// A heartbeat whose sequence number is a multiple of this includes its load, even if unchanged.
 ///
-/// Failure: two entries hear neighbouring heartbeats and tell a third; the later renewal carries no
-/// load, since its sender never saw the earlier one's. The third would hold the earlier load until
-/// the next step. By this rule it does so for at most as many heartbeats.
+/// Failure: two entries receive consecutive heartbeats and send them to a third entry. The later
+/// renewal carries no load, because its sender never received the earlier load. The third entry
+/// would keep the earlier load until the next step. This rule limits that to as many heartbeats.
 const LOAD_PERIOD: u64 = 8;
 
-/// How far one receiver has been told.
+/// Versions of the lease table up to which one receiver has been sent the changes.
 ///
 /// Invariant: `complete <= reached`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaCursor {
-    /// All that had changed up to this version of the table was told.
+    /// The receiver was sent every change up to this version.
     ///
-    /// Failure: leases are told in the order of their last renewal, so one that is not told yet may
-    /// have changed before one that is. Judged by `reached` alone it would travel as the renewal of
-    /// content that the receiver never got. `complete` moves only once nothing is left to tell.
+    /// Failure: leases are sent in the order of their last renewal, so an unsent lease may have
+    /// changed before a sent one. With `reached` alone, the unsent lease would go out as a renewal
+    /// of content that the receiver never got. `complete` advances only when nothing is left to
+    /// send.
     pub complete: u64,
-    /// Leases that were last renewed up to this version were told.
+    /// The receiver was sent every lease whose last renewal has at most this version.
     pub reached: u64,
 }
 
-/// One lease that changed or was renewed since the cursor.
+/// A lease that changed or was renewed after the cursor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseDelta {
-    /// The receiver wasn't told this content yet.
+    /// The full announcement, for a receiver that was not sent this content yet.
     #[serde(rename = "f")]
     Full(FullLease),
-    /// Only number, age and perhaps load are new.
+    /// A heartbeat with unchanged content.
     #[serde(rename = "r")]
     Renewal(LeaseRenewal),
 }
 
-/// An announcement in full.
+/// A full announcement with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FullLease {
     /// The announcement.
     pub announce: ServerAnnounce,
-    /// Time since the announcement was heard, in the sender's time.
+    /// Time since a host received the announcement from the server, by the sender's clock.
     pub age: Duration,
 }
 
-/// A heartbeat of a server whose announcement the receiver should hold.
+/// A heartbeat of a server whose announcement the receiver should already have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RenewalFields", into = "RenewalFields")]
 pub struct LeaseRenewal {
-    /// The server.
+    /// Name of the server.
     pub server: ServerName,
-    /// Life of the server's process.
+    /// Incarnation of the server's process.
     pub incarnation: Incarnation,
-    /// Number of the heartbeat.
+    /// Sequence number of the heartbeat.
     pub sequence: SequenceNumber,
-    /// Content that is renewed.
+    /// Digest of the announcement content that is renewed.
     pub digest: ContentDigest,
-    /// Time since the heartbeat was heard, in the sender's time; travels in whole milliseconds,
-    /// rounded up.
+    /// Time since a host received the heartbeat from the server, by the sender's clock. Encoded in
+    /// milliseconds, rounded up.
     pub age: Duration,
-    /// Load, if it moved since it was told.
+    /// Load, if the receiver needs an update.
     pub load: Option<AnnouncedLoad>,
 }
 
-/// Encoded without field names, which would outweigh the figures.
+/// Encoded form without field names, which would take more bytes than the values.
 type RenewalFields = (
     ServerName,
     Incarnation,
@@ -100,7 +101,7 @@
 
 impl From<LeaseRenewal> for RenewalFields {
     fn from(renewal: LeaseRenewal) -> Self {
-        // Rounded up: a lease may end early by a millisecond, never late.
+        // Rounding up can end a lease a millisecond early, but never late.
         let age = renewal.age.as_nanos().div_ceil(1_000_000);
         (
             renewal.server,
@@ -114,7 +115,7 @@
 }
 
 impl LeaseDelta {
-    /// Life of the server's process.
+    /// Incarnation of the server's process.
     pub fn incarnation(&self) -> Incarnation {
         match self {
             Self::Full(full) => full.announce.incarnation,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The server.
+    /// Name of the server.
     pub fn server(&self) -> &ServerName {
         match self {
             Self::Full(full) => &full.announce.server,
@@ -132,12 +133,13 @@
 }
 
 impl LeaseTable {
-    /// Up to `limit` leases that this host heard of itself after `cursor`, oldest first, and the
-    /// new cursor.
+    /// Returns up to `limit` leases that this host received from servers after `cursor`, oldest
+    /// first, and the new cursor.
     ///
-    /// What peers told is left out: each host tells every other, so passing it on would only
-    /// multiply messages. Ended leases are left out too: every host ends a lease by its own clock,
-    /// so no message is needed and none that is lost can keep a silent server alive.
+    /// Leases received from peers are omitted: each host sends to every other host, so forwarding
+    /// them would only multiply messages. Ended leases are omitted too: every host ends a lease by
+    /// its own clock, so no message is needed and a lost message can't keep a dead server's lease
+    /// active.
     pub fn delta(
         &self,
         now: MonotonicTime,
@@ -159,8 +161,8 @@
         (deltas, DeltaCursor { complete, reached })
     }
 
-    /// Full announcements of `servers`, as far as this host heard them itself: what a peer asks for
-    /// that got a renewal of content which it does not hold.
+    /// Returns the full announcements of those of `servers` that announced themselves to this host.
+    /// A peer requests them after a renewal of content that it does not have.
     pub fn full_deltas(&self, now: MonotonicTime, servers: &[ServerName]) -> Vec<LeaseDelta> {
         let leases = servers.iter().filter_map(|server| self.get(server));
         leases
@@ -169,7 +171,8 @@
             .collect()
     }
 
-    /// Takes a delta from another host; `transit` is the longest time that it may have travelled.
+    /// Merges a delta from a peer. `transit` is the longest time that the delta can have spent on
+    /// the way; it is added to the age.
     pub fn merge_delta(
         &mut self,
         now: MonotonicTime,
@@ -179,7 +182,7 @@
         self.merge_delta_from(now, delta, transit, LeaseSource::Peer)
     }
 
-    /// Takes a delta from another host, which is `from` as this one sees it.
+    /// Merges a delta from a host whose role is `from`.
     pub(super) fn merge_delta_from(
         &mut self,
         now: MonotonicTime,
@@ -215,17 +218,17 @@
         };
         let held = (lease.announce.incarnation, lease.announce.sequence);
         if held == (renewal.incarnation, renewal.sequence) && lease.digest == renewal.digest {
-            // The same announcement, of a server that was heard since: the numbers of heartbeats are
-            // not passed on.
-            let heard = self.renew_unchanged(now, key, renewal.incarnation, age, from);
-            return heard.unwrap_or(MergeVerdict::Stale);
+            // The same announcement may still carry a newer heartbeat: renewals by number don't
+            // include the sequence number.
+            let verdict = self.renew_unchanged(now, key, renewal.incarnation, age, from);
+            return verdict.unwrap_or(MergeVerdict::Stale);
         }
         if !lease.is_older_than(renewal.incarnation, renewal.sequence) {
             return MergeVerdict::Stale;
         }
         let held = &lease.announce;
-        let same_life = held.incarnation == renewal.incarnation;
-        let has_left = same_life && held.state == ServerState::Leaving;
+        let same_incarnation = held.incarnation == renewal.incarnation;
+        let has_left = same_incarnation && held.state == ServerState::Leaving;
         // A leave is final for its incarnation, whatever content the renewal has.
         if !has_left && lease.digest != renewal.digest {
             return MergeVerdict::Unknown;
@@ -258,11 +261,11 @@
         self.renewal(now, self.includes_load(cursor))
     }
 
-    /// Whether a receiver that was told up to `cursor` is to be told the load.
+    /// Whether a renewal for a receiver at `cursor` must include the load.
     pub(super) fn includes_load(&self, cursor: DeltaCursor) -> bool {
-        // Only who hears the server itself knows the numbers of its heartbeats.
-        let is_heard = self.from == LeaseSource::Server && self.has_load;
-        let is_due = is_heard && self.announce.sequence.0.is_multiple_of(LOAD_PERIOD);
+        // Only a host that receives the server's own heartbeats knows their sequence numbers.
+        let has_own_load = self.from == LeaseSource::Server && self.has_load;
+        let is_due = has_own_load && self.announce.sequence.0.is_multiple_of(LOAD_PERIOD);
         is_due || self.load_version > cursor.complete
     }
 
--- a/crates/coordination/src/leases/digest.rs
+++ b/crates/coordination/src/leases/digest.rs
@@ -1,21 +1,21 @@
-//! Digest of what an announcement says besides its number and load.
+//! Digest of an announcement without its sequence number and load.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use super::{ServerAnnounce, ServerState};
 
-/// Digest of an announcement's content: equal on every host that holds equal content.
+/// Digest of an announcement's content; equal content has an equal digest on every host.
 ///
-/// A renewal names it. Failure: a host that missed a changed offer would take the renewal for one
-/// of the old offer, and route by that for as long as the server lives. 64 bits are enough, since
-/// only announcements of one server's one life are ever compared.
+/// A renewal carries the digest. Failure without it: a host that missed a changed offer would apply
+/// the renewal to the old offer and route by that offer until the server stops. 64 bits are enough,
+/// because only announcements of one incarnation of one server are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentDigest(u64);
 
 impl ContentDigest {
-    /// Digest of `announce`, its sequence number and load left out.
+    /// Computes the digest of `announce` without its sequence number and load.
     pub fn of(announce: &ServerAnnounce) -> Self {
         let mut hasher = Sha256::new();
         let texts = [
--- a/crates/coordination/src/leases/load.rs
+++ b/crates/coordination/src/leases/load.rs
@@ -1,29 +1,29 @@
-//! Load of a backend server, and when a change of it is worth telling.
+//! Load of a backend server, and the smallest change that hosts send to each other.
 
 use serde::{Deserialize, Serialize};
 
-/// Part of a figure, as a divisor, that it must move by before the change is told.
+/// A value must change by more than this fraction (1 / divisor) before the change is sent.
 const STEP_DIVISOR: u64 = 8;
-/// Moves of sequences and calls up to this size are never told.
-const STILL_SEQUENCES: u64 = 1;
-/// Moves of token counts up to this size are never told.
-const STILL_TOKENS: u64 = 256;
+/// Changes of sequence and call counts up to this size are never sent.
+const SEQUENCE_TOLERANCE: u64 = 1;
+/// Changes of token counts up to this size are never sent.
+const TOKEN_TOLERANCE: u64 = 256;
 
-/// Load that a server reported; a lagging hint.
+/// Load that a server reported. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "LoadFields", into = "LoadFields")]
 pub struct AnnouncedLoad {
-    /// Sequences or calls running.
+    /// Number of running sequences or calls.
     pub running: u32,
-    /// Sequences or calls waiting.
+    /// Number of queued sequences or calls.
     pub queued: u32,
-    /// Prompt tokens that wait or are being worked on.
+    /// Number of prompt tokens that are queued or in prefill.
     pub prefill_tokens: u64,
-    /// Tokens of KV cache in use.
+    /// Number of tokens in the KV cache.
     pub kv_used_tokens: u64,
 }
 
-/// Encoded without field names, which would outweigh the figures.
+/// Encoded form without field names, which would take more bytes than the values.
 type LoadFields = (u32, u32, u64, u64);
 
 impl From<LoadFields> for AnnouncedLoad {
@@ -49,18 +49,18 @@
 }
 
 impl AnnouncedLoad {
-    /// Whether some figure is further from the one that was told than a step.
+    /// Whether any value differs from the value in `sent` by more than a step.
     ///
-    /// Receivers so hold each figure to an eighth, or to one sequence and 256 tokens where that is
-    /// more; a server that starts or ends its only sequences is within that bound.
-    pub(super) fn is_beyond_step(&self, told: &Self) -> bool {
-        let moved = |new: u64, old: u64, still: u64| {
-            new.abs_diff(old) > still.max(new.max(old) / STEP_DIVISOR)
+    /// Receivers therefore know each value within an eighth, or within one sequence or 256 tokens
+    /// if that is more. The start or end of a server's only sequence is within that bound.
+    pub(super) fn is_beyond_step(&self, sent: &Self) -> bool {
+        let exceeds = |new: u64, old: u64, tolerance: u64| {
+            new.abs_diff(old) > tolerance.max(new.max(old) / STEP_DIVISOR)
         };
-        moved(self.running.into(), told.running.into(), STILL_SEQUENCES)
-            || moved(self.queued.into(), told.queued.into(), STILL_SEQUENCES)
-            || moved(self.prefill_tokens, told.prefill_tokens, STILL_TOKENS)
-            || moved(self.kv_used_tokens, told.kv_used_tokens, STILL_TOKENS)
+        exceeds(self.running.into(), sent.running.into(), SEQUENCE_TOLERANCE)
+            || exceeds(self.queued.into(), sent.queued.into(), SEQUENCE_TOLERANCE)
+            || exceeds(self.prefill_tokens, sent.prefill_tokens, TOKEN_TOLERANCE)
+            || exceeds(self.kv_used_tokens, sent.kv_used_tokens, TOKEN_TOLERANCE)
     }
 }
 
@@ -68,8 +68,10 @@
 mod tests {
     use super::*;
 
+    // Guards against renewals that carry the load after every small change, and against larger
+    // changes that receivers never get.
     #[test]
-    fn small_moves_of_load_are_not_told() {
+    fn small_load_changes_are_not_sent() {
         let load = |running, kv| AnnouncedLoad {
             running,
             kv_used_tokens: kv,
@@ -84,9 +86,9 @@
             ((0, 80_000), (0, 88_000), false),
             ((0, 80_000), (0, 60_000), true),
         ];
-        for (told, now, expected) in cases {
-            let (told, now) = (load(told.0, told.1), load(now.0, now.1));
-            assert_eq!(now.is_beyond_step(&told), expected, "{told:?} {now:?}");
+        for (sent, now, expected) in cases {
+            let (sent, now) = (load(sent.0, sent.1), load(now.0, now.1));
+            assert_eq!(now.is_beyond_step(&sent), expected, "{sent:?} {now:?}");
         }
     }
 }
--- a/crates/coordination/src/leases/packed.rs
+++ b/crates/coordination/src/leases/packed.rs
@@ -1,44 +1,44 @@
-//! Renewals by number: which leases a host heard of lately, in two or three bytes each.
+//! Renewals by lease number, encoded in two or three bytes each.
 //!
-//! A named renewal takes some forty bytes, and every server is renewed once a second on every host.
-//! The sender numbers its leases, tells number and content once, and from then on only the number
-//! and the age of the last heartbeat.
+//! A renewal by name takes about forty bytes, and every server is renewed once a second on every
+//! host. The sender therefore numbers its leases, sends number and content once, and afterwards
+//! sends only the number and the age of the last heartbeat.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Unit in which ages travel.
+/// Unit of encoded ages.
 const AGE_UNIT: Duration = Duration::from_millis(10);
-/// Bits of a number in one byte; the eighth says that another byte follows.
+/// Bits of a number in one byte. The eighth bit is set if another byte follows.
 const GROUP_BITS: u32 = 7;
-/// Most bytes of one number.
+/// Maximum number of bytes of one number.
 const MAX_GROUPS: u32 = 5;
 
-/// Number of a lease in the table of the host that tells of it; never reused in one process.
+/// Number of a lease in the sender's table. One process never reuses a number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct LeaseNumber(pub u32);
 
-/// One lease that was heard of.
+/// Renewal of one lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NumberedRenewal {
-    /// Its number at the sender.
+    /// Number of the lease in the sender's table.
     pub number: LeaseNumber,
-    /// Time since its server was heard by any host; travels rounded up to 10 ms.
+    /// Time since any host received the server's last heartbeat; encoded rounded up to 10 ms.
     pub age: Duration,
 }
 
-/// Packed bytes are no list of leases.
+/// The packed bytes are not a valid list of renewals.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("renewals by number can't be read")]
 pub struct RenewalDecodeError;
 
-/// Leases that were heard of, packed: the step from the number before and the age, each in groups of
-/// seven bits.
+/// Packed list of renewals. Each entry is the difference from the previous number and the age, both
+/// in groups of seven bits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PackedRenewals {
@@ -47,7 +47,7 @@
 }
 
 impl PackedRenewals {
-    /// Packs `leases`; of one number the youngest counts.
+    /// Packs `leases`. For a repeated number it keeps the renewal with the smallest age.
     pub fn pack(mut leases: Vec<NumberedRenewal>) -> Self {
         leases.sort_unstable();
         leases.dedup_by_key(|lease| lease.number);
@@ -62,17 +62,17 @@
         Self { bytes }
     }
 
-    /// The leases, by number.
+    /// Decodes the renewals, in the order of their numbers. It accepts untrusted bytes.
     ///
     /// # Errors
-    /// The bytes are no such list; any bytes are safe.
+    /// If the bytes end within an entry or a number does not fit into 32 bits.
     pub fn unpack(&self) -> Result<Vec<NumberedRenewal>, RenewalDecodeError> {
         let mut rest = self.bytes.as_slice();
         let mut leases = Vec::with_capacity(rest.len() / 2);
         let mut last = 0_u32;
         while !rest.is_empty() {
-            let step = take_number(&mut rest)?;
-            let units = take_number(&mut rest)?;
+            let step = read_number(&mut rest)?;
+            let units = read_number(&mut rest)?;
             last = last.checked_add(step).ok_or(RenewalDecodeError)?;
             leases.push(NumberedRenewal {
                 number: LeaseNumber(last),
@@ -82,7 +82,7 @@
         Ok(leases)
     }
 
-    /// Whether no lease is in it.
+    /// Whether the list contains no renewal.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
@@ -96,7 +96,7 @@
     bytes.push(number as u8);
 }
 
-fn take_number(rest: &mut &[u8]) -> Result<u32, RenewalDecodeError> {
+fn read_number(rest: &mut &[u8]) -> Result<u32, RenewalDecodeError> {
     let mut number = 0_u64;
     for group in 0..MAX_GROUPS {
         let (byte, tail) = rest.split_first().ok_or(RenewalDecodeError)?;
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -1,4 +1,4 @@
-//! One backend server's announcement and lease.
+//! Announcement and lease of one backend server.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,79 +8,81 @@
 use super::{AnnouncedLoad, ContentDigest, LeaseNumber};
 use crate::base::{DataCentreName, Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
-/// Whether a server asks for work.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServerState {
-    /// It takes new work.
+    /// The server accepts new work.
     Serving,
-    /// It takes no new work and finishes what it has; final for its incarnation.
+    /// The server accepts no new work and finishes its running work; final for its incarnation.
     Leaving,
 }
 
-/// An announcement as entries keep and exchange it.
+/// An announcement as entries store and exchange it.
 ///
-/// `offer` stays encoded here: leases decide nothing on it.
+/// `offer` stays encoded because the lease code does not read it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerAnnounce {
-    /// Name, unique among backend servers.
+    /// Name of the server, unique among backend servers.
     pub server: ServerName,
-    /// Life of the server's process.
+    /// Incarnation of the server's process.
     pub incarnation: Incarnation,
-    /// Rises with every announcement of the incarnation.
+    /// Increases with every announcement of the incarnation.
     pub sequence: SequenceNumber,
-    /// `ip:port` that takes requests.
+    /// Address for requests, as `ip:port`.
     pub address: Arc<str>,
     /// Data centre of the server.
     pub data_centre: DataCentreName,
-    /// Whether it takes new work.
+    /// Whether the server accepts new work.
     pub state: ServerState,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the server refuses orders with an old fencing number.
     pub checks_fencing: bool,
-    /// What it offers, encoded as at the HTTP border.
+    /// Offer of the server, encoded as in the HTTP API.
     pub offer: Arc<str>,
-    /// Load; a lagging hint.
+    /// Reported load, which lags behind the actual load.
     pub load: AnnouncedLoad,
 }
 
 /// Lease of one backend server on this host.
 ///
-/// Invariants: (incarnation, sequence) of `announce` never falls; `ended` is false only while the
-/// lease runs; `version` is unique in the table, and none of `content_version`, `from_version` and
-/// `load_version` is above it; `digest` is that of `announce`; `sent_load` is within a step of `announce.load`.
+/// Invariants: (incarnation, sequence) of `announce` never decreases; `ended` is false only while
+/// the lease runs; `version` is unique in the table, and none of `content_version`, `from_version`
+/// and `load_version` is greater; `digest` is the digest of `announce`; `sent_load` is within a
+/// step of `announce.load`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerLease {
-    /// Number by which other hosts are told of heartbeats.
+    /// Number that identifies the lease in heartbeats to other hosts.
     pub number: LeaseNumber,
     /// Last announcement in (incarnation, sequence) order.
     pub announce: ServerAnnounce,
-    /// When that announcement was heard by the entry that it went to, in this host's time.
+    /// Time at which the first receiving host got that announcement, by this host's clock.
     pub heard_at: MonotonicTime,
-    /// Since when the server is known here without a break, in this host's time.
+    /// Start of the server's uninterrupted presence in this table, by this host's clock.
     pub since: MonotonicTime,
-    /// End of the lease; once ended, the time at which the server is forgotten.
+    /// End of the lease; for an ended lease, the time at which the server is removed.
     pub deadline: MonotonicTime,
-    /// Whom the announcement was heard from.
+    /// Source of the last announcement.
     pub from: LeaseSource,
-    /// Whether the lease ran out.
+    /// Whether the lease has expired.
     pub ended: bool,
-    /// Version of the table at the last renewal or change; orders deltas.
+    /// Version of the table at the last renewal or change; deltas are sent in this order.
     pub version: u64,
     /// Version of the table when `digest` last changed.
     pub content_version: u64,
-    /// Ways in which the server was heard of so far.
+    /// Sources of all announcements of the server so far.
     pub heard_from: BTreeSet<LeaseSource>,
-    /// Version of the table when `heard_from` last grew: who was told of the lease depends on it. A server
-    /// whose heartbeats go now here, now there is not named anew each time.
+    /// Version of the table when `heard_from` last grew, since the receivers of a lease depend on
+    /// its sources. A server whose heartbeats alternate between hosts is not sent by name again on
+    /// each alternation.
     pub from_version: u64,
     /// Version of the table when `sent_load` last changed.
     pub load_version: u64,
     /// Digest of the announcement's content.
     pub digest: ContentDigest,
-    /// Load that peers are told.
+    /// Load that is sent to peers.
     #[serde(rename = "told_load")]
     pub sent_load: AnnouncedLoad,
-    /// Whether the server ever told a load.
+    /// Whether the server has ever reported a load.
     pub has_load: bool,
 }
 
@@ -129,7 +131,7 @@
             || held.checks_fencing != announce.checks_fencing
     }
 
-    /// Marks what peers must be told again, as of `version` of the table.
+    /// Sets `version` and the versions of the parts that must be sent to peers again.
     pub(super) fn touch(&mut self, version: u64, is_changed: bool) {
         self.version = version;
         if self.heard_from.insert(self.from) {
@@ -153,7 +155,7 @@
         self.announce = announce;
         self.heard_at = receipt.heard_at;
         self.from = receipt.from;
-        // A later announcement that travelled longer must not shorten the lease of an earlier one.
+        // A later announcement with a longer transit time must not shorten the current lease.
         self.deadline = if self.ended {
             receipt.deadline
         } else {
@@ -163,19 +165,19 @@
     }
 }
 
-/// Whom an announcement was heard from.
+/// Source of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseSource {
     /// The backend server itself.
     Server,
-    /// Another host, which heard the server itself.
+    /// Another host, which received the announcement from the server.
     Peer,
-    /// A keeper, which passes on what it was told.
+    /// A keeper, which forwards announcements that it received.
     Keeper,
 }
 
-/// When an announcement was heard, and how long it holds.
+/// Time and source of an announcement, and the deadline of the lease that it grants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnnounceReceipt {
     pub(super) heard_at: MonotonicTime,
@@ -183,36 +185,36 @@
     pub(super) from: LeaseSource,
 }
 
-/// What became of an announcement.
+/// Result of merging an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MergeVerdict {
-    /// The server is new, returned, or offers something else than before.
+    /// The server is new, its lease had ended, or its content has changed.
     Changed,
     /// The lease was renewed; nothing else changed.
     Renewed,
-    /// The announcement is older than what is held.
+    /// The announcement isn't newer than the stored one, or its age has reached the lease duration.
     Stale,
-    /// The server is leaving; only a new incarnation brings it back.
+    /// The server is leaving; only a new incarnation can get work again.
     Left,
-    /// A renewal of content that is not held; the full announcement is needed.
+    /// The renewal refers to content that is not in the table; the full announcement is needed.
     Unknown,
-    /// The table holds as many servers as it may.
+    /// The table already contains the maximum number of servers.
     Full,
 }
 
-/// What a tick decided.
+/// A change made by [`LeaseTable::tick`](super::LeaseTable::tick).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeaseEvent {
-    /// The lease ran out: no new work.
+    /// The lease expired; the server gets no new work.
     Ended {
-        /// The server.
+        /// Name of the server.
         server: ServerName,
     },
-    /// The server was not heard of during the retention.
+    /// The server was removed after the retention without an announcement.
     Forgotten {
-        /// The server.
+        /// Name of the server.
         server: ServerName,
     },
 }
--- a/crates/coordination/src/leases/settings.rs
+++ b/crates/coordination/src/leases/settings.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How long an announcement holds, and how many servers are held.
+/// Durations of leases and the size limit of a [`LeaseTable`](super::LeaseTable).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendLeaseSettings {
-    /// A server gets no new work this long after its last announcement was heard.
+    /// Time after its last announcement during which a server can get new work.
     pub lease: Duration,
-    /// An ended lease is remembered this long, so that late announcements of a left server are
-    /// recognised as old.
+    /// Time for which an ended lease stays in the table, so that late announcements of a server
+    /// that left are recognised as old.
     pub retention: Duration,
-    /// Servers held at most; further new ones are refused.
+    /// Maximum number of servers; announcements of further servers are refused.
     pub max_servers: usize,
 }
 
--- a/crates/coordination/src/leases/subset.rs
+++ b/crates/coordination/src/leases/subset.rs
@@ -1,8 +1,9 @@
-//! Which entries work with which backend servers, once a fleet is too large for all to hold all.
+//! Assignment of backend servers to entries, for a fleet in which an entry cannot work with every
+//! server.
 //!
-//! Rendezvous hashing: every host works out the same answer from the same list of hosts, a host
-//! that comes or goes moves only its own share, and no host keeps a table. Entries of the server's
-//! own region are taken; the overlap says how many of them.
+//! With rendezvous hashing every host computes the same result from the same list of hosts, a host
+//! that joins or leaves moves only its own servers, and no host stores a table. Each server gets
+//! `overlap` entries of its own region.
 
 use std::cmp::Reverse;
 
@@ -11,46 +12,47 @@
 
 use crate::base::{DataCentreName, HostName, ServerName};
 
-/// How servers are shared out among entries.
+/// Settings of the assignment of servers to entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubsetSettings {
-    /// Entries that work with each server.
+    /// Number of entries that work with each server.
     pub overlap: usize,
-    /// Hosts up to which each works with every server.
-    pub whole_up_to: usize,
+    /// Number of hosts up to which each host works with every server.
+    #[serde(rename = "whole_up_to")]
+    pub all_servers_up_to: usize,
 }
 
 impl Default for SubsetSettings {
     fn default() -> Self {
         Self {
             overlap: 4,
-            whole_up_to: 32,
+            all_servers_up_to: 32,
         }
     }
 }
 
-/// An entry that may be given servers.
+/// An entry to which servers can be assigned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetHost {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreName,
-    /// Region of the data centre; servers are only given to hosts of their own region.
+    /// Region of the data centre; servers are assigned only to hosts of their own region.
     pub region: DataCentreName,
 }
 
-/// Entries that work with `server`, best first: those of its region, as many as the overlap,
-/// spread over the region's data centres before any data centre gets a second.
+/// Returns the entries that work with `server`, best first: up to `overlap` entries of its region,
+/// one per data centre before any data centre gets a second.
 ///
-/// With few hosts all of them are returned, whatever their region.
+/// With at most `all_servers_up_to` hosts it returns all of them, regardless of their region.
 pub fn entries_of<'hosts>(
     settings: &SubsetSettings,
     server: &ServerName,
     region: &DataCentreName,
     hosts: &'hosts [SubsetHost],
 ) -> Vec<&'hosts SubsetHost> {
-    if hosts.len() <= settings.whole_up_to {
+    if hosts.len() <= settings.all_servers_up_to {
         return hosts.iter().collect();
     }
     let local = hosts.iter().filter(|host| host.region == *region);
@@ -60,15 +62,15 @@
     ranked.sort_by(|one, other| {
         (Reverse(one.0), &one.1.host).cmp(&(Reverse(other.0), &other.1.host))
     });
-    // A lost data centre must not take all entries of a server with it.
+    // The loss of one data centre must not remove all entries of a server.
     let mut rounds: Vec<(usize, &SubsetHost)> = Vec::with_capacity(ranked.len());
     for (_, host) in ranked {
         let same = |(_, other): &&(usize, &SubsetHost)| other.data_centre == host.data_centre;
         rounds.push((rounds.iter().filter(same).count(), host));
     }
     rounds.sort_by_key(|(round, _)| *round);
-    let chosen = rounds.into_iter().map(|(_, host)| host);
-    chosen.take(settings.overlap).collect()
+    let selected = rounds.into_iter().map(|(_, host)| host);
+    selected.take(settings.overlap).collect()
 }
 
 /// Whether `host` works with `server`.
@@ -83,7 +85,7 @@
     entries.iter().any(|entry| entry.host == *host)
 }
 
-/// Weight of a pair in rendezvous hashing; the host with the highest has the server.
+/// Weight of a server and a host in rendezvous hashing; the host with the highest weight wins.
 pub(super) fn weight(server: &ServerName, host: &HostName) -> u64 {
     let mut hasher = Sha256::new();
     hasher.update((server.as_str().len() as u64).to_be_bytes());
@@ -116,8 +118,10 @@
         (format!("engine-{index}").into(), region)
     }
 
+    // A server whose entries are all in one data centre is lost with it, and uneven hashing would
+    // overload some entries. Checks the spread over data centres and entries.
     #[test]
-    fn servers_are_shared_evenly_over_data_centres_of_their_region() {
+    fn servers_spread_evenly_over_data_centres_of_their_region() {
         let settings = SubsetSettings::default();
         let hosts = hosts(400);
         let mut shares = BTreeMap::new();
@@ -145,10 +149,10 @@
         insta::assert_snapshot!(format!("{} hosts, {span:?}", shares.len()), @"400 hosts, (Some(9), Some(35))");
     }
 
-    // Callers would see many engines forgotten at once if the loss of one entry moved others'
-    // shares. Two of 400 entries are lost; only servers that they worked with get new entries.
+    // If the loss of an entry moved servers of other entries, callers would lose many engines at
+    // once. Two of 400 entries are lost; only the servers assigned to them get new entries.
     #[test]
-    fn a_lost_entry_moves_only_its_own_servers() {
+    fn losing_an_entry_moves_only_its_own_servers() {
         let settings = SubsetSettings::default();
         let all = hosts(400);
         let left: Vec<_> = all
@@ -169,6 +173,8 @@
         insta::assert_snapshot!(format!("{moved} of 8000"), @"37 of 8000");
     }
 
+    // Guards against a small installation in which a server has only a few entries, although every
+    // host can work with all servers.
     #[test]
     fn few_hosts_work_with_every_server() {
         let settings = SubsetSettings::default();
--- a/crates/coordination/src/leases/tests.rs
+++ b/crates/coordination/src/leases/tests.rs
@@ -47,9 +47,9 @@
     MonotonicTime::from_millis(millis)
 }
 
-// The caller sees requests fail on a server that had said goodbye, if order of arrival decided.
-// Announcements of one server reach one entry through several others, late, twice and swapped.
-// Only (incarnation, sequence) may order them, and a leave ends its incarnation.
+// Announcements of one server can reach an entry through several others, late, twice or swapped. If
+// the order of arrival decided, requests would go to a server that has left and fail. Only
+// (incarnation, sequence) orders announcements, and a leave is final for its incarnation.
 #[test]
 fn announcements_are_ordered_by_incarnation_and_sequence() {
     let cases = [
@@ -113,24 +113,24 @@
     }
 }
 
-// The caller would wait for a dead server. The server falls silent; nobody says so. Each entry
-// ends the lease by its own clock, also when the news reached it through another entry.
+// A server dies without a leave, and callers would wait for it. Each entry ends the lease by its
+// own clock, also when the last announcement reached it through another entry.
 #[test]
-fn a_silent_server_gets_no_work_after_its_lease() {
+fn a_server_gets_no_work_after_its_lease_expires() {
     let server = ServerName::from("engine-1");
     let mut first = table();
     let mut second = table();
     first.merge(at(0), AnnounceBuilder::new(1, 1).0);
     let (deltas, cursor) = first.delta(at(400), Default::default(), 10);
     for delta in deltas {
-        // The second host started 10 s earlier: the hosts' clocks share nothing.
+        // The second host started 10 s earlier: the hosts' clocks are independent.
         second.merge_delta(at(10_400), delta, Duration::from_millis(100));
     }
     let mut seen = Vec::new();
     for millis in [2_400, 2_899, 2_900, 2_999, 3_000] {
-        let own = first.may_take_work(at(millis), &server);
-        let told = second.may_take_work(at(10_000 + millis), &server);
-        seen.push(format!("{millis}: {own} {told}"));
+        let first_serves = first.may_take_work(at(millis), &server);
+        let second_serves = second.may_take_work(at(10_000 + millis), &server);
+        seen.push(format!("{millis}: {first_serves} {second_serves}"));
     }
     insta::assert_snapshot!(seen.join("\n"), @r"
     2400: true true
@@ -148,8 +148,8 @@
     assert!(first.may_take_work(at(3_002), &server));
 }
 
-// An entry that was cut off replays old deltas when the link heals. Their age says that the lease
-// is over, so a server that died meanwhile does not come back to life.
+// After a partition an entry replays old deltas. Their age exceeds the lease, so they must not
+// renew the lease of a server that died in the meantime.
 #[test]
 fn a_delta_older_than_the_lease_renews_nothing() {
     let mut table = table();
@@ -165,10 +165,10 @@
     assert!(!table.may_take_work(at(9_000), &ServerName::from("engine-1")));
 }
 
-// The receiver restarted a moment ago, so the delta is older than its process. The lease must end
-// by the delta's age, not a whole lease after the restart.
+// The receiver has just restarted, so the delta is older than its process. The lease must end by
+// the age of the delta and not a full lease duration after the restart.
 #[test]
-fn a_delta_older_than_the_receiver_holds_only_for_its_rest() {
+fn a_delta_older_than_the_receiver_grants_only_the_remaining_lease() {
     let mut table = table();
     table.merge_delta(
         at(100),
@@ -183,8 +183,9 @@
     assert!(!table.may_take_work(at(200), &server));
 }
 
+// A flood of new server names must not end the leases of known servers.
 #[test]
-fn a_full_table_refuses_new_servers_and_still_renews_known_ones() {
+fn a_full_table_refuses_new_servers_and_renews_known_ones() {
     let mut table = LeaseTable::new(BackendLeaseSettings {
         max_servers: 1,
         ..Default::default()
@@ -199,7 +200,8 @@
     );
 }
 
-fn spread(from: &LeaseTable, to: &mut LeaseTable, now: u64, cursor: &mut DeltaCursor) -> String {
+/// Sends the deltas after `cursor` from one table to another; returns their forms and verdicts.
+fn replicate(from: &LeaseTable, to: &mut LeaseTable, now: u64, cursor: &mut DeltaCursor) -> String {
     let (deltas, reached) = from.delta(at(now), *cursor, 10);
     *cursor = reached;
     let verdicts = deltas.into_iter().map(|delta| {
@@ -214,43 +216,46 @@
     verdicts.collect::<Vec<_>>().join(", ")
 }
 
-// The caller would find no server, or one by an offer that it no longer makes. A host gets renewals
-// of an announcement that it never got in full: its process or the sender's link restarted, or the
-// frame was dropped. It must ask, hold nothing meanwhile, and end up with the present content.
+// A host gets renewals of an announcement that it never got in full, because its process or the
+// sender's link restarted or a frame was lost. Callers would find no server or an outdated offer.
+// The host must request the content, store nothing until then, and end up with the current content.
 #[test]
-fn a_renewal_of_content_that_is_not_held_is_asked_for() {
+fn a_renewal_of_unknown_content_makes_the_receiver_request_it() {
     let server = ServerName::from("engine-1");
     let mut own = table();
     let mut peer = table();
     let mut cursor = DeltaCursor::default();
     let mut seen = Vec::new();
-    let mut note = |name: &str, verdicts: String| seen.push(format!("{name}: {verdicts}"));
+    let mut record = |name: &str, verdicts: String| seen.push(format!("{name}: {verdicts}"));
 
     own.merge(at(0), AnnounceBuilder::new(1, 1).0);
-    note("first", spread(&own, &mut peer, 0, &mut cursor));
+    record("first", replicate(&own, &mut peer, 0, &mut cursor));
     own.merge(at(1_000), AnnounceBuilder::new(1, 2).0);
-    note("heartbeat", spread(&own, &mut peer, 1_000, &mut cursor));
+    record("heartbeat", replicate(&own, &mut peer, 1_000, &mut cursor));
     own.merge(at(2_000), AnnounceBuilder::new(1, 3).offering("other").0);
     own.delta(at(2_000), cursor, 10).1.clone_into(&mut cursor);
     own.merge(at(3_000), AnnounceBuilder::new(1, 4).offering("other").0);
-    note("change lost", spread(&own, &mut peer, 3_000, &mut cursor));
+    record(
+        "change lost",
+        replicate(&own, &mut peer, 3_000, &mut cursor),
+    );
     let held = peer.get(&server).map(|lease| lease.announce.sequence);
     assert_eq!(held, Some(SequenceNumber(2)), "an old offer is not renewed");
     for delta in own.full_deltas(at(3_100), std::slice::from_ref(&server)) {
         let verdict = peer.merge_delta(at(3_100), delta, Duration::ZERO);
-        note("asked", format!("{verdict:?}"));
+        record("asked", format!("{verdict:?}"));
     }
     let mut peer = table();
     own.merge(at(4_000), AnnounceBuilder::new(1, 5).offering("other").0);
-    note(
+    record(
         "receiver restarted",
-        spread(&own, &mut peer, 4_000, &mut cursor),
+        replicate(&own, &mut peer, 4_000, &mut cursor),
     );
     assert!(peer.is_empty());
     cursor = DeltaCursor::default();
-    note(
+    record(
         "link restarted",
-        spread(&own, &mut peer, 4_100, &mut cursor),
+        replicate(&own, &mut peer, 4_100, &mut cursor),
     );
     assert!(peer.may_take_work(at(6_999), &server));
     assert!(!peer.may_take_work(at(7_000), &server), "age counts");
@@ -264,10 +269,11 @@
     ");
 }
 
-// The caller would be sent to a server that said goodbye. One entry hears the leave while another
-// still spreads renewals with higher numbers of the same life, or an old process lives on.
+// One entry receives the leave of a server while another entry still sends renewals of the same
+// incarnation with higher sequence numbers, or the old process still runs. Callers would be sent to
+// a server that has left.
 #[test]
-fn no_renewal_brings_back_a_server_that_left() {
+fn no_renewal_revives_a_server_that_left() {
     let server = ServerName::from("engine-1");
     let mut other = table();
     other.merge(at(0), AnnounceBuilder::new(1, 1).0);
@@ -276,11 +282,11 @@
     peer.merge(at(0), AnnounceBuilder::new(1, 2).leaving().0);
     let mut seen = Vec::new();
     other.merge(at(100), AnnounceBuilder::new(1, 3).0);
-    seen.push(spread(&other, &mut peer, 100, &mut cursor));
+    seen.push(replicate(&other, &mut peer, 100, &mut cursor));
     assert!(!peer.may_take_work(at(200), &server));
     peer.merge(at(200), AnnounceBuilder::new(2, 1).0);
     other.merge(at(300), AnnounceBuilder::new(1, 4).0);
-    seen.push(spread(&other, &mut peer, 300, &mut cursor));
+    seen.push(replicate(&other, &mut peer, 300, &mut cursor));
     let held = peer.get(&server).map(|lease| lease.announce.incarnation);
     assert_eq!(held, Some(Incarnation(2)));
     insta::assert_snapshot!(seen.join("\n"), @r"
@@ -289,8 +295,10 @@
     ");
 }
 
+// Guards against renewals that carry the load after every small change, and against a receiver
+// whose stored load stays off by more than a step.
 #[test]
-fn load_is_told_only_when_it_moved_by_a_step() {
+fn load_is_sent_only_after_a_change_of_more_than_a_step() {
     let mut own = table();
     let mut peer = table();
     let mut cursor = DeltaCursor::default();
@@ -301,7 +309,7 @@
             at(now),
             AnnounceBuilder::new(1, sequence).running(running).0,
         );
-        let verdicts = spread(&own, &mut peer, now, &mut cursor);
+        let verdicts = replicate(&own, &mut peer, now, &mut cursor);
         let held = peer
             .get(&"engine-1".into())
             .map(|lease| lease.announce.load.running);
@@ -317,11 +325,11 @@
     ");
 }
 
-// The caller would wait at a busy server, or be sent past an idle one. Two entries hear neighbouring
-// heartbeats before either learns of the other's, so the later renewal carries no load. The third
-// entry holds the earlier load only until the next heartbeat that tells its load in any case.
+// Two entries receive consecutive heartbeats before either gets the other's, so the later renewal
+// carries no load and a third entry keeps a wrong load: callers would wait at a busy server or miss
+// an idle one. The next heartbeat that always includes its load corrects the value.
 #[test]
-fn a_load_that_was_held_wrongly_is_mended_within_eight_heartbeats() {
+fn a_wrong_load_is_corrected_within_eight_heartbeats() {
     let mut entries = [table(), table()];
     let mut cursors = [DeltaCursor::default(); 2];
     let mut third = table();
@@ -330,7 +338,7 @@
         let now = sequence * 100;
         let announce = AnnounceBuilder::new(1, sequence).running(running).0;
         entries[entry].merge(at(now), announce);
-        spread(&entries[entry], &mut third, now, &mut cursors[entry]);
+        replicate(&entries[entry], &mut third, now, &mut cursors[entry]);
         let held = third.get(&"engine-1".into()).unwrap();
         seen.push(format!(
             "{sequence}: {running}, held {}",
@@ -346,9 +354,9 @@
     ");
 }
 
-// The caller finds no server: a host that just came up gets renewals of servers that it was never
-// told of. The leases take several frames, and those of the later frames changed before some of
-// the earlier ones did. All of them must travel in full, and only once.
+// The leases for a host that has just started take several frames, and leases of a later frame may
+// have changed before those of an earlier one. Sent as renewals, they would be unknown to the host
+// and callers would find no server. Every lease must be sent in full, and only once.
 #[test]
 fn a_new_receiver_gets_every_lease_in_full_over_several_frames() {
     let mut own = table();
@@ -373,5 +381,8 @@
     }
     assert_eq!(seen, vec!["full true: Changed"; 5]);
     own.merge(at(20), AnnounceBuilder::new(1, 3).0);
-    assert_eq!(spread(&own, &mut peer, 20, &mut cursor), "renewal: Renewed");
+    assert_eq!(
+        replicate(&own, &mut peer, 20, &mut cursor),
+        "renewal: Renewed"
+    );
 }
--- a/crates/coordination/src/leases/worker.rs
+++ b/crates/coordination/src/leases/worker.rs
@@ -1,30 +1,31 @@
-//! What a backend server of a published service offers.
+//! Offer of a backend server of a published service.
 
 use serde::{Deserialize, Serialize};
 
 use crate::base::{LayerRange, ServiceName, VersionName};
 
-/// Layers that an engine holds.
+/// Model layers that an engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerLayers {
-    /// Which.
+    /// Range of the layers.
     pub range: LayerRange,
-    /// Version of the weights.
+    /// Version of the model weights.
     pub version: VersionName,
 }
 
-/// Offer of a backend server of a published service. What its kind of accelerator can do stands in
-/// the published document, so that the offer stays small and both can change apart.
+/// Offer of a backend server of a published service. The published document describes the
+/// capabilities of each kind of accelerator, so that the offer stays small and both can change
+/// independently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerOffer {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Requests that run at a time.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it is still slower than usual after its start.
+    /// Whether the server is still slower than usual after its start.
     pub cold: bool,
     /// Kind of accelerator; empty for a plain service.
     pub kind: String,
-    /// Layers that it holds; `None` for a plain service, or for an engine that holds nothing.
+    /// Loaded layers; `None` for a plain service or for an engine without layers.
     pub layers: Option<WorkerLayers>,
 }
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_spread.rs
@@ -1,4 +1,5 @@
-//! Leases on their way from the host that hears a server, over keepers, to the hosts that follow those.
+//! Replication of leases from the host that receives a server's heartbeats, over keepers, to the
+//! hosts that follow those keepers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,9 +15,9 @@
 };
 use proptest::prelude::{any, prop, proptest};
 
-/// Leases by name in one batch.
-const BATCH: usize = 256;
-/// Longest time that a batch is taken to have travelled.
+/// Maximum number of leases by name in one batch.
+const BATCH_LIMIT: usize = 256;
+/// Assumed maximum transit time of a batch.
 const TRANSIT: Duration = Duration::from_millis(200);
 
 fn at(millis: u64) -> MonotonicTime {
@@ -37,12 +38,12 @@
     }
 }
 
-/// A host's table, and how far it has told others.
+/// A host's lease table and its cursors for the other hosts.
 struct LeaseHost {
     name: HostName,
     table: LeaseTable,
     cursors: BTreeMap<HostName, DeltaCursor>,
-    /// How it tells hosts that it has not told anything.
+    /// Form of the first batches to a host.
     first: InitialSync,
 }
 
@@ -60,15 +61,17 @@
         }
     }
 
-    /// The batches that `to` has not been told.
+    /// Returns the batches that `to` has not been sent.
     fn batches(&mut self, now: u64, to: &HostName, scope: LeaseScope) -> Vec<LeaseBatch> {
         let first = self.first;
         let cursor = self.cursors.entry(to.clone()).or_default();
         let mut batches = Vec::new();
         loop {
-            let (batch, reached) = self.table.batch(at(now), *cursor, BATCH, scope, first);
+            let (batch, reached) = self
+                .table
+                .batch(at(now), *cursor, BATCH_LIMIT, scope, first);
             *cursor = reached;
-            let is_full = batch.named.len() >= BATCH;
+            let is_full = batch.named.len() >= BATCH_LIMIT;
             batches.push(batch);
             if !is_full {
                 return batches;
@@ -76,12 +79,19 @@
         }
     }
 
-    /// Tells `other` what is new, and answers what it asks for in return; returns the encoded bytes.
-    fn tell(&mut self, now: u64, other: &mut Self, scope: LeaseScope, from: LeaseSource) -> usize {
+    /// Sends `other` the new batches and the leases that it requests in reply. Returns the number
+    /// of encoded bytes.
+    fn replicate(
+        &mut self,
+        now: u64,
+        other: &mut Self,
+        scope: LeaseScope,
+        from: LeaseSource,
+    ) -> usize {
         let mut batches = self.batches(now, &other.name, scope);
         let mut bytes = 0;
         while let Some(batch) = batches.pop() {
-            bytes += encoded(&batch);
+            bytes += encoded_size(&batch);
             let sender = (&self.name, from);
             let outcome = other.table.merge_batch(at(now), sender, batch, TRANSIT);
             let named = self.table.full_leases(at(now), &outcome.unknown_servers);
@@ -93,7 +103,7 @@
                     batches.push(LeaseBatch {
                         table: self.table.table_incarnation(),
                         named,
-                        heard: PackedRenewals::default(),
+                        renewals: PackedRenewals::default(),
                     });
                 }
             }
@@ -101,23 +111,23 @@
         bytes
     }
 
-    fn serving(&self, now: u64) -> usize {
+    fn serving_count(&self, now: u64) -> usize {
         let leases = self.table.iter();
         leases.filter(|lease| lease.is_serving(at(now))).count()
     }
 }
 
-fn encoded(batch: &LeaseBatch) -> usize {
+fn encoded_size(batch: &LeaseBatch) -> usize {
     let mut bytes = Vec::new();
     let written = ciborium::into_writer(batch, &mut bytes);
-    assert!(written.is_ok(), "a batch is encoded");
+    assert!(written.is_ok(), "the batch can't be encoded");
     bytes.len()
 }
 
-// Guards against heartbeats that cost a keeper more with every host: 3,000 servers are heard each 1.2 s,
-// by entries and by keepers, and each follower of a keeper is told of all of them.
+// Guards against heartbeats whose cost at a keeper grows with every host. Each of 3,000 servers
+// heartbeats every 1.2 s, to an entry or a keeper, and a keeper sends all of them to each follower.
 #[test]
-fn heartbeat_fan_out_costs_a_follower_a_few_bytes_a_server() {
+fn heartbeat_fan_out_takes_a_few_bytes_per_server_and_follower() {
     const SERVERS: usize = 3_000;
     let mut near = LeaseHost::new("keeper-1");
     let mut far = LeaseHost::new("keeper-2");
@@ -126,81 +136,83 @@
     for server in 0..SERVERS {
         near.table.merge(at(0), announce(server, 1));
     }
-    near.tell(
+    near.replicate(
         100,
         &mut far,
         LeaseScope::OwnAndFollowers,
         LeaseSource::Keeper,
     );
-    far.tell(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
-    far.tell(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
-    // The entry's servers are named to its keeper once.
+    far.replicate(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+    far.replicate(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
+    // The entry sends its servers to its keeper by name once.
     for server in (0..SERVERS).step_by(100) {
         entry.table.merge(at(600), announce(server, 2));
     }
-    entry.tell(700, &mut far, LeaseScope::Own, LeaseSource::Peer);
+    entry.replicate(700, &mut far, LeaseScope::Own, LeaseSource::Peer);
     let mut bytes = (0, 0);
-    for beat in 1..=10 {
-        let now = 1_200 * beat;
+    for round in 1..=10 {
+        let now = 1_200 * round;
         for server in 0..SERVERS {
-            // One server in a hundred goes to the entry, as the others go to hundreds like it.
-            let hearer = if server % 100 == 0 {
+            // One server in a hundred heartbeats to this entry; the others stand for the servers of
+            // hundreds of such entries.
+            let receiver = if server % 100 == 0 {
                 &mut entry
             } else {
                 &mut near
             };
-            let verdict = hearer.table.merge(at(now), announce(server, 2 + beat));
+            let verdict = receiver.table.merge(at(now), announce(server, 2 + round));
             assert_eq!(verdict, MergeVerdict::Renewed);
         }
-        bytes.0 += entry.tell(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
-        near.tell(
+        bytes.0 += entry.replicate(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
+        near.replicate(
             now + 100,
             &mut far,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        bytes.1 += far.tell(
+        bytes.1 += far.replicate(
             now + 300,
             &mut follower,
             LeaseScope::All,
             LeaseSource::Keeper,
         );
     }
-    assert_eq!(follower.serving(12_300), SERVERS);
+    assert_eq!(follower.serving_count(12_300), SERVERS);
     let (up, down) = (bytes.0 / 10, bytes.1 / 10);
-    assert!(up <= 30 * 6 + 100, "{up} bytes a round from 30 servers");
-    assert!(down <= SERVERS * 5, "{down} bytes a round to a follower");
+    assert!(up <= 30 * 6 + 100, "{up} bytes per round from 30 servers");
+    assert!(down <= SERVERS * 5, "{down} bytes per round to a follower");
 }
 
-// Guards against a dead server that stays alive by hearsay: each host adds the age that a word has.
+// Guards against a dead server whose lease hosts keep renewing for each other. Each host sends the
+// age of a renewal with it, so that forwarded renewals expire.
 #[test]
-fn a_silent_server_ends_everywhere_within_its_lease() {
+fn the_lease_of_a_dead_server_expires_on_every_host() {
     let mut entry = LeaseHost::new("entry-1");
     let mut near = LeaseHost::new("keeper-1");
     let mut far = LeaseHost::new("keeper-2");
     let mut follower = LeaseHost::new("entry-2");
     near.table.merge(at(0), announce(1, 1));
     for now in (200..12_000).step_by(200) {
-        near.tell(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+        near.replicate(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
         if now == 1_200 {
             entry.table.merge(at(now), announce(1, 2));
         }
-        entry.tell(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
-        near.tell(
+        entry.replicate(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
+        near.replicate(
             now,
             &mut far,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        far.tell(
+        far.replicate(
             now,
             &mut near,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        far.tell(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
+        far.replicate(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
         let hosts = [&entry, &near, &far, &follower];
-        let serving: Vec<usize> = hosts.map(|host| host.serving(now)).to_vec();
+        let serving: Vec<usize> = hosts.map(|host| host.serving_count(now)).to_vec();
         if now < 5_000 {
             assert!(now <= 200 || serving == [1, 1, 1, 1], "{now}: {serving:?}");
         }
@@ -213,44 +225,50 @@
     }
 }
 
-// Guards against leases that end while a host turns to another keeper, whose numbers it does not know.
+// Guards against leases that expire when a host follows another keeper, whose lease numbers it does
+// not know yet.
 #[test]
-fn a_host_that_follows_another_keeper_keeps_its_leases() {
+fn a_host_keeps_its_leases_when_it_follows_another_keeper() {
     const SERVERS: usize = 600;
     let mut first = LeaseHost::new("keeper-1");
     let mut second = LeaseHost::new("keeper-2");
     second.first = InitialSync::NamesOnly;
     let mut follower = LeaseHost::new("entry-1");
     let mut bytes = Vec::new();
-    for beat in 0..8 {
-        let now = 1_200 * beat;
+    for round in 0..8 {
+        let now = 1_200 * round;
         for server in 0..SERVERS {
-            first.table.merge(at(now), announce(server, 1 + beat));
+            first.table.merge(at(now), announce(server, 1 + round));
         }
-        first.tell(
+        first.replicate(
             now + 100,
             &mut second,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        let followed = if beat < 4 { &mut first } else { &mut second };
-        let told = followed.tell(
+        let followed = if round < 4 { &mut first } else { &mut second };
+        let sent = followed.replicate(
             now + 200,
             &mut follower,
             LeaseScope::All,
             LeaseSource::Keeper,
         );
-        bytes.push(told);
-        assert_eq!(follower.serving(now + 1_199), SERVERS, "beat {beat}");
+        bytes.push(sent);
+        assert_eq!(
+            follower.serving_count(now + 1_199),
+            SERVERS,
+            "round {round}"
+        );
     }
-    // The contents are held already, so the other keeper tells names alone.
+    // The follower already has the contents, so the second keeper sends only names.
     assert!(bytes[4] < bytes[0] / 2, "{bytes:?}");
     assert!(bytes[5] < bytes[4] / 4, "{bytes:?}");
 }
 
-// Guards against work for a server that leaves, sent by a host whose keeper stands still.
+// Guards against work for a leaving server, sent by a host whose own keeper hangs. A keeper sends
+// each leave to every host, and only once.
 #[test]
-fn a_leave_is_told_once_to_every_host() {
+fn a_leave_is_sent_once_to_every_host() {
     let mut keeper = LeaseHost::new("keeper-1");
     for server in 0..3 {
         keeper.table.merge(at(0), announce(server, 1));
@@ -265,30 +283,31 @@
     let (left, version) = keeper.table.leaving_since(at(300), version);
     let servers: Vec<&ServerName> = left.iter().map(|named| named.delta.server()).collect();
     assert_eq!(servers, [&ServerName::from("engine-0001")]);
-    let mut stranger = LeaseHost::new("entry-1");
-    stranger.table.merge(at(0), announce(1, 1));
+    let mut other = LeaseHost::new("entry-1");
+    other.table.merge(at(0), announce(1, 1));
     let batch = LeaseBatch {
         table: keeper.table.table_incarnation(),
         named: left,
-        heard: PackedRenewals::default(),
+        renewals: PackedRenewals::default(),
     };
     let sender = (&keeper.name, LeaseSource::Keeper);
-    stranger.table.merge_batch(at(400), sender, batch, TRANSIT);
-    assert_eq!(stranger.serving(400), 0);
+    other.table.merge_batch(at(400), sender, batch, TRANSIT);
+    assert_eq!(other.serving_count(400), 0);
     assert_eq!(keeper.table.leaving_since(at(500), version).0, []);
 }
 
-// Guards against numbers of an earlier process: they name other leases than those of the present one.
+// Guards against renewals by lease numbers of an earlier process. After a restart of the sender the
+// same numbers refer to other leases.
 #[test]
-fn numbers_of_an_earlier_process_renew_nothing() {
+fn lease_numbers_of_an_earlier_process_renew_nothing() {
     let mut sender = LeaseHost::new("keeper-1");
     let mut receiver = LeaseHost::new("entry-1");
     sender.table.merge(at(0), announce(1, 1));
-    sender.tell(100, &mut receiver, LeaseScope::Own, LeaseSource::Keeper);
+    sender.replicate(100, &mut receiver, LeaseScope::Own, LeaseSource::Keeper);
     let batch = LeaseBatch {
         table: Incarnation(8),
         named: Vec::new(),
-        heard: PackedRenewals::pack(vec![NumberedRenewal {
+        renewals: PackedRenewals::pack(vec![NumberedRenewal {
             number: LeaseNumber(1),
             age: Duration::ZERO,
         }]),
@@ -297,7 +316,7 @@
     let outcome = receiver.table.merge_batch(at(4_000), from, batch, TRANSIT);
     assert_eq!(outcome.merged, []);
     assert_eq!(outcome.unknown_numbers, [LeaseNumber(1)]);
-    assert_eq!(receiver.serving(5_500), 0);
+    assert_eq!(receiver.serving_count(5_500), 0);
 }
 
 fn hosts(count: usize) -> Vec<HeartbeatHost> {
@@ -309,59 +328,59 @@
     (0..count).map(host).collect()
 }
 
-// Guards against a server that is named the same unreachable host again and again, and against one host
-// that gets most of the heartbeats of a data centre.
+// Guards against a server that is assigned the same unreachable host repeatedly, and against one
+// host that gets most of the heartbeats of a data centre.
 #[test]
-fn heartbeats_are_spread_and_move_on_from_a_host_that_is_not_reached() {
+fn heartbeats_are_spread_and_avoid_an_unreachable_host() {
     let hosts = hosts(291);
     let mut keeper = AssignmentTable::new(AssignmentSettings::default());
     let mut shares: BTreeMap<&HostName, u32> = BTreeMap::new();
     for server in 0..3_000 {
         let name = ServerName::from(format!("engine-{server}"));
-        let centre = format!("dc-{}", server % 3).as_str().into();
-        let named = keeper.assign(at(0), &name, &centre, false, &hosts);
-        let named = named.expect("a host of the data centre");
-        assert_eq!(named.data_centre, centre);
-        *shares.entry(&named.host).or_default() += 1;
+        let data_centre = format!("dc-{}", server % 3).as_str().into();
+        let assigned = keeper.assign(at(0), &name, &data_centre, false, &hosts);
+        let assigned = assigned.expect("a host of the data centre");
+        assert_eq!(assigned.data_centre, data_centre);
+        *shares.entry(&assigned.host).or_default() += 1;
     }
     assert!(shares.values().all(|share| *share <= 30), "{shares:?}");
 
-    let (server, centre) = (ServerName::from("engine-1"), "dc-1".into());
+    let (server, data_centre) = (ServerName::from("engine-1"), "dc-1".into());
     let mut seen = Vec::new();
-    for back in 0..5 {
-        let now = at(10_000 + back * 1_200);
-        let named = keeper.assign(now, &server, &centre, back > 0, &hosts);
-        seen.push(named.map(|host| host.host.clone()));
+    for attempt in 0..5 {
+        let now = at(10_000 + attempt * 1_200);
+        let assigned = keeper.assign(now, &server, &data_centre, attempt > 0, &hosts);
+        seen.push(assigned.map(|host| host.host.clone()));
     }
-    let mut apart = seen.clone();
-    apart.sort();
-    apart.dedup();
-    assert_eq!(apart.len(), 5, "{seen:?}");
-    let later = keeper.assign(at(60_000), &server, &centre, false, &hosts);
+    let mut distinct = seen.clone();
+    distinct.sort();
+    distinct.dedup();
+    assert_eq!(distinct.len(), 5, "{seen:?}");
+    let later = keeper.assign(at(60_000), &server, &data_centre, false, &hosts);
     assert_eq!(later.map(|host| host.host.clone()), seen[0]);
-    let nowhere = keeper.assign(at(60_000), &server, &"dc-9".into(), false, &hosts);
-    assert_eq!(nowhere, None);
+    let unassigned = keeper.assign(at(60_000), &server, &"dc-9".into(), false, &hosts);
+    assert_eq!(unassigned, None);
 }
 
 proptest! {
-    // Guards against a packed list that loses a heartbeat, or makes one younger than it was.
+    // Guards against a packed list that loses a heartbeat or decodes it with a smaller age.
     #[test]
-    fn heartbeats_survive_packing(heard in prop::collection::btree_map(any::<u32>(), 0_u64..10_000, 0..64)) {
-        let leases = heard.iter().map(|(number, age)| NumberedRenewal {
+    fn heartbeats_survive_packing(renewals in prop::collection::btree_map(any::<u32>(), 0_u64..10_000, 0..64)) {
+        let leases = renewals.iter().map(|(number, age)| NumberedRenewal {
             number: LeaseNumber(*number),
             age: Duration::from_millis(*age),
         });
         let unpacked = PackedRenewals::pack(leases.clone().collect()).unpack().expect("its own bytes");
-        assert_eq!(unpacked.len(), heard.len());
+        assert_eq!(unpacked.len(), renewals.len());
         for (lease, unpacked) in leases.zip(unpacked) {
             assert_eq!(lease.number, unpacked.number);
             assert!(unpacked.age >= lease.age && unpacked.age < lease.age + Duration::from_millis(10));
         }
     }
 
-    // Guards against bytes of a stranger that end the process.
+    // Guards against untrusted bytes that make the process panic.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
+    fn untrusted_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..64)) {
         let mut encoded = Vec::new();
         ciborium::into_writer(&ciborium::Value::Bytes(bytes), &mut encoded).expect("bytes");
         let leases: PackedRenewals = ciborium::from_reader(encoded.as_slice()).expect("a byte string");
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -87,7 +87,7 @@
     LeaseBatch {
         table: Incarnation(5),
         named: (1..).zip(deltas).map(named).collect(),
-        heard: PackedRenewals::pack(heard.into()),
+        renewals: PackedRenewals::pack(heard.into()),
     }
 }
 
--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -279,7 +279,7 @@
         let batch = LeaseBatch {
             table: self.fleet.table_incarnation(),
             named,
-            heard: PackedRenewals::default(),
+            renewals: PackedRenewals::default(),
         };
         hub.send_to(hosts, &PeerFrame::Leases(batch));
     }
--- a/crates/daemon/tests/outer_frames.rs
+++ b/crates/daemon/tests/outer_frames.rs
@@ -153,7 +153,7 @@
     LeaseBatch {
         table: Incarnation(6),
         named: named.collect(),
-        heard: PackedRenewals::pack(vec![NumberedRenewal {
+        renewals: PackedRenewals::pack(vec![NumberedRenewal {
             number: LeaseNumber(300),
             age: Duration::from_millis(40),
         }]),
