--- a/crates/coordination/src/revision_follower.rs
+++ b/crates/coordination/src/revision_follower.rs
@@ -1,9 +1,10 @@
-//! Following the configuration: which revision a host may serve, and until when.
+//! Follows the configuration and decides which revision a host may serve, and until when.
 //!
-//! A host asks a keeper, which answers after a quorum-checked read. The answer renews a lease that
-//! counts from the moment of the *question*: every change accepted after that moment is unknown to
-//! the answer, so a change is in force on each host, or the host refuses new work, within one
-//! lease of its acceptance. Pushes only make a host ask sooner; nothing rests on them.
+//! A host sends a question to a keeper, which answers after a quorum-checked read. The answer
+//! renews a lease that starts at the time of the *question*, because the answer may lack every
+//! change accepted after it. Within one lease of its acceptance, a change is therefore in force on
+//! each host, or the host refuses new work. Pushed revisions only make a host ask sooner;
+//! correctness does not depend on them.
 
 mod followers;
 mod settings;
@@ -18,104 +19,106 @@
 
 use crate::base::{HostName, MonotonicTime, Revision};
 
-/// Answers of a keeper in another data centre after which a near one is asked again.
-const AWAY_ANSWERS: u32 = 8;
+/// Consecutive answers of far keepers after which a near keeper is tried again.
+const MAX_FAR_ANSWERS: u32 = 8;
 
-/// Number of a question; answers to older ones are still good for their own time.
+/// Number of a question. A late answer to an older question still renews the lease from the time
+/// of that question.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct QuestionNumber(pub u64);
 
-/// A question that is to be sent to a keeper.
+/// A question to send to a keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RevisionQuestion {
-    /// Its number.
+    /// Number of the question.
     pub number: QuestionNumber,
-    /// Keeper to ask.
+    /// Keeper that gets the question.
     pub keeper: HostName,
-    /// Revision held, so that the answer carries only what is missing; `None` before the first.
+    /// Held revision, so that the answer contains only the changes since; `None` before the first.
     pub have: Option<Revision>,
-    /// When it was decided to send it; the lease counts from here.
+    /// Time at which the question was issued; the lease starts here.
     pub asked_at: MonotonicTime,
 }
 
-/// Why no configuration may be served.
+/// Reason why a host may not serve any configuration.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum UnconfirmedRevision {
     /// No keeper has answered since this process started.
     #[display("no keeper has confirmed a configuration since this process started")]
     NeverConfirmed,
-    /// The lease ran out.
+    /// The lease has expired.
     #[display("no keeper has confirmed revision {held} for {} ms", since.as_millis())]
     LeaseOver {
-        /// Revision held.
+        /// Held revision.
         held: Revision,
-        /// Time since the last question that was answered.
+        /// Time since the latest answered question.
         since: Duration,
     },
 }
 
-/// What became of an answer.
+/// Result of processing an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnswerVerdict {
-    /// The revision held is confirmed.
+    /// The answer confirmed the held revision.
     Renewed,
-    /// A newer revision is to be served from now on.
+    /// The answer contained a newer revision, which the host serves from now on.
     Advanced,
-    /// The answer is older than what is held; it changes nothing.
+    /// The answer names a revision older than the held one and changes nothing.
     Stale,
-    /// The answer names a newer revision without its content; ask again with what is held.
+    /// The answer names a newer revision without its content; the host must ask again.
     ContentMissing,
 }
 
-/// Decides which revision one host serves.
+/// Decides when a host asks for the configuration and which revision it serves.
 ///
-/// Invariants: `held` never falls; `confirmed_at` never falls, and is the time of a question whose
-/// answer named `held` or an earlier revision that led to it.
+/// Invariants: `held` and `confirmed_at` never decrease; `confirmed_at` is the time of a question
+/// whose answer named `held` or an earlier held revision.
 #[derive(Clone, Debug)]
 pub struct RevisionFollower {
     settings: FollowSettings,
-    /// Keepers that are asked first.
+    /// Keepers that are asked first, in general those of the own data centre.
     near: Vec<HostName>,
-    /// Keepers that are asked where none of `near` answers.
+    /// Keepers that are asked while no keeper in `near` answers.
     far: Vec<HostName>,
-    /// Where this host begins among keepers that are equally near.
-    spread: usize,
-    /// Keepers that were left since the first one was asked last.
+    /// Offset of the first keeper within each list; distributes hosts over keepers.
+    keeper_offset: usize,
+    /// Number of failovers to the next keeper since the first keeper was last selected.
     turn: usize,
-    /// Consecutive answers of keepers of `far`.
-    away_answers: u32,
+    /// Consecutive answers of keepers in `far`.
+    far_answers: u32,
     number: QuestionNumber,
     held: Option<Revision>,
-    /// Highest revision that a peer said it serves.
-    heard: Option<Revision>,
+    /// Highest revision that a peer has reported.
+    observed: Option<Revision>,
     confirmed_at: Option<MonotonicTime>,
     next_question: MonotonicTime,
-    /// When the last question was due.
+    /// Time of the last question.
     asked_at: Option<MonotonicTime>,
-    /// When the question was due whose answer was the last change taken.
+    /// Time of the latest question whose answer advanced the held revision.
     advanced_at: Option<MonotonicTime>,
     /// Consecutive questions without an answer.
     unanswered: u32,
 }
 
 impl RevisionFollower {
-    /// A follower that holds nothing; `spread` spreads hosts over the keepers.
-    pub fn new(settings: FollowSettings, keepers: Vec<HostName>, spread: usize) -> Self {
+    /// Creates a follower without a revision, which asks `keepers` as near keepers. `keeper_offset`
+    /// selects the first keeper to ask; different values distribute hosts over the keepers.
+    pub fn new(settings: FollowSettings, keepers: Vec<HostName>, keeper_offset: usize) -> Self {
         Self {
             settings,
             near: keepers,
             far: Vec::new(),
-            spread,
+            keeper_offset,
             turn: 0,
-            away_answers: 0,
+            far_answers: 0,
             number: QuestionNumber(0),
             held: None,
-            heard: None,
+            observed: None,
             confirmed_at: None,
             next_question: MonotonicTime::START,
             asked_at: None,
@@ -124,17 +127,17 @@
         }
     }
 
-    /// Sets whom to ask, as keepers come and go: those of `near` first. A change then crosses between
-    /// data centres as often as there are keepers, not as often as there are hosts.
+    /// Replaces the lists of keepers. Keepers in `near` are asked first, so that a change crosses
+    /// between data centres once per keeper and not once per host.
     pub fn set_keepers(&mut self, near: Vec<HostName>, far: Vec<HostName>) {
         self.near = near;
         self.far = far;
     }
 
-    /// The question that is due, if any.
+    /// Returns the question that is due at `now`, if any.
     ///
-    /// Each question goes to the next keeper when the one before was not answered: a keeper that
-    /// hangs costs one period, not the lease.
+    /// If the previous question is unanswered, the question goes to the next keeper. A keeper that
+    /// hangs therefore costs one period and not the lease.
     pub fn tick(&mut self, now: MonotonicTime) -> Option<RevisionQuestion> {
         if now < self.next_question {
             return None;
@@ -155,78 +158,83 @@
         })
     }
 
-    /// The keeper that is asked now.
+    /// Returns the keeper that gets the questions; `None` if no keeper is known.
     pub fn followed_keeper(&self) -> Option<&HostName> {
         self.keeper()
     }
 
-    /// The keeper whose turn it is.
+    /// Returns the keeper at position `turn` of the near and then the far keepers.
     fn keeper(&self) -> Option<&HostName> {
         let turn = self.turn.checked_rem(self.near.len() + self.far.len())?;
         let (keepers, turn) = match turn.checked_sub(self.near.len()) {
             None => (&self.near, turn),
             Some(turn) => (&self.far, turn),
         };
-        keepers.get((self.spread % keepers.len() + turn) % keepers.len())
+        keepers.get((self.keeper_offset % keepers.len() + turn) % keepers.len())
     }
 
-    /// A near keeper that failed once is asked again after some answers of a far one.
-    fn note_answer(&mut self) {
+    /// Records an answer. After [`MAX_FAR_ANSWERS`] consecutive answers of far keepers it selects
+    /// the near keepers again.
+    fn record_answer(&mut self) {
         self.unanswered = 0;
-        let is_away = self
+        let is_far = self
             .keeper()
             .is_some_and(|keeper| !self.near.contains(keeper));
-        if !is_away || self.near.is_empty() {
-            self.away_answers = 0;
+        if !is_far || self.near.is_empty() {
+            self.far_answers = 0;
             return;
         }
-        self.away_answers += 1;
-        if self.away_answers >= AWAY_ANSWERS {
-            self.away_answers = 0;
+        self.far_answers += 1;
+        if self.far_answers >= MAX_FAR_ANSWERS {
+            self.far_answers = 0;
             self.turn = 0;
         }
     }
 
-    /// A peer says that it holds `revision`: ask at once if that is news, and no question is open.
+    /// Records that a peer holds `revision`. If the revision is newer than the held one and no
+    /// question is pending, the next question is due at once.
     ///
-    /// Failure: each of many peers tells of a change within a second, and a host asked the next keeper
-    /// at each of their words, for the whole content. Symptom: some hosts had a change seconds after the
-    /// others. One open question is enough, and the next keeper is asked if its answer does not come in
-    /// time.
+    /// Failure: many peers report a change within a second, and a host asked the next keeper for
+    /// the whole content at each report. Symptom: some hosts got a change seconds after the others.
+    /// One pending question is enough; if its answer takes longer than
+    /// [`FollowSettings::answer_timeout`], the next keeper is asked.
     ///
-    /// Failure: operators change routes ten times a second, and a host takes each change for itself, a
-    /// document of thousands of routes each time. Symptom: all its streams paused for as long as that
-    /// went on. Changes within [`FollowSettings::spacing`] are taken together.
+    /// Failure: operators change routes ten times a second, and a host fetches each change
+    /// separately, each time a document of thousands of routes. Symptom: all streams of the host
+    /// paused during that time. Changes within [`FollowSettings::spacing`] are fetched together.
     pub fn observe(&mut self, now: MonotonicTime, revision: Revision) {
-        self.heard = self.heard.max(Some(revision));
+        self.observed = self.observed.max(Some(revision));
         if !self.is_behind() {
             return;
         }
-        let open = self.asked_at.filter(|_| self.unanswered > 0);
-        let due = open.map_or(now, |asked| asked.after(self.settings.patience).max(now));
+        let pending = self.asked_at.filter(|_| self.unanswered > 0);
+        let due = pending.map_or(now, |asked| {
+            asked.after(self.settings.answer_timeout).max(now)
+        });
         let advanced = self.advanced_at.map(|at| at.after(self.settings.spacing));
         let due = due.max(advanced.unwrap_or(due));
         self.next_question = self.next_question.min(due);
     }
 
-    /// Whether a peer serves a newer revision than the one held.
+    /// Whether a peer has reported a revision newer than the held one.
     pub fn is_behind(&self) -> bool {
-        self.heard > self.held
+        self.observed > self.held
     }
 
-    /// Takes a quorum-checked answer to a question of `asked_at`; `has_content` says whether the
-    /// content of `revision` came with it.
+    /// Processes a quorum-checked answer to the question of `asked_at`. `has_content` states
+    /// whether the answer includes the content of `revision`.
     pub fn answer(
         &mut self,
         asked_at: MonotonicTime,
         revision: Revision,
         has_content: bool,
     ) -> AnswerVerdict {
-        self.note_answer();
+        self.record_answer();
         let held = self.held;
         if held.is_some_and(|held| revision < held) {
-            // Two keepers' answers crossed. The later one was already served, and going back would
-            // break "never reverts"; its lease stands on its own question.
+            // Answers of two keepers arrived out of order. The host already serves the newer
+            // revision and must never revert; the lease of that revision counts from its own
+            // question.
             return AnswerVerdict::Stale;
         }
         if held == Some(revision) {
@@ -242,10 +250,11 @@
         AnswerVerdict::Advanced
     }
 
-    /// The revision to serve at `now`.
+    /// Returns the revision to serve at `now`.
     ///
     /// # Errors
-    /// The host must refuse new work: it may be cut off and not know of changes.
+    /// If no revision is confirmed or the lease has expired. The host must then refuse new work,
+    /// because it may be partitioned from the keepers and lack changes.
     pub fn current(&self, now: MonotonicTime) -> Result<Revision, UnconfirmedRevision> {
         let (Some(held), Some(confirmed_at)) = (self.held, self.confirmed_at) else {
             return Err(UnconfirmedRevision::NeverConfirmed);
@@ -257,13 +266,12 @@
         Ok(held)
     }
 
-    /// When the last question that was answered had been asked: every change accepted before it is
-    /// known here.
+    /// Time of the latest answered question. The host holds every change accepted before it.
     pub fn confirmed_at(&self) -> Option<MonotonicTime> {
         self.confirmed_at
     }
 
-    /// Time for which the revision held may still be served.
+    /// Remaining time during which the host may serve the held revision.
     pub fn remaining(&self, now: MonotonicTime) -> Duration {
         let confirmed_at = self.confirmed_at.unwrap_or(MonotonicTime::START);
         match self.held {
@@ -272,12 +280,12 @@
         }
     }
 
-    /// Revision held, whether or not it may be served.
+    /// Held revision, even if its lease has expired.
     pub fn held(&self) -> Option<Revision> {
         self.held
     }
 
-    /// Time of the next question.
+    /// Time at which the next question is due.
     pub fn next_deadline(&self) -> MonotonicTime {
         self.next_question
     }
--- a/crates/coordination/src/revision_follower/followers.rs
+++ b/crates/coordination/src/revision_follower/followers.rs
@@ -1,33 +1,34 @@
-//! Which hosts follow a keeper.
+//! Table of the hosts that follow a keeper.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::base::{HostName, MonotonicTime};
 
-/// Time after its last question for which a host follows: two questions, and time for a late one.
-const FOLLOWING_TIME: Duration = Duration::from_millis(2_500);
+/// Time after its last question during which a host counts as a follower: two questions, with some
+/// margin for a late one.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Hosts that ask this keeper for the configuration.
 ///
-/// A host asks one keeper at a time, a near one where it can. What every host is to hear crosses to
-/// each keeper once, and each of them passes it on to those that follow it; sent to each host from one
-/// place, it filled that keeper's time and the links between data centres.
+/// A host asks one keeper at a time, a near one if possible. A message for all hosts goes to each
+/// keeper once, and each keeper forwards it to its followers. When one keeper sent it to every
+/// host, that keeper and the links between data centres were saturated.
 #[derive(Clone, Debug, Default)]
 pub struct FollowerTable {
     asked_at: BTreeMap<HostName, MonotonicTime>,
 }
 
 impl FollowerTable {
-    /// A host asked.
+    /// Records a question of `host` at `now`.
     pub fn record_question(&mut self, now: MonotonicTime, host: &HostName) {
         self.asked_at.insert(host.clone(), now);
     }
 
-    /// Hosts that follow at `now`, by name.
+    /// Returns the followers at `now`, sorted by name, and removes all other hosts.
     pub fn hosts(&mut self, now: MonotonicTime) -> Vec<HostName> {
         self.asked_at
-            .retain(|_, asked_at| now.since(*asked_at) < FOLLOWING_TIME);
+            .retain(|_, asked_at| now.since(*asked_at) < FOLLOWER_TIMEOUT);
         self.asked_at.keys().cloned().collect()
     }
 }
--- a/crates/coordination/src/revision_follower/settings.rs
+++ b/crates/coordination/src/revision_follower/settings.rs
@@ -1,22 +1,24 @@
-//! Settings of following the configuration.
+//! Settings of a revision follower.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How a host keeps its configuration current.
+/// Timing of the questions by which a host keeps its configuration current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FollowSettings {
-    /// A host refuses new work this long after the last question that was answered.
+    /// Time after the latest answered question at which a host refuses new work.
     pub lease: Duration,
-    /// Time between two questions; a quarter of the lease leaves three tries.
+    /// Time between two questions. A quarter of the lease leaves three attempts.
     pub period: Duration,
-    /// Time for which an answer is waited for before a peer's word leads to another question. Half of
-    /// the period: the answer after a change carries its content and takes longer than others.
-    pub patience: Duration,
-    /// Least time between the questions for two changes. Those that come in quicker succession are taken
-    /// together.
+    /// Time to wait for an answer before a revision reported by a peer triggers another question.
+    /// Half of the period, because an answer after a change includes its content and takes longer
+    /// than other answers.
+    #[serde(rename = "patience")]
+    pub answer_timeout: Duration,
+    /// Minimum time between the questions for two changes. Changes in quicker succession are
+    /// fetched together.
     pub spacing: Duration,
 }
 
@@ -25,7 +27,7 @@
         Self {
             lease: Duration::from_secs(3),
             period: Duration::from_millis(700),
-            patience: Duration::from_millis(350),
+            answer_timeout: Duration::from_millis(350),
             spacing: Duration::from_millis(300),
         }
     }
--- a/crates/coordination/src/revision_follower/tests.rs
+++ b/crates/coordination/src/revision_follower/tests.rs
@@ -18,11 +18,11 @@
     RevisionFollower::new(FollowSettings::default(), keepers, 0)
 }
 
-// The caller gets a true refusal rather than an answer by an old configuration. The host is cut
-// off at 1 s; its last answered question was asked at 0.7 s, so it serves until 3.7 s and no
-// longer, and serves again as soon as a keeper answers.
+// A partitioned host must refuse requests instead of serving an old configuration. The partition
+// starts at 1 s and the latest answered question is of 0.7 s, so the host serves until 3.7 s. It
+// serves again as soon as a keeper answers.
 #[test]
-fn a_host_that_is_cut_off_stops_within_its_lease() {
+fn a_partitioned_host_stops_serving_when_its_lease_expires() {
     let mut follower = follower();
     let mut seen = vec![format!("start: {:?}", follower.current(at(0)))];
     for asked in [0, 700] {
@@ -44,10 +44,10 @@
     ");
 }
 
-// An answer that travelled for long must not count from its arrival: the change accepted while it
-// travelled would be unknown for longer than a lease.
+// A lease that counted from the arrival of a late answer would hide a change accepted while the
+// answer was on the way for longer than a lease.
 #[test]
-fn a_late_answer_renews_from_its_question() {
+fn a_late_answer_renews_from_the_time_of_its_question() {
     let mut follower = follower();
     let question = follower.tick(at(0)).unwrap();
     follower.answer(question.asked_at, Revision(1), true);
@@ -60,8 +60,10 @@
     );
 }
 
+// Answers of two keepers can arrive out of order. A host that took the older one would revert a
+// change that it already serves.
 #[test]
-fn answers_that_crossed_never_lower_the_revision() {
+fn answers_out_of_order_never_lower_the_revision() {
     let cases = [
         ("older", 5, 4, true, AnswerVerdict::Stale),
         ("equal", 5, 5, false, AnswerVerdict::Renewed),
@@ -86,6 +88,8 @@
     }
 }
 
+// A host that repeats its question to a keeper that hangs would lose its lease. Each unanswered
+// question must be followed by a question to the next keeper.
 #[test]
 fn a_keeper_that_hangs_costs_one_period() {
     let mut follower = follower();
@@ -96,10 +100,11 @@
     insta::assert_snapshot!(asked.join(" "), @"k1 k2 k3 k1 k2 k3");
 }
 
-// Hundreds of hosts pull each change: asked across data centres, it filled the pipes between them. A
-// host asks near keepers, others only while no near one answers, and comes back.
+// Hundreds of hosts fetch each change, and questions across data centres saturated the links
+// between them. A host asks far keepers only while no near keeper answers, and then returns to a
+// near one.
 #[test]
-fn near_keepers_are_asked_first_and_again() {
+fn a_host_prefers_near_keepers_and_returns_to_them() {
     let mut follower = RevisionFollower::new(FollowSettings::default(), Vec::new(), 5);
     let near = vec!["n1".into(), "n2".into()];
     let far = vec!["f1".into(), "f2".into(), "f3".into()];
@@ -116,13 +121,13 @@
     insta::assert_snapshot!(asked.join(" "), @"n2 n1 f3 f3 f3 f3 f3 f3 f3 f3 n2 n2 n2 n2 n2 n2");
 }
 
-// Operators change routes every 60 ms for 1.5 s, and each change of thousands of routes costs a small
-// host half of that. Taken one by one they stopped its streams; a few questions take all of them, and the
-// last change is held soon after it was made.
+// Operators change routes every 60 ms for 1.5 s, and applying each change of thousands of routes
+// takes a small host half of that interval. Fetched separately, the changes stopped its streams. A
+// few questions must fetch all of them, and the host must get the last change soon after it.
 #[test]
-fn changes_in_quick_succession_are_taken_together() {
+fn changes_in_quick_succession_are_fetched_together() {
     let mut follower = follower();
-    let mut taken = Vec::new();
+    let mut fetched = Vec::new();
     let first = follower.tick(at(0)).unwrap();
     follower.answer(first.asked_at, Revision(1), true);
     for now in (1_000..3_000).step_by(10) {
@@ -130,19 +135,19 @@
         follower.observe(at(now), newest);
         if let Some(question) = follower.tick(at(now)) {
             follower.answer(question.asked_at, newest, true);
-            taken.push(format!("{now}: {newest}"));
+            fetched.push(format!("{now}: {newest}"));
         }
     }
     insta::assert_snapshot!(
-        taken.join(", "),
+        fetched.join(", "),
         @"1000: 1, 1060: 2, 1360: 7, 1660: 12, 1960: 17, 2260: 22, 2560: 26"
     );
 }
 
-// A keeper passes on to its followers what every host is to hear. One that has moved to another
-// keeper, or is gone, is not told for ever.
+// A keeper forwards messages for all hosts to its followers. It must stop sending to a host that
+// follows another keeper or is down.
 #[test]
-fn a_host_follows_for_two_questions() {
+fn a_host_stops_being_a_follower_after_two_missed_questions() {
     let mut table = FollowerTable::default();
     table.record_question(at(0), &"a".into());
     table.record_question(at(1_000), &"b".into());
@@ -156,14 +161,14 @@
     "#);
 }
 
-/// Keepers that accept a change now and then; answers come late, swapped or never.
-struct RacingKeepers {
+/// Keepers that accept changes at random times; answers arrive late, out of order or never.
+struct UnreliableKeepers {
     rng: ChaCha8Rng,
     accepted: Vec<(u64, Revision)>,
     answers: Vec<(u64, RevisionQuestion, Revision)>,
 }
 
-impl RacingKeepers {
+impl UnreliableKeepers {
     fn step(&mut self, now: u64, follower: &mut RevisionFollower) {
         let newest = self
             .accepted
@@ -189,13 +194,13 @@
     }
 }
 
-// Whatever is lost, late or swapped: no host serves a revision that was replaced more than one
-// lease ago, and none goes back. The seeds are fixed; each plays 60 s in steps of 10 ms.
+// Lost, late and reordered answers must not make a host revert, or serve a revision that was
+// replaced more than one lease ago. The seeds are fixed; each run simulates 60 s in steps of 10 ms.
 #[test]
-fn no_host_serves_a_revision_replaced_a_lease_ago() {
+fn no_host_serves_a_revision_replaced_more_than_a_lease_ago() {
     for seed in 0..20 {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut keepers = RacingKeepers {
+        let mut keepers = UnreliableKeepers {
             rng,
             accepted: vec![(0, Revision(1))],
             answers: Vec::new(),
@@ -208,36 +213,37 @@
             let Ok(current) = follower.current(at(now)) else {
                 continue;
             };
-            assert!(current >= served, "seed {seed}: went back at {now}");
+            assert!(current >= served, "seed {seed}: reverted at {now} ms");
             served = current;
-            let owed = keepers
+            let required = keepers
                 .accepted
                 .iter()
                 .rev()
                 .find(|(accepted, _)| accepted + 3_000 <= now);
-            let owed = owed.map_or(Revision(0), |(_, revision)| *revision);
+            let required = required.map_or(Revision(0), |(_, revision)| *revision);
             assert!(
-                current >= owed,
-                "seed {seed}: {current} served at {now}, {owed} owed"
+                current >= required,
+                "seed {seed}: served {current} at {now} ms, expected at least {required}"
             );
         }
         assert!(
             served > Revision(10),
-            "seed {seed}: the run followed nothing"
+            "seed {seed}: the revision did not advance far enough"
         );
     }
 }
 
-// Callers get answers by the old configuration for as long as keepers are busy with questions. A change
-// is told by twenty peers within 200 ms. One question is asked at once; it is still open at each of the
-// next words, and only after the patience does the next keeper get one. An answer closes it.
+// Twenty peers report a change within 200 ms. A question for each report would overload the
+// keepers, and callers would get answers by the old configuration. The first report triggers a
+// question; the next keeper gets one only after the answer timeout.
 #[test]
-fn the_words_of_many_peers_lead_to_one_question_at_a_time() {
+fn reports_of_many_peers_trigger_one_question_at_a_time() {
     let mut follower = follower();
     let question = follower.tick(at(0)).unwrap();
     follower.answer(question.asked_at, Revision(1), true);
     let mut seen = Vec::new();
-    // The change before it was taken longer ago than changes are taken together.
+    // The previous change is older than the spacing, so the first report triggers a question at
+    // once.
     for now in (400..1_300).step_by(10) {
         if now < 600 || now == 1_000 {
             follower.observe(at(now), Revision(2));
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -151,7 +151,7 @@
         let follow = FollowSettings {
             lease,
             period,
-            patience: period / 2,
+            answer_timeout: period / 2,
             ..FollowSettings::default()
         };
         let feed = Arc::new(ConfigurationFeed::new(
