--- a/crates/coordination/src/hosts.rs
+++ b/crates/coordination/src/hosts.rs
@@ -1,8 +1,8 @@
-//! Hosts that find each other: who is there, where, and when that was last known.
+//! Host discovery: a directory of known hosts with their addresses and last confirmation.
 //!
-//! No list of hosts is given. A host knows a few seed addresses; whoever answers there says who
-//! else is a keeper. Knowledge travels with its age, so what is said of a host that died grows old
-//! everywhere at once and is forgotten, however often it is passed on.
+//! There is no configured list of hosts. A host knows a few seed addresses, and the hosts there
+//! send it gossip about the keepers. Gossip carries its age, so information about a dead host
+//! expires on all hosts at the same time, regardless of how often they forward it.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,37 +13,38 @@
 use crate::base::{DataCentreName, HostName, MonotonicTime};
 use crate::leases::HeartbeatHost;
 
-/// Where a host takes links, and what it is.
+/// Address, role and location of a host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostReach {
-    /// Its address for peers.
+    /// Address that accepts connections of peers.
     pub address: SocketAddr,
-    /// Whether it has a disk and keeps a replica of the agreed state.
+    /// Whether the host is a keeper, which has a disk and stores a replica of the replicated state.
     pub keeper: bool,
-    /// Where it stands; `None` where its settings don't say so.
+    /// Data centre of the host; `None` if its settings don't name one.
     pub data_centre: Option<DataCentreName>,
-    /// Where it takes heartbeats of backend servers that keepers send there; `None` where it takes none.
+    /// Address for heartbeats of backend servers that a keeper assigned to the host; `None` if the
+    /// host accepts none.
     #[serde(default)]
     pub heartbeats: Option<SocketAddr>,
 }
 
-/// What one host tells another of a third.
+/// Information about a host that one host sends to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostGossip {
-    /// The host that is spoken of.
+    /// Host that the information describes.
     pub host: HostName,
-    /// Where it is.
+    /// Address, role and location of the host.
     pub reach: HostReach,
-    /// Time since it was last heard by anyone.
+    /// Time since any host last confirmed it.
     pub age: Duration,
 }
 
-/// Settings of a directory.
+/// Settings of a [`HostDirectory`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DirectorySettings {
-    /// Silence after which a host is forgotten. Longer than a restart and a short partition, so
-    /// that links are not torn down for them; a host that is forgotten too early is back with its
-    /// next hello.
+    /// Time without confirmation after which a host is removed. It is longer than a restart or a
+    /// short partition, so that these don't close links. A host that is removed too early is added
+    /// again by its next hello.
     pub retention: Duration,
 }
 
@@ -58,16 +59,16 @@
 /// A change of the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// A host is new, or is reached elsewhere than before.
+    /// A host is new, or its address, role or location has changed.
     Reach {
-        /// The host.
+        /// Name of the host.
         host: HostName,
-        /// Where it is now.
+        /// New address, role and location.
         reach: HostReach,
     },
-    /// A host was not heard of for the retention.
+    /// A host was removed after the retention without confirmation.
     Forgotten {
-        /// The host.
+        /// Name of the host.
         host: HostName,
     },
 }
@@ -78,7 +79,7 @@
     heard_at: MonotonicTime,
 }
 
-/// Hosts that one host knows of, itself left out.
+/// Hosts known to one host, without itself.
 #[derive(Clone, Debug)]
 pub struct HostDirectory {
     own: HostName,
@@ -87,7 +88,7 @@
 }
 
 impl HostDirectory {
-    /// A directory of `own` that knows nobody.
+    /// Creates a directory for host `own` without other hosts.
     pub fn new(own: HostName, settings: DirectorySettings) -> Self {
         Self {
             own,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A host spoke for itself. It moves to where it says it is.
+    /// Records information that a host sent about itself. It replaces any earlier information.
     pub fn observe(
         &mut self,
         now: MonotonicTime,
@@ -106,50 +107,53 @@
         self.merge(host, reach, now)
     }
 
-    /// A host spoke of another. An older word than what is known changes nothing: a host that was
-    /// replaced at another address would else be sent back to the old one.
+    /// Records information that a host sent about another. Information that is not newer than the
+    /// stored entry is ignored; otherwise a host that was replaced at a new address would be reset
+    /// to its old address.
     pub fn observe_gossip(
         &mut self,
         now: MonotonicTime,
-        note: &HostGossip,
+        gossip: &HostGossip,
     ) -> Option<DirectoryChange> {
-        if note.age >= self.settings.retention {
+        if gossip.age >= self.settings.retention {
             return None;
         }
-        let heard_at = now.before(note.age);
-        let known = self.entries.get(&note.host);
+        let heard_at = now.before(gossip.age);
+        let known = self.entries.get(&gossip.host);
         if known.is_some_and(|known| known.heard_at >= heard_at) {
             return None;
         }
-        self.merge(&note.host, note.reach.clone(), heard_at)
+        self.merge(&gossip.host, gossip.reach.clone(), heard_at)
     }
 
-    /// A link to the host works.
+    /// Records that a link to `host` works at `now`.
     pub fn confirm(&mut self, now: MonotonicTime, host: &HostName) {
         if let Some(entry) = self.entries.get_mut(host) {
             entry.heard_at = entry.heard_at.max(now);
         }
     }
 
-    /// Forgets hosts that were silent for the retention.
+    /// Removes hosts without confirmation during the retention.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<DirectoryChange> {
         let retention = self.settings.retention;
         let silent = |entry: &DirectoryEntry| now.since(entry.heard_at) >= retention;
-        let gone: Vec<HostName> = self
+        let expired: Vec<HostName> = self
             .entries
             .iter()
             .filter(|(_, entry)| silent(entry))
             .map(|(host, _)| host.clone())
             .collect();
-        for host in &gone {
+        for host in &expired {
             self.entries.remove(host);
         }
-        gone.into_iter()
+        expired
+            .into_iter()
             .map(|host| DirectoryChange::Forgotten { host })
             .collect()
     }
 
-    /// What to tell others: keepers only, since entries are linked to keepers and to nobody else.
+    /// Returns the gossip for other hosts. It contains only keepers, because hosts connect only to
+    /// keepers.
     pub fn gossip(&self, now: MonotonicTime) -> Vec<HostGossip> {
         let keepers = self.entries.iter().filter(|(_, entry)| entry.reach.keeper);
         keepers
@@ -161,7 +165,8 @@
             .collect()
     }
 
-    /// Hosts that take heartbeats for keepers: who, in which data centre, and where.
+    /// Returns the hosts to which keepers can assign heartbeats: those with a data centre and a
+    /// heartbeat address.
     pub fn heartbeat_hosts(&self) -> Vec<HeartbeatHost> {
         let hosts = self.entries.iter().filter_map(|(host, entry)| {
             Some(HeartbeatHost {
@@ -173,20 +178,20 @@
         hosts.collect()
     }
 
-    /// Number of hosts that are no keepers: they take callers.
+    /// Number of known hosts that are not keepers; these accept requests of callers.
     pub fn entry_count(&self) -> u32 {
         let entries = self.entries.values().filter(|entry| !entry.reach.keeper);
         u32::try_from(entries.count()).unwrap_or(u32::MAX)
     }
 
-    /// The host that is reached at `address`.
+    /// Returns the host whose peer address is `address`.
     pub fn find_by_address(&self, address: SocketAddr) -> Option<&HostName> {
         let mut entries = self.entries.iter();
         let found = entries.find(|(_, entry)| entry.reach.address == address);
         found.map(|(host, _)| host)
     }
 
-    /// Whether a host is known to stand in `data_centre`.
+    /// Whether a host is known to be in `data_centre`.
     pub fn is_in(&self, host: &HostName, data_centre: &DataCentreName) -> bool {
         let entry = self.entries.get(host);
         entry.is_some_and(|entry| entry.reach.data_centre.as_ref() == Some(data_centre))
@@ -198,7 +203,7 @@
         entry.is_some_and(|entry| entry.reach.keeper)
     }
 
-    /// Known keepers, by name.
+    /// Iterates over the known keepers in the order of their names.
     pub fn keepers(&self) -> impl Iterator<Item = &HostName> {
         let keepers = self.entries.iter().filter(|(_, entry)| entry.reach.keeper);
         keepers.map(|(host, _)| host)
--- a/crates/coordination/tests/hosts_found.rs
+++ b/crates/coordination/tests/hosts_found.rs
@@ -1,4 +1,4 @@
-//! Which hosts are known, for how long, and whether enough keepers are reached.
+//! Host directory and the quorum of reached voters.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     }
 }
 
-fn note(host: &str, port: u16, age: u64) -> HostGossip {
+fn gossip(host: &str, port: u16, age: u64) -> HostGossip {
     HostGossip {
         host: HostName::from(host),
         reach: reach(port, true),
@@ -44,11 +44,11 @@
     }
 }
 
-// A backend server that heartbeats to a keeper without a quorum is acknowledged, and taken for gone
-// everywhere else. A sixth keeper that was lost and retired must not count: three of the five that
-// vote then turned every heartbeat away, and all leases ended at once.
+// A keeper without a quorum that acknowledges heartbeats leaves the server expired on all other
+// hosts, so it must reject them. Only voters count: when a lost and retired sixth keeper counted,
+// three of the five voters rejected every heartbeat, and all leases expired at once.
 #[test]
-fn heartbeats_are_taken_where_a_quorum_of_the_voters_is_reached() {
+fn a_quorum_counts_reached_voters_only() {
     let cases: [(&str, &[&str], &[&str]); 6] = [
         ("no group yet", &[], &["a"]),
         ("alone of one", &["a"], &["a"]),
@@ -79,26 +79,26 @@
     ");
 }
 
-// A keeper that was replaced is reached at its new address, whatever those say who heard of it
-// before. Gossip that was older than what is known would else send links back to the dead address.
+// After a keeper was replaced, other hosts may still send gossip with its old address. Gossip that
+// is older than the stored entry must not direct links back to the dead address.
 #[test]
-fn the_newer_word_on_a_host_wins_whatever_the_order() {
+fn the_newest_gossip_wins_in_any_order_of_arrival() {
     let steps: [(u64, HostGossip); 5] = [
-        (1, note("k", 1, 0)),
-        (2, note("k", 2, 0)),
-        (3, note("k", 1, 2)),
-        (4, note("k", 3, 2)),
-        (5, note("own", 9, 0)),
+        (1, gossip("k", 1, 0)),
+        (2, gossip("k", 2, 0)),
+        (3, gossip("k", 1, 2)),
+        (4, gossip("k", 3, 2)),
+        (5, gossip("own", 9, 0)),
     ];
     let mut directory = directory();
     let mut lines = Vec::new();
-    for (second, note) in steps {
-        let told = format!(
+    for (second, gossip) in steps {
+        let received = format!(
             "{} at {} aged {:?}",
-            note.host, note.reach.address, note.age
+            gossip.host, gossip.reach.address, gossip.age
         );
-        let news = directory.observe_gossip(at(second), &note);
-        lines.push(format!("{second} s, {told}: {news:?}"));
+        let change = directory.observe_gossip(at(second), &gossip);
+        lines.push(format!("{second} s, {received}: {change:?}"));
     }
     insta::assert_snapshot!(lines.join("\n"), @r#"
     1 s, k at 10.0.0.1:1 aged 0ns: Some(Reach { host: HostName("k"), reach: HostReach { address: 10.0.0.1:1, keeper: true, data_centre: None, heartbeats: None } })
@@ -109,32 +109,32 @@
     "#);
 }
 
-// A dead host that two others keep telling each other of must be forgotten in the end: knowledge
-// travels with its age. Told without an age it would come back with each round for ever.
+// Two hosts keep sending each other gossip about a dead host. Without the age in the gossip, each
+// round would add the dead host again; with it, both remove the host after the retention.
 #[test]
-fn a_dead_host_is_forgotten_however_often_it_is_told_on() {
+fn forwarded_gossip_does_not_keep_a_dead_host() {
     let (mut left, mut right) = (directory(), directory());
     left.observe(at(0), &HostName::from("dead"), reach(1, true));
-    let mut forgotten = Vec::new();
+    let mut removed = Vec::new();
     for second in 1..=40 {
-        for note in left.gossip(at(second)) {
-            right.observe_gossip(at(second), &note);
+        for gossip in left.gossip(at(second)) {
+            right.observe_gossip(at(second), &gossip);
         }
-        for note in right.gossip(at(second)) {
-            left.observe_gossip(at(second), &note);
+        for gossip in right.gossip(at(second)) {
+            left.observe_gossip(at(second), &gossip);
         }
-        let gone = left.tick(at(second)).len() + right.tick(at(second)).len();
-        if gone > 0 {
-            forgotten.push((second, gone));
+        let expired = left.tick(at(second)).len() + right.tick(at(second)).len();
+        if expired > 0 {
+            removed.push((second, expired));
         }
     }
-    assert_eq!(forgotten, [(30, 2)]);
+    assert_eq!(removed, [(30, 2)]);
 }
 
-// The retry budget of the system is divided by the hosts that take callers. Keepers take none, and
-// counting them would leave a part of the budget to nobody.
+// The hosts that accept callers share the retry budget of the system. Keepers accept none, so
+// counting them would leave a part of the budget unused.
 #[test]
-fn only_hosts_that_take_callers_share_the_budget() {
+fn keepers_do_not_count_as_entries() {
     let mut directory = directory();
     directory.observe(at(0), &HostName::from("k"), reach(1, true));
     directory.observe(at(0), &HostName::from("e1"), reach(2, false));
