--- a/crates/coordination/src/streams.rs
+++ b/crates/coordination/src/streams.rs
@@ -1,10 +1,11 @@
-//! Streams that another host can go on with: what a host remembers of answers that its peers send.
+//! Resumable streams: copies of the answers that peers are sending to callers.
 //!
-//! The entry that sends an answer tells one other host of each token before it tells its caller.
-//! When the entry dies, the caller reconnects anywhere with its request's id and the last position
-//! it holds, and the answer goes on from there without a gap or a second word. Nothing waits for
-//! the telling; a token that was told to the caller and lost on the way here ends the stream's
-//! being resumable, and the caller is told so.
+//! The entry that sends an answer replicates each token to one other host before it sends the token
+//! to its caller. If the entry dies, the caller reconnects to any entry with its request id and the
+//! last position that it received, and the answer continues from there without a missing or
+//! repeated token. The entry does not wait for the replication. If a token reached the caller but
+//! was lost on the way to this host, the stream can't be resumed, and a caller that tries gets an
+//! error.
 
 mod events;
 mod settings;
@@ -22,64 +23,64 @@
 };
 use crate::ledger::GeneratedToken;
 
-/// SHA-256 over all that a draft asks for; a resume must ask for the same.
+/// SHA-256 over all parameters of a draft; a resume must have the same digest.
 pub type DraftDigest = [u8; 32];
 
-/// What an entry tells of one answer that it sends.
+/// New tokens of one answer, as the entry that sends the answer replicates them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamUpdate {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// Customer that sent the request.
     pub customer: CustomerName,
-    /// What it asked for.
+    /// Digest of the requested draft.
     pub digest: DraftDigest,
-    /// Version that the whole answer is made with.
+    /// Version of the weights, the same for the whole answer.
     pub version: VersionName,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub model_layers: u32,
-    /// Running attempt.
+    /// Number of the running attempt.
     pub attempt: AttemptNumber,
     /// Position of the first of `tokens`.
     pub first: TokenPosition,
-    /// Tokens that go to the caller now.
+    /// Tokens that the entry is sending to the caller.
     pub tokens: Vec<GeneratedToken>,
-    /// Why the answer ended, with its last tokens.
+    /// Reason why the answer ended, sent with its last tokens; `None` before.
     pub finish: Option<String>,
 }
 
-/// What is remembered of one answer.
+/// Stored copy of one answer.
 ///
-/// Invariant: `tokens` are those of positions 0 to its length, without a gap.
+/// Invariant: `tokens[i]` is the token of position `i`, without gaps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamRecord {
-    /// Whose it is.
+    /// Customer that sent the request.
     pub customer: CustomerName,
-    /// What it asked for.
+    /// Digest of the requested draft.
     pub digest: DraftDigest,
-    /// Version that the whole answer is made with.
+    /// Version of the weights, the same for the whole answer.
     pub version: VersionName,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub model_layers: u32,
-    /// Highest attempt that was told.
+    /// Highest attempt number received.
     pub attempt: AttemptNumber,
-    /// All tokens that were told.
+    /// All tokens received, in order.
     pub tokens: Vec<GeneratedToken>,
-    /// Why the answer ended; `None` while it runs.
+    /// Reason why the answer ended; `None` while it runs.
     pub finish: Option<String>,
 }
 
 #[derive(Clone, Debug)]
 struct HeldStream {
     record: StreamRecord,
-    told_at: MonotonicTime,
+    updated_at: MonotonicTime,
     bytes: usize,
 }
 
-/// Answers that peers send, by request.
+/// Stored copies of answers that peers are sending, by request id.
 ///
-/// Invariants: `by_age` holds each stream once, under the time of its last note; `bytes` is the sum
-/// over all streams and never passes the bound after a call.
+/// Invariants: `by_age` contains each stream once, under the time of its last update; `bytes` is
+/// the sum over all streams and does not exceed [`StreamSettings::max_bytes`] after a call.
 #[derive(Clone, Debug)]
 pub struct StreamTable {
     settings: StreamSettings,
@@ -89,7 +90,7 @@
 }
 
 impl StreamTable {
-    /// An empty table.
+    /// Creates a table without streams.
     pub fn new(settings: StreamSettings) -> Self {
         Self {
             settings,
@@ -99,71 +100,75 @@
         }
     }
 
-    /// Takes a note. One that leaves a gap makes the stream unknown here: going on behind a gap
-    /// would give the caller an answer with a hole.
-    pub fn record(&mut self, now: MonotonicTime, note: StreamUpdate) {
-        let mut held = match self.remove(&note.request) {
+    /// Adds the tokens of an update to its stream. An update that leaves a gap removes the stream,
+    /// because a resume would give the caller an answer with missing tokens.
+    pub fn record(&mut self, now: MonotonicTime, update: StreamUpdate) {
+        let mut held = match self.remove(&update.request) {
             Some(held)
-                if held.record.digest == note.digest && held.record.customer == note.customer =>
+                if held.record.digest == update.digest
+                    && held.record.customer == update.customer =>
             {
                 held
             }
             _ => HeldStream {
-                record: empty_record(&note),
-                told_at: now,
-                bytes: note_overhead(&note),
+                record: empty_record(&update),
+                updated_at: now,
+                bytes: record_overhead(&update),
             },
         };
         let known = u32::try_from(held.record.tokens.len()).unwrap_or(u32::MAX);
-        if note.first.0 > known {
+        if update.first.0 > known {
             return;
         }
-        let fresh = note.tokens.into_iter().skip(to_usize(known - note.first.0));
-        for token in fresh {
+        let new_tokens = update
+            .tokens
+            .into_iter()
+            .skip(to_usize(known - update.first.0));
+        for token in new_tokens {
             held.bytes += token_bytes(&token);
             held.record.tokens.push(token);
         }
-        held.record.attempt = held.record.attempt.max(note.attempt);
-        held.record.finish = held.record.finish.or(note.finish);
-        held.told_at = now;
-        self.insert(note.request, held);
+        held.record.attempt = held.record.attempt.max(update.attempt);
+        held.record.finish = held.record.finish.or(update.finish);
+        held.updated_at = now;
+        self.insert(update.request, held);
         self.evict();
     }
 
-    /// What is known of `request`.
+    /// Returns the stored copy of the answer to `request`.
     pub fn look_up(&self, request: &RequestId) -> Option<&StreamRecord> {
         self.streams.get(request).map(|held| &held.record)
     }
 
-    /// Forgets streams of which nothing was told for the retention; call it every tick.
+    /// Removes streams without an update during the retention. Callers run it on every tick.
     pub fn tick(&mut self, now: MonotonicTime) {
-        while let Some((told_at, request)) = self.by_age.first().cloned() {
-            if now.since(told_at) < self.settings.retention {
+        while let Some((updated_at, request)) = self.by_age.first().cloned() {
+            if now.since(updated_at) < self.settings.retention {
                 return;
             }
             self.remove(&request);
         }
     }
 
-    /// Streams held.
+    /// Number of stored streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
-    /// Whether no stream is held.
+    /// Whether no stream is stored.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
     fn insert(&mut self, request: RequestId, held: HeldStream) {
         self.bytes += held.bytes;
-        self.by_age.insert((held.told_at, request.clone()));
+        self.by_age.insert((held.updated_at, request.clone()));
         self.streams.insert(request, held);
     }
 
     fn remove(&mut self, request: &RequestId) -> Option<HeldStream> {
         let held = self.streams.remove(request)?;
-        self.by_age.remove(&(held.told_at, request.clone()));
+        self.by_age.remove(&(held.updated_at, request.clone()));
         self.bytes -= held.bytes;
         Some(held)
     }
@@ -178,10 +183,10 @@
     }
 }
 
-/// Hosts that may remember a request's stream, the likeliest first.
+/// Returns the hosts that may store a request's stream, the most likely first.
 ///
-/// Rendezvous hashing: every host computes the same order. The entry tells the first host that is
-/// not itself, so who asks later finds the record at the first or the second.
+/// With rendezvous hashing every host computes the same order. The entry replicates to the first
+/// host other than itself, so a later lookup finds the record on the first or the second host.
 pub fn rank_hosts<'host, I>(request: &RequestId, hosts: I) -> Vec<&'host HostName>
 where
     I: IntoIterator<Item = &'host HostName>,
@@ -202,20 +207,20 @@
     hasher.finalize().into()
 }
 
-fn empty_record(note: &StreamUpdate) -> StreamRecord {
+fn empty_record(update: &StreamUpdate) -> StreamRecord {
     StreamRecord {
-        customer: note.customer.clone(),
-        digest: note.digest,
-        version: note.version.clone(),
-        model_layers: note.model_layers,
-        attempt: note.attempt,
+        customer: update.customer.clone(),
+        digest: update.digest,
+        version: update.version.clone(),
+        model_layers: update.model_layers,
+        attempt: update.attempt,
         tokens: Vec::new(),
         finish: None,
     }
 }
 
-fn note_overhead(note: &StreamUpdate) -> usize {
-    size_of::<HeldStream>() + note.request.as_str().len() * 2
+fn record_overhead(update: &StreamUpdate) -> usize {
+    size_of::<HeldStream>() + update.request.as_str().len() * 2
 }
 
 fn token_bytes(token: &GeneratedToken) -> usize {
--- a/crates/coordination/src/streams/events.rs
+++ b/crates/coordination/src/streams/events.rs
@@ -1,54 +1,54 @@
-//! Event streams that pass through: whole events only, each once and in order.
+//! Forwarding of event streams: only complete events, each once and in order.
 //!
-//! An engine may stop in the middle of an event. A caller that got the half of it could not be
-//! served on by another engine, which starts after a whole one. So bytes leave here event by event,
-//! and the number of the last one is known at every moment.
+//! An engine may stop in the middle of an event. Another engine can only continue after a complete
+//! event, so a caller with a partial event could not get the rest. Bytes are therefore forwarded
+//! event by event, and the number of the last forwarded event is always known.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
 
 use crate::base::number_type;
 
-/// Most bytes of one event; far above what a step of an engine makes.
+/// Maximum number of bytes of one event, far more than one step of an engine produces.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 number_type!(
-    /// Number of an event in its stream; rises by one.
+    /// Number of an event in its stream; consecutive events have consecutive numbers.
     EventId(u64)
 );
 
-/// One whole event.
+/// One complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its number, where it has one.
+    /// Number of the event, if it has one.
     pub id: Option<EventId>,
-    /// Its bytes, with the blank line that ends it.
+    /// Bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than accepted.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("event of more than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Cuts a stream of bytes into events.
+/// Splits a stream of bytes into events.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     buffer: BytesMut,
-    /// Bytes of `buffer` that hold no end of an event.
+    /// Number of bytes of `buffer` already searched for the end of an event.
     searched: usize,
 }
 
 impl EventFramer {
-    /// Takes bytes in.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event; `None` if the buffer contains none.
     ///
     /// # Errors
-    /// More bytes came than one event may have.
+    /// If the buffer holds more than 256 KiB without the end of an event.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, EventTooLong> {
         let Some(end) = self.find_end() else {
             self.searched = self.buffer.len().saturating_sub(3);
@@ -63,7 +63,7 @@
         Ok(Some(StreamEvent { id, bytes }))
     }
 
-    /// Whether bytes of an unfinished event wait.
+    /// Whether the buffer contains bytes of an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -71,13 +71,13 @@
     fn find_end(&self) -> Option<usize> {
         let from = self.searched;
         let rest = self.buffer.get(from..)?;
-        let plain = rest.windows(2).position(|pair| pair == b"\n\n");
-        let plain = plain.map(|at| from + at + 2);
-        let windows = rest.windows(4).position(|four| four == b"\r\n\r\n");
-        let windows = windows.map(|at| from + at + 4);
-        match (plain, windows) {
-            (Some(plain), Some(windows)) => Some(plain.min(windows)),
-            (plain, windows) => plain.or(windows),
+        let lf = rest.windows(2).position(|pair| pair == b"\n\n");
+        let lf = lf.map(|at| from + at + 2);
+        let crlf = rest.windows(4).position(|four| four == b"\r\n\r\n");
+        let crlf = crlf.map(|at| from + at + 4);
+        match (lf, crlf) {
+            (Some(lf), Some(crlf)) => Some(lf.min(crlf)),
+            (lf, crlf) => lf.or(crlf),
         }
     }
 }
@@ -89,35 +89,36 @@
     text.trim().parse().ok().map(EventId)
 }
 
-/// What to do with an event.
+/// Decision about an event of a forwarded stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventVerdict {
-    /// The caller lacks it, and it is next.
+    /// The event is the next one for the caller.
     Deliver,
-    /// The caller holds it.
+    /// The caller already has the event.
     Seen,
-    /// Events before it are missing, or it has no number though others have.
+    /// Events before it are missing, or it has no number although earlier events have numbers.
     Gap,
 }
 
-/// Which events of one stream the caller holds, over all servers that made a part of it.
+/// The last event of one stream that the caller has, across all servers that produced a part of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventProgress {
     last: Option<EventId>,
 }
 
 impl EventProgress {
-    /// Progress of a caller that holds events up to `last`.
+    /// Creates the progress of a caller that has all events up to `last`.
     pub fn after(last: Option<EventId>) -> Self {
         Self { last }
     }
 
-    /// Last event that the caller holds.
+    /// Number of the last event that the caller has.
     pub fn last(&self) -> Option<EventId> {
         self.last
     }
 
-    /// Judges an event, and counts it as delivered where the verdict says so.
+    /// Decides about the event numbered `id` and, for [`EventVerdict::Deliver`], records it as
+    /// delivered.
     pub fn take(&mut self, id: Option<EventId>) -> EventVerdict {
         let verdict = match (self.last, id) {
             (Some(last), Some(id)) if id <= last => EventVerdict::Seen,
--- a/crates/coordination/src/streams/settings.rs
+++ b/crates/coordination/src/streams/settings.rs
@@ -1,16 +1,17 @@
-//! Settings of remembered streams.
+//! Settings of stored streams.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How much is remembered of answers that peers send.
+/// Limits of a [`StreamTable`](super::StreamTable).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct StreamSettings {
-    /// A stream is forgotten this long after its last token.
+    /// Time after its last update at which a stream is removed.
     pub retention: Duration,
-    /// Bytes of all streams; beyond them the one that was quiet longest is forgotten.
+    /// Maximum number of bytes of all streams. Above it, the least recently updated stream is
+    /// removed.
     pub max_bytes: usize,
 }
 
--- a/crates/coordination/src/streams/tests.rs
+++ b/crates/coordination/src/streams/tests.rs
@@ -2,7 +2,7 @@
 use crate::base::{AttemptNumber, HostName, MonotonicTime, RequestId, TokenPosition};
 use crate::ledger::GeneratedToken;
 
-fn note(first: u32, count: u32) -> StreamUpdate {
+fn update(first: u32, count: u32) -> StreamUpdate {
     let token = |id: u32| GeneratedToken {
         id: u64::from(id),
         text: id.to_string().into(),
@@ -24,7 +24,7 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn known(table: &StreamTable) -> String {
+fn stored_tokens(table: &StreamTable) -> String {
     match table.look_up(&RequestId::from("request-1")) {
         None => "unknown".to_owned(),
         Some(record) => record
@@ -36,10 +36,10 @@
     }
 }
 
-// The caller would read an answer with a hole or a word twice. Notes come late, twice, overlap or
-// are lost on a link that broke. Only a gap makes the stream unknown; the caller is then told so.
+// Updates can arrive late or twice, overlap, or get lost on a broken link. A resumed answer must
+// not miss or repeat a token, so a gap removes the stream, and a resume then fails with an error.
 #[test]
-fn a_stream_is_known_without_gaps_or_not_at_all() {
+fn a_stream_with_a_gap_is_removed() {
     let cases: [(&str, &[(u32, u32)]); 5] = [
         ("in order", &[(0, 2), (2, 2)]),
         ("twice", &[(0, 2), (0, 2), (2, 1)]),
@@ -51,9 +51,9 @@
     for (name, notes) in cases {
         let mut table = StreamTable::new(StreamSettings::default());
         for (first, count) in notes {
-            table.record(at(1), note(*first, *count));
+            table.record(at(1), update(*first, *count));
         }
-        seen.push(format!("{name}: {}", known(&table)));
+        seen.push(format!("{name}: {}", stored_tokens(&table)));
     }
     insta::assert_snapshot!(seen.join("\n"), @r"
     in order: 0 1 2 3
@@ -64,10 +64,12 @@
     ");
 }
 
+// Streams of callers that never resume must not fill the memory of the host. They are removed after
+// the retention, and above the byte limit the oldest ones are removed first.
 #[test]
-fn streams_are_forgotten_by_age_and_by_bytes() {
+fn streams_are_removed_by_age_and_by_bytes() {
     let mut table = StreamTable::new(StreamSettings::default());
-    table.record(at(0), note(0, 2));
+    table.record(at(0), update(0, 2));
     table.tick(at(59_999));
     assert_eq!(table.len(), 1);
     table.tick(at(60_000));
@@ -77,9 +79,9 @@
         ..StreamSettings::default()
     });
     for number in 0..50 {
-        let mut note = note(0, 2);
-        note.request = number.to_string().into();
-        small.record(at(number), note);
+        let mut update = update(0, 2);
+        update.request = number.to_string().into();
+        small.record(at(number), update);
     }
     assert!(
         small.len() * size_of::<super::HeldStream>() <= 2_000,
@@ -89,19 +91,22 @@
     assert!(small.look_up(&"49".into()).is_some());
 }
 
-// Another customer, or another draft under the same request id, must not read what it did not ask.
+// A request id can be used again by another customer or for another draft. That request must not
+// read the tokens of the earlier answer.
 #[test]
-fn a_note_of_another_draft_replaces_the_stream() {
+fn an_update_of_another_request_replaces_the_stream() {
     let mut table = StreamTable::new(StreamSettings::default());
-    table.record(at(0), note(0, 3));
-    let mut other = note(0, 1);
+    table.record(at(0), update(0, 3));
+    let mut other = update(0, 1);
     other.customer = "someone-else".into();
     table.record(at(1), other);
-    assert_eq!(known(&table), "0");
+    assert_eq!(stored_tokens(&table), "0");
 }
 
+// A lookup on a host that ranks differently would not find the stream, and an uneven ranking would
+// store most streams on few hosts.
 #[test]
-fn every_host_ranks_alike_and_requests_spread() {
+fn every_host_computes_the_same_ranking_and_requests_spread() {
     let hosts: Vec<HostName> = (0..9)
         .map(|number| HostName::from(format!("host-{number}")))
         .collect();
--- a/crates/coordination/tests/streams_events.rs
+++ b/crates/coordination/tests/streams_events.rs
@@ -1,10 +1,10 @@
-//! Event streams that pass through, cut anywhere, made by one engine after another.
+//! Forwarded event streams that arrive in arbitrary parts and come from several engines in turn.
 
 use pollendrift_coordination::streams::{EventFramer, EventId, EventProgress, EventVerdict};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Its name, the last event that the caller holds, and the numbers that come.
+/// Name of the case, last event that the caller has, and numbers of the received events.
 type EventCase = (&'static str, Option<u64>, &'static [Option<u64>]);
 
 fn event(number: u64, end: &str) -> String {
@@ -12,22 +12,22 @@
     format!("id: {number}{line}data: token {number}{end}")
 }
 
-// A caller gets each token once and in order, however the bytes were cut on their way. An event that
-// is passed on in part could not be finished by another engine.
+// The network can split the bytes of a stream anywhere. An event that is forwarded in part could
+// not be completed by another engine, so the framer returns only complete events, each once.
 #[test]
-fn events_come_out_whole_however_the_bytes_are_cut() {
+fn events_are_complete_for_any_split_of_the_bytes() {
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let end = if seed % 2 == 0 { "\n\n" } else { "\r\n\r\n" };
         let events: Vec<String> = (1..=20).map(|number| event(number, end)).collect();
-        let whole = events.concat();
-        let mut rest = whole.as_bytes();
+        let stream = events.concat();
+        let mut rest = stream.as_bytes();
         let mut framer = EventFramer::default();
         let mut seen = Vec::new();
         while !rest.is_empty() {
-            let taken = random.random_range(1..=rest.len().min(40));
-            let (part, left) = rest.split_at(taken);
-            rest = left;
+            let length = random.random_range(1..=rest.len().min(40));
+            let (part, tail) = rest.split_at(length);
+            rest = tail;
             framer.push(part);
             while let Some(event) = framer.next_event().expect("short events") {
                 let text = String::from_utf8(event.bytes.to_vec()).expect("text");
@@ -40,10 +40,10 @@
     }
 }
 
-// The second engine of a draft repeats some events, skips some, or numbers none. Seen ones are left
-// out; a gap ends its part, since the caller would take what follows for the next token.
+// The second engine of a draft may repeat, skip or not number events. Repeated events are omitted.
+// A gap must be reported, because the caller would take the following event for the next token.
 #[test]
-fn a_caller_gets_each_number_once_and_in_order() {
+fn a_caller_gets_each_event_once_and_in_order() {
     let cases: [EventCase; 5] = [
         ("from the start", None, &[Some(1), Some(2), Some(3)]),
         ("goes on", Some(7), &[Some(8), Some(9)]),
@@ -58,12 +58,12 @@
     let mut lines = Vec::new();
     for (case, held, numbers) in cases {
         let mut progress = EventProgress::after(held.map(EventId));
-        let judged = numbers.iter().map(|number| {
+        let verdicts = numbers.iter().map(|number| {
             let verdict = progress.take(number.map(EventId));
             format!("{number:?} {verdict:?}")
         });
-        let judged: Vec<String> = judged.collect();
-        lines.push(format!("{case}: {}", judged.join(", ")));
+        let verdicts: Vec<String> = verdicts.collect();
+        lines.push(format!("{case}: {}", verdicts.join(", ")));
     }
     insta::assert_snapshot!(lines.join("\n"), @"
     from the start: Some(1) Deliver, Some(2) Deliver, Some(3) Deliver
@@ -76,9 +76,9 @@
     assert_eq!(progress.take(None), EventVerdict::Deliver);
 }
 
-// An engine that never ends an event must not fill the memory of the host.
+// An engine that sends an event without an end must not fill the memory of the host.
 #[test]
-fn an_event_without_end_is_refused() {
+fn an_event_above_the_maximum_size_is_refused() {
     let mut framer = EventFramer::default();
     let error = loop {
         framer.push(&[b'x'; 4_096]);
