--- a/crates/coordination/src/base.rs
+++ b/crates/coordination/src/base.rs
@@ -1,4 +1,4 @@
-//! Words that all parts share: names, numbers, time and findings.
+//! Types shared by all modules: names, numbers, time and findings.
 
 mod finding;
 mod name;
--- a/crates/coordination/src/base/finding.rs
+++ b/crates/coordination/src/base/finding.rs
@@ -1,18 +1,18 @@
-//! Findings about input: collected with their place and reported together.
+//! Findings about an input, which are collected with their positions and reported together.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Place in a text that a finding speaks of.
+/// Position in a text to which a finding refers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Place {
-    /// File or document name.
+    /// Name of the file or document.
     pub file: Arc<str>,
-    /// Line, from 1; 0 where the place is the whole file.
+    /// Line, from 1; 0 if the finding refers to the whole file.
     pub line: u32,
-    /// Column, from 1; 0 where the place is the whole line.
+    /// Column, from 1; 0 if the finding refers to the whole line.
     pub column: u32,
 }
 
@@ -22,26 +22,26 @@
     }
 }
 
-/// How much a finding weighs.
+/// Severity of a finding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// The input is accepted, but likely not what its author meant.
+    /// The input is accepted, but is probably not what its author intended.
     Warning,
     /// The input is refused.
     Error,
 }
 
-/// One thing found wrong with an input.
+/// One problem of an input.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// How much it weighs.
+    /// Whether the problem is a warning or an error.
     pub severity: Severity,
-    /// Where it is.
+    /// Position of the problem.
     pub place: Place,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What would be accepted instead; empty where nothing can be named.
+    /// Accepted values or forms; empty if none can be listed.
     pub expected: String,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// All findings about one input, in the order in which they were found.
+/// All findings about one input, in the order of their detection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FindingList {
@@ -82,19 +82,19 @@
         self.push(Severity::Warning, place, message.into(), expected.into());
     }
 
-    /// Whether any finding refuses the input.
+    /// Whether any finding is an error, so that the input is refused.
     pub fn has_errors(&self) -> bool {
         self.findings
             .iter()
             .any(|finding| finding.severity == Severity::Error)
     }
 
-    /// Whether nothing was found.
+    /// Whether the list contains neither errors nor warnings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The findings in order.
+    /// Iterates over the findings in the order of their detection.
     pub fn iter(&self) -> impl Iterator<Item = &Finding> {
         self.findings.iter()
     }
--- a/crates/coordination/src/base/name.rs
+++ b/crates/coordination/src/base/name.rs
@@ -1,4 +1,4 @@
-//! Names and ids as shared immutable strings.
+//! Names and ids as newtypes over shared immutable strings.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -32,54 +32,54 @@
 }
 
 name_type!(
-    /// An adapter (a fine-tuned delta) that an engine can apply to a model.
+    /// Name of an adapter (a fine-tuned delta) that an engine can apply to a model.
     AdapterName
 );
 name_type!(
-    /// Identity of one configuration change; resends carry the same id.
+    /// Id of one configuration change; repeated submissions carry the same id.
     ChangeId
 );
 name_type!(
-    /// Idempotency key of a call that may not be repeated.
+    /// Idempotency key of a non-idempotent call.
     ClaimKey
 );
 name_type!(
-    /// A customer, as named by its credential.
+    /// Name of a customer, as stated in its credential.
     CustomerName
 );
 name_type!(
-    /// A data centre, the failure domain above a host.
+    /// Name of a data centre, the failure domain above a host.
     DataCentreName
 );
 name_type!(
-    /// A host that runs one daemon.
+    /// Name of a host, which runs one daemon.
     HostName
 );
 name_type!(
-    /// A model that pipelines serve.
+    /// Name of a model that pipelines serve.
     ModelName
 );
 name_type!(
-    /// An operator, as named by its credential.
+    /// Name of an operator, as stated in its credential.
     OperatorName
 );
 name_type!(
-    /// Identity of one caller's request, unique across all hosts.
+    /// Id of one caller's request, unique across all hosts.
     RequestId
 );
 name_type!(
-    /// A selector, unique in the configuration.
+    /// Name of a selector, unique in the configuration.
     SelectorName
 );
 name_type!(
-    /// A backend server: a model engine or a plain service instance.
+    /// Name of a backend server, which is a model engine or an instance of a plain service.
     ServerName
 );
 name_type!(
-    /// A plain service that backend servers offer.
+    /// Name of a service that backend servers offer.
     ServiceName
 );
 name_type!(
-    /// One version of a model's weights.
+    /// Name of one version of a model's weights.
     VersionName
 );
--- a/crates/coordination/src/base/number.rs
+++ b/crates/coordination/src/base/number.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Makes a newtype over an unsigned integer that counts or positions something.
+/// Defines a newtype over an unsigned integer for a counter or a position.
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
         $(#[$doc])*
@@ -15,7 +15,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The number that follows this one; stays at the maximum instead of wrapping.
+            /// Returns the following number; saturates at the maximum.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -27,19 +27,20 @@
 pub(crate) use number_type;
 
 number_type!(
-    /// Number of one attempt at a request, from 1; results of older attempts are dropped.
+    /// Number of an attempt to answer a request, from 1; results of older attempts are dropped.
     AttemptNumber(u32)
 );
 number_type!(
-    /// Fencing number on an order to a backend server; a higher one outranks a lower one.
+    /// Fencing number of an order to a backend server. A server that checks fencing numbers refuses
+    /// an order with a lower number than the highest it has received.
     FencingNumber(u64)
 );
 number_type!(
-    /// Life of a process or disk; a restart takes a higher one.
+    /// Incarnation of a process or disk; each restart takes a higher number.
     Incarnation(u64)
 );
 number_type!(
-    /// Number of an accepted configuration; rises by one with every accepted change.
+    /// Number of an accepted configuration; increases by one with every accepted change.
     Revision(u64)
 );
 number_type!(
@@ -53,7 +54,7 @@
 
 /// Half-open range of model layers `first..end`.
 ///
-/// Invariant: `first < end` for every range that [`LayerRange::new`] made.
+/// Invariant: `first < end` for every range created by [`LayerRange::new`].
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -66,7 +67,7 @@
 }
 
 impl LayerRange {
-    /// A range of at least one layer, or `None` if it would be empty.
+    /// Creates a range of at least one layer; `None` if `first >= end`.
     pub fn new(first: u32, end: u32) -> Option<Self> {
         (first < end).then_some(Self { first, end })
     }
@@ -76,12 +77,12 @@
         self.end.saturating_sub(self.first)
     }
 
-    /// Whether the range holds no layer; false for every range made by [`LayerRange::new`].
+    /// Whether the range contains no layer; false for every range created by [`LayerRange::new`].
     pub fn is_empty(self) -> bool {
         self.first >= self.end
     }
 
-    /// Whether all layers of `other` lie in this range.
+    /// Whether this range contains all layers of `other`.
     pub fn covers(self, other: Self) -> bool {
         self.first <= other.first && other.end <= self.end
     }
--- a/crates/coordination/src/base/shared_bytes.rs
+++ b/crates/coordination/src/base/shared_bytes.rs
@@ -1,4 +1,5 @@
-//! Shared bytes as one byte string instead of a list of numbers: half the size on wire and disk.
+//! Serde functions that encode shared bytes as one byte string. A list of numbers would take twice
+//! the size on the wire and on disk.
 
 use std::sync::Arc;
 
--- a/crates/coordination/src/base/time.rs
+++ b/crates/coordination/src/base/time.rs
@@ -1,4 +1,4 @@
-//! Points in time that deciding functions take as arguments.
+//! Types for points in time, which functions take as arguments instead of reading a clock.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 /// Monotonic time of one process, in microseconds since its start.
 ///
-/// Leases rest on this time only; it never runs backwards and is never compared between hosts.
+/// Leases use only this time. It never runs backwards and is never compared between hosts.
 #[derive(
     Clone,
     Copy,
@@ -27,15 +27,15 @@
 pub struct MonotonicTime(u64);
 
 impl MonotonicTime {
-    /// The start of the process.
+    /// Start of the process.
     pub const START: Self = Self(0);
 
-    /// The time `micros` microseconds after the start.
+    /// Creates the time `micros` microseconds after the start.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// The time `millis` milliseconds after the start.
+    /// Creates the time `millis` milliseconds after the start.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
@@ -45,21 +45,21 @@
         self.0
     }
 
-    /// This time plus `duration`, held at the maximum instead of wrapping.
+    /// Returns this time plus `duration`; saturates at the maximum.
     #[must_use]
     pub fn after(self, duration: Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 
-    /// This time less `duration`, held at the start of the process.
+    /// Returns this time minus `duration`; saturates at the start of the process.
     #[must_use]
     pub fn before(self, duration: Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_sub(micros))
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies in the future.
+    /// Returns the time since `earlier`; zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -68,7 +68,7 @@
 
 /// Wall-clock time in milliseconds since the Unix epoch.
 ///
-/// Used for records that people read; no decision about leases or order rests on it.
+/// Used for records that people read. No decision about leases or order depends on it.
 #[derive(
     Clone,
     Copy,
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Token ledger of one request: which results of which attempt the caller may see.
+//! Token ledger of one request, which decides which results of which attempt the caller gets.
 //!
-//! Acts on every event that an engine streams back. The caller sees each position once, in order,
-//! and only if every layer of the model ran for it once, in order, in one version.
+//! It processes every event that an engine streams back. The caller gets each position once, in
+//! order, and only if every layer of the model ran for it once, in order and in one version.
 
 mod chain;
 mod result;
@@ -18,30 +18,30 @@
 
 use crate::base::{AttemptNumber, RequestId, TokenPosition, VersionName};
 
-/// What has been confirmed of one request's answer, and what still waits.
+/// Released tokens of one request's answer, and results that wait for an earlier position.
 #[derive(Clone, Debug)]
 pub struct TokenLedger {
     request: RequestId,
     /// Number of layers of the model; every chain covers `0..layers`.
     layers: u32,
-    /// Version that the whole answer is made with; never changes, so no answer mixes versions.
+    /// Version of the weights for the whole answer. It never changes, so no answer mixes versions.
     version: VersionName,
     settings: LedgerSettings,
-    /// Running attempt; 0 before the first. Never falls.
+    /// Number of the running attempt; 0 before the first. It never decreases.
     attempt: AttemptNumber,
-    /// Route of the running attempt; a whole chain whenever `attempt` is not 0.
+    /// Route of the running attempt; a complete chain unless `attempt` is 0.
     route: Vec<ChainLink>,
-    /// Released tokens; index is the position, so it has no gap and no repeat by construction.
+    /// Released tokens. The index is the position, so there can be no gap and no repetition.
     confirmed: Vec<GeneratedToken>,
-    /// Results ahead of the next position. Invariant: every key is greater than the next position,
-    /// and every entry comes from the running attempt.
+    /// Results that arrived before the next position. Invariant: every key is greater than the next
+    /// position, and every token comes from the running attempt.
     held: BTreeMap<TokenPosition, GeneratedToken>,
-    /// Count that the running attempt's final event named.
+    /// Token count in the final event of the running attempt.
     announced: Option<u32>,
 }
 
 impl TokenLedger {
-    /// A ledger for an answer of which the caller has seen nothing.
+    /// Creates a ledger for an answer without released tokens.
     pub fn new(
         request: RequestId,
         layers: u32,
@@ -51,7 +51,8 @@
         Self::resume(request, layers, version, settings, Vec::new())
     }
 
-    /// A ledger for an answer of which the caller has already seen `confirmed`, at another entry.
+    /// Creates a ledger for an answer whose tokens `confirmed` the caller already got from another
+    /// entry.
     pub fn resume(
         request: RequestId,
         layers: u32,
@@ -72,11 +73,12 @@
         }
     }
 
-    /// Starts an attempt over `route` and returns the position from which it must generate.
+    /// Starts an attempt on `route` and returns the first position that it must generate.
     ///
     /// # Errors
-    /// If the answer is complete, the attempt does not outrank the running one, or the route is not
-    /// a whole chain in the answer's version. The running attempt then stays in force.
+    /// If the answer is complete, the attempt number is not higher than that of the running
+    /// attempt, or the route is not a complete chain in the answer's version. The running attempt
+    /// then continues.
     pub fn begin_attempt(
         &mut self,
         attempt: AttemptNumber,
@@ -93,16 +95,16 @@
         check_chain(&route, self.layers, &self.version).map_err(AttemptError::Route)?;
         self.attempt = attempt;
         self.route = route;
-        // A held token continues the old attempt's own missing token. The new attempt may sample
-        // another one there, and the answer would not read on. Generating it again is enough.
+        // A held token follows a missing token of the old attempt. The new attempt may sample
+        // another token there, and the held one would not fit. The new attempt generates it again.
         self.held.clear();
         self.announced = None;
         Ok(self.next_position())
     }
 
-    /// Takes one result and says what the caller may see of it.
+    /// Processes a result and returns the tokens that it releases to the caller.
     pub fn accept(&mut self, result: TokenResult) -> TokenVerdict {
-        if let Some(reason) = self.find_fault(&result) {
+        if let Some(reason) = self.find_drop_reason(&result) {
             return TokenVerdict::Dropped(reason);
         }
         if result.position != self.next_position() {
@@ -116,15 +118,15 @@
         }
     }
 
-    /// Takes the final event; the answer is complete only once all announced positions are released.
+    /// Processes the final event. The answer is complete once all announced positions are released.
     pub fn complete(&mut self, event: &FinalEvent) -> FinalVerdict {
-        if let Some(reason) = self.find_origin_fault(&event.request, event.attempt) {
+        if let Some(reason) = self.find_origin_drop_reason(&event.request, event.attempt) {
             return FinalVerdict::Dropped(reason);
         }
         let next = self.next_position();
         let highest = self.held.keys().next_back();
-        let seen = highest.map_or(next.0, |position| position.next().0);
-        if event.count < seen || self.announced.is_some_and(|count| count != event.count) {
+        let received = highest.map_or(next.0, |position| position.next().0);
+        if event.count < received || self.announced.is_some_and(|count| count != event.count) {
             return FinalVerdict::Dropped(DropReason::CountContradicted);
         }
         self.announced = Some(event.count);
@@ -134,18 +136,18 @@
         FinalVerdict::Waiting { next }
     }
 
-    /// Whether the caller has seen the whole answer.
+    /// Whether all tokens of the answer are released.
     pub fn is_complete(&self) -> bool {
         self.announced == Some(self.next_position().0)
     }
 
-    /// Position that is released next; also the one from which a new attempt generates.
+    /// Position that is released next, which is also the first position of a new attempt.
     pub fn next_position(&self) -> TokenPosition {
         let count = u32::try_from(self.confirmed.len()).unwrap_or(u32::MAX);
         TokenPosition(count)
     }
 
-    /// Tokens that the caller has seen, in order: what a new attempt replays after the prompt.
+    /// Released tokens in order. A new attempt replays them after the prompt.
     pub fn confirmed_prefix(&self) -> &[GeneratedToken] {
         &self.confirmed
     }
@@ -160,25 +162,29 @@
         &self.route
     }
 
-    /// Number of results that wait for an earlier position.
+    /// Number of buffered results, which wait for an earlier position.
     pub fn buffered_count(&self) -> usize {
         self.held.len()
     }
 
-    fn find_fault(&self, result: &TokenResult) -> Option<DropReason> {
-        if let Some(reason) = self.find_origin_fault(&result.request, result.attempt) {
+    fn find_drop_reason(&self, result: &TokenResult) -> Option<DropReason> {
+        if let Some(reason) = self.find_origin_drop_reason(&result.request, result.attempt) {
             return Some(reason);
         }
-        if let Err(fault) = check_chain(&result.chain, self.layers, &self.version) {
-            return Some(DropReason::Chain(fault));
+        if let Err(error) = check_chain(&result.chain, self.layers, &self.version) {
+            return Some(DropReason::Chain(error));
         }
         if result.chain != self.route {
             return Some(DropReason::OffRoute);
         }
-        self.find_position_fault(result.position)
+        self.find_position_drop_reason(result.position)
     }
 
-    fn find_origin_fault(&self, request: &RequestId, attempt: AttemptNumber) -> Option<DropReason> {
+    fn find_origin_drop_reason(
+        &self,
+        request: &RequestId,
+        attempt: AttemptNumber,
+    ) -> Option<DropReason> {
         if *request != self.request {
             return Some(DropReason::ForeignRequest);
         }
@@ -191,7 +197,7 @@
         None
     }
 
-    fn find_position_fault(&self, position: TokenPosition) -> Option<DropReason> {
+    fn find_position_drop_reason(&self, position: TokenPosition) -> Option<DropReason> {
         let next = self.next_position();
         if position < next || self.held.contains_key(&position) {
             return Some(DropReason::Duplicate);
--- a/crates/coordination/src/ledger/chain.rs
+++ b/crates/coordination/src/ledger/chain.rs
@@ -1,11 +1,11 @@
-//! The chain of engines that made a token, and when it is whole.
+//! Chain of engines that produced a token, and the check that it is complete.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
 use crate::base::{LayerRange, ServerName, VersionName};
 
-/// One engine's part in a token: the layers that it ran, and in which version.
+/// One engine of a chain, with the layers that it ran and their version.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[display("{server}[{layers}@{version}]")]
 pub struct ChainLink {
@@ -13,7 +13,7 @@
     pub server: ServerName,
     /// Layers that it ran.
     pub layers: LayerRange,
-    /// Version of the weights that it ran them with.
+    /// Version of the weights.
     pub version: VersionName,
 }
 
@@ -24,27 +24,27 @@
     /// The chain names no engine.
     #[display("the chain is empty")]
     Empty,
-    /// Layers from `layer` on did not run.
+    /// The layers starting at `layer` did not run.
     #[display("layer {layer} did not run")]
     Gap {
-        /// First layer that is missing.
+        /// First missing layer.
         layer: u32,
     },
-    /// A layer ran again, or after a later one.
+    /// A layer ran twice, or after a later layer.
     #[display("layer {layer} ran twice or out of order")]
     Overlap {
-        /// First layer that ran again.
+        /// First layer of the link that overlaps or is out of order.
         layer: u32,
     },
-    /// A link ran layers that the model does not have, or no layers.
+    /// A link has an empty range or a range beyond the model's layers.
     #[display("range {layers} does not fit a model of {count} layers")]
     OutOfModel {
-        /// Range of the link.
+        /// Layers of the link.
         layers: LayerRange,
         /// Number of layers of the model.
         count: u32,
     },
-    /// A link ran another version than the answer is made with.
+    /// The version of a link differs from the version of the answer.
     #[display("version {found} in an answer made with {expected}")]
     WrongVersion {
         /// Version of the answer.
@@ -57,7 +57,7 @@
 /// Checks that `chain` covers `0..layers` once, in order, in `version`.
 ///
 /// # Errors
-/// The first fault along the chain.
+/// The first error along the chain.
 pub fn check_chain(
     chain: &[ChainLink],
     layers: u32,
--- a/crates/coordination/src/ledger/result.rs
+++ b/crates/coordination/src/ledger/result.rs
@@ -1,4 +1,4 @@
-//! Events that engines stream back, and the ledger's verdicts on them.
+//! Events that engines stream back, and the ledger's decisions on them.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
 #[as_ref(str)]
 pub struct TokenText(Arc<str>);
 
-/// One generated token: the engines' id of it, which a new attempt replays, and its text.
+/// One generated token: its id, which a new attempt replays, and its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GeneratedToken {
     /// Id in the model's vocabulary, as the engine sent it.
     pub id: u64,
-    /// Text that the caller sees.
+    /// Text for the caller.
     pub text: TokenText,
 }
 
@@ -31,99 +31,100 @@
 pub struct TokenResult {
     /// Request that the token belongs to.
     pub request: RequestId,
-    /// Attempt that made it.
+    /// Number of the attempt that generated the token.
     pub attempt: AttemptNumber,
     /// Position in the answer, from 0.
     pub position: TokenPosition,
-    /// Engines that made it, in the order in which they ran.
+    /// Engines that generated the token, in the order in which they ran.
     pub chain: Vec<ChainLink>,
-    /// The token itself.
+    /// Generated token.
     pub token: GeneratedToken,
 }
 
-/// Last event of an attempt.
+/// Final event of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalEvent {
-    /// Request that ended.
+    /// Request of the attempt.
     pub request: RequestId,
-    /// Attempt that ended.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// Number of tokens of the whole answer, those of earlier attempts included.
+    /// Number of tokens of the whole answer, including tokens from earlier attempts.
     pub count: u32,
 }
 
-/// A token that the caller may see.
+/// A token that is released to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleasedToken {
     /// Position in the answer.
     pub position: TokenPosition,
-    /// The token itself.
+    /// Generated token.
     pub token: GeneratedToken,
 }
 
-/// What the ledger decided about a result.
+/// Decision of the ledger on a result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TokenVerdict {
-    /// The tokens go to the caller now, in this order.
+    /// The tokens are released to the caller in this order.
     Release {
-        /// At least one token; positions rise by one.
+        /// At least one token; the positions are consecutive.
         tokens: Vec<ReleasedToken>,
-        /// Whether the answer is complete with them.
+        /// Whether these tokens complete the answer.
         complete: bool,
     },
     /// The result waits for an earlier position.
     Held,
-    /// The caller must not see the result.
+    /// The result is not released to the caller.
     Dropped(DropReason),
 }
 
-/// What the ledger decided about a final event.
+/// Decision of the ledger on a final event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FinalVerdict {
-    /// The caller has seen the whole answer.
+    /// All tokens of the answer are released.
     Complete,
-    /// Positions from `next` on are still missing; the verdict that releases the last one says so.
+    /// Positions from `next` on are still missing. The [`TokenVerdict::Release`] of the last
+    /// position has `complete` set.
     Waiting {
-        /// First position that is missing.
+        /// First missing position.
         next: TokenPosition,
     },
-    /// The event does not end this answer.
+    /// The event was ignored.
     Dropped(DropReason),
 }
 
-/// Why an event was dropped.
+/// Reason why an event was dropped.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DropReason {
-    /// It belongs to another request.
+    /// The event belongs to another request.
     #[display("foreign request")]
     ForeignRequest,
-    /// It was made by an attempt that a newer one replaced.
+    /// The event belongs to an attempt that a newer attempt replaced.
     #[display("old attempt")]
     OldAttempt,
-    /// It names an attempt that was never started.
+    /// The event names an attempt that was never started.
     #[display("unknown attempt")]
     UnknownAttempt,
-    /// Its position was taken before.
+    /// The position is already released or buffered.
     #[display("duplicate")]
     Duplicate,
-    /// Its chain is not whole.
+    /// The chain is not complete.
     #[display("chain: {_0}")]
     Chain(ChainError),
-    /// Its chain is whole, but not the one that the attempt was started over.
+    /// The chain is complete but differs from the route of the attempt.
     #[display("off the attempt's route")]
     OffRoute,
-    /// It lies too far ahead to be held. The attempt cannot complete without it, so its owner
-    /// starts another one.
+    /// The position is too far ahead to be buffered. The attempt cannot complete without it, so its
+    /// owner starts another attempt.
     #[display("beyond the reorder window")]
     BeyondWindow,
     /// The answer is longer than the settings allow.
     #[display("answer too long")]
     TooLong,
-    /// A position or count contradicts the attempt's own final event or tokens; the attempt cannot
-    /// be trusted to complete, so its owner starts another one.
+    /// A position or count contradicts the final event or the tokens of the same attempt. The
+    /// attempt is not reliable any more, so its owner starts another attempt.
     #[display("count contradicted")]
     CountContradicted,
 }
@@ -144,20 +145,20 @@
     }
 }
 
-/// Why an attempt was not started.
+/// Reason why an attempt was not started.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptError {
-    /// The caller has already seen the whole answer.
+    /// All tokens of the answer are already released.
     #[display("the answer is complete")]
     Complete,
-    /// The number does not outrank the running attempt's.
+    /// The number is not higher than that of the running attempt.
     #[display("attempt {running} or a newer one is running")]
     NotNewer {
-        /// Attempt that stays in force.
+        /// Number of the running attempt, which continues.
         running: AttemptNumber,
     },
-    /// The route is not a whole chain in the answer's version.
+    /// The route is not a complete chain in the answer's version.
     #[display("route: {_0}")]
     Route(#[error(not(source))] ChainError),
 }
--- a/crates/coordination/src/ledger/settings.rs
+++ b/crates/coordination/src/ledger/settings.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Bounds of one request's ledger.
+/// Limits of one request's ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LedgerSettings {
-    /// How many positions ahead of the next one a result may wait.
+    /// Maximum distance of a buffered result from the next position.
     pub reorder_window: u32,
-    /// Longest answer, in tokens; bounds the memory that one request holds.
+    /// Maximum length of an answer in tokens; limits the memory of one request.
     pub max_tokens: u32,
 }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,8 +1,8 @@
 //! Sans-IO coordination parts of pollendrift.
 //!
-//! Every part is a pure decision: tables and the present time go in, effects come out. No module
-//! of this crate opens a socket, a file or a clock, so one seed always gives the same verdict.
-//! Parts are listed alphabetically; each is one folder with one job.
+//! Each module takes its input and the current time as arguments and returns the effects that the
+//! caller must carry out. No module opens a socket or a file or reads a clock, so a test run with
+//! a given seed always produces the same result.
 
 pub mod agreement;
 pub mod base;
--- a/crates/coordination/tests/ledger_failures.rs
+++ b/crates/coordination/tests/ledger_failures.rs
@@ -1,4 +1,4 @@
-//! Fault cases of the token ledger, in tables, and its property under any arrival order.
+//! Fault cases of the token ledger, and property tests for any arrival order.
 
 use pollendrift_coordination::base::{
     AttemptNumber, LayerRange, RequestId, ServerName, TokenPosition, VersionName,
@@ -77,9 +77,9 @@
     }
 }
 
-// The caller sees nothing of a result whose chain is not whole, or that is not its own.
-// One engine answers with each kind of fault before the right result for position 0 arrives.
-// The ledger compares the chain with the layers, the version and the route of the attempt.
+// A result of another request, or from an incomplete or wrong chain, must not reach the caller. An
+// engine sends each kind of faulty result before the valid one for position 0. The ledger compares
+// the chain with the layers, the version and the route of the attempt.
 #[test]
 fn faulty_results_are_dropped_with_their_reason() {
     type Fault = fn(&mut TokenResult);
@@ -100,16 +100,16 @@
     ];
     let mut ledger = started();
     let mut lines = Vec::new();
-    for (name, spoil) in cases {
-        let mut spoiled = result(1, 0);
-        spoil(&mut spoiled);
-        lines.push(format!("{name}: {}", describe(&ledger.accept(spoiled))));
+    for (name, corrupt) in cases {
+        let mut corrupted = result(1, 0);
+        corrupt(&mut corrupted);
+        lines.push(format!("{name}: {}", describe(&ledger.accept(corrupted))));
     }
-    let mut detour = result(1, 0);
-    detour.chain = route("9");
+    let mut off_route = result(1, 0);
+    off_route.chain = route("9");
     lines.push(format!(
         "other engines: {}",
-        describe(&ledger.accept(detour))
+        describe(&ledger.accept(off_route))
     ));
     lines.push(format!("whole: {}", describe(&ledger.accept(result(1, 0)))));
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -129,11 +129,11 @@
     ");
 }
 
-// The caller sees 0 to 3 once, in order, though they arrive as 2, 0, 0, 3, 2, 1, 9.
-// 2 and 3 wait; the doubled 0 and 2 are dropped; 9 lies beyond the window and is not stored.
-// A gap in front of the buffer is what keeps it from growing, so the window bounds it.
+// Results arrive as 2, 0, 0, 3, 2, 9, 1, and the caller must get 0 to 3 once and in order. 2 and 3
+// are buffered, the duplicates of 0 and 2 are dropped, and 9 is beyond the window. While a position
+// is missing, the window limits the size of the buffer.
 #[test]
-fn late_and_doubled_results_are_put_in_order() {
+fn late_and_duplicate_results_are_released_in_order() {
     let mut ledger = started();
     let mut lines = Vec::new();
     for position in [2, 0, 0, 3, 2, 9, 1] {
@@ -151,9 +151,9 @@
     ");
 }
 
-// The caller sees 1/0 from the first attempt and goes on with 2/1 from the second.
-// The second stage dies while 1/2 waits for 1/1; attempt 2 begins from the confirmed prefix.
-// The late 1/1 and the held 1/2 continue another sampling and must not be mixed in.
+// The second stage dies while 1/2 (attempt/position) is buffered and 1/1 is missing, and attempt 2
+// starts after the released 1/0. The late 1/1 and the buffered 1/2 belong to another sampling and
+// must not be mixed with the tokens of attempt 2.
 #[test]
 fn a_new_attempt_continues_from_the_confirmed_prefix() {
     let mut ledger = started();
@@ -178,9 +178,9 @@
     ");
 }
 
-// The caller is told `complete` only with the last position, whichever arrives first.
-// The final event overtakes tokens 1 and 2, then an engine tries to change or exceed the count.
-// A count below what was seen, or a second count, contradicts itself and ends the attempt.
+// The final event can overtake tokens. The answer must not be complete before its last position is
+// released. A count below the received tokens, a second count, or a position beyond the count is
+// dropped as a contradiction, which ends the attempt.
 #[test]
 fn the_final_event_waits_for_all_positions() {
     let mut ledger = started();
@@ -208,11 +208,11 @@
     ");
 }
 
-// The caller's answer goes on over the running attempt; no faulty attempt replaces it.
-// A retry is planned over a stale route: same number, a lower number, a gap, a mixed version.
-// The ledger refuses each before any engine is asked.
+// A retry may be planned on a stale route: with the same or a lower number, a gap, or mixed
+// versions. The ledger must refuse each before any engine gets a request, and the running attempt
+// continues.
 #[test]
-fn attempts_over_unfit_routes_are_refused() {
+fn attempts_on_invalid_routes_are_refused() {
     let mut ledger = ledger();
     ledger.begin_attempt(AttemptNumber(2), route("2")).unwrap();
     let mut mixed = route("3");
@@ -240,9 +240,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    // The caller sees every position at most once and in order, each from the attempt then running.
-    // Results of three attempts arrive shuffled, doubled and late, some with a broken chain, and
-    // attempts begin in between. Every released text names the attempt that made it.
+    // The caller must get every position at most once, in order, and from the attempt that is
+    // running. Results of several attempts arrive shuffled, duplicated and late, some with a broken
+    // chain, while new attempts start. Every released text names the attempt that generated it.
     #[test]
     fn any_arrival_order_releases_each_position_once(
         steps in prop::collection::vec((0_u32..4, 0_u32..12, any::<bool>(), 0_u8..8), 0..200),
@@ -259,9 +259,9 @@
                 result.chain.pop();
             }
             let running = ledger.attempt();
-            let whole = result.chain.len() == 2;
+            let is_complete = result.chain.len() == 2;
             if let TokenVerdict::Release { tokens, .. } = ledger.accept(result) {
-                assert!(whole);
+                assert!(is_complete);
                 for token in tokens {
                     let expected = format!("{running}/{}", token.position);
                     assert_eq!(token.token.text.as_ref(), expected);
@@ -274,10 +274,10 @@
         assert_eq!(seen, expected);
     }
 
-    // The caller gets the whole answer when each result arrives at least once within the window.
-    // The order is a seeded shuffle of neighbours with doubles; the final event comes anywhere.
+    // If each result arrives at least once within the window, the answer must become complete. The
+    // results are reordered by swaps of neighbours and duplicated; the final event comes anywhere.
     #[test]
-    fn a_whole_answer_completes(swaps in prop::collection::vec(0_usize..19, 0..40), end in 0_usize..20) {
+    fn an_answer_completes_if_every_result_arrives(swaps in prop::collection::vec(0_usize..19, 0..40), end in 0_usize..20) {
         let mut order: Vec<u32> = (0..20).collect();
         for index in swaps {
             let in_window = order[index].abs_diff(u32::try_from(index + 1).unwrap()) <= 2
