--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement among keepers: the replicated log that every durable decision goes through.
+//! Consensus among keepers: a Raft-style replicated log that orders every durable decision.
 
 mod dump;
 mod election;
--- a/crates/coordination/src/agreement/dump.rs
+++ b/crates/coordination/src/agreement/dump.rs
@@ -1,4 +1,4 @@
-//! State of the core for the dump of a process and for `status`.
+//! Snapshot of the core's state for process dumps and for `status`.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,69 +9,69 @@
 use super::redundancy::RedundancyReport;
 use crate::base::MonotonicTime;
 
-/// Everything that tells how a keeper stands, without the log's content.
+/// State of one keeper, without the entries of its log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreementDump {
-    /// This keeper.
+    /// Identity of this keeper.
     pub keeper: KeeperId,
-    /// Role, term, leader.
+    /// Role, term and known leader.
     pub status: RoleStatus,
-    /// Membership in force here.
+    /// Membership in effect at this keeper.
     pub membership: Membership,
-    /// Entry that carries it.
+    /// Index of the entry that contains this membership.
     pub membership_index: LogIndex,
-    /// Last entry that the latest snapshot contains.
+    /// Index of the last entry that the latest snapshot covers.
     pub snapshot_index: LogIndex,
-    /// Index before the first entry that is still held.
+    /// Index before the first entry that the log still contains.
     pub base_index: LogIndex,
     /// Highest index delivered to the state machine.
     pub delivered_index: LogIndex,
     /// Highest index known to be committed.
     pub commit_index: LogIndex,
-    /// Last entry that is synced.
+    /// Index of the last synced entry.
     pub durable_index: LogIndex,
-    /// Last entry.
+    /// Index of the last entry, synced or not.
     pub last_index: LogIndex,
-    /// Messages and steps that wait for a sync.
+    /// Number of messages and actions that wait for a sync.
     pub held_actions: usize,
-    /// What a leader knows besides; `None` elsewhere.
+    /// State of the leadership; `None` unless this keeper leads.
     pub leadership: Option<LeadershipDump>,
 }
 
-/// What only a leader knows.
+/// State of a keeper's leadership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipDump {
-    /// When it steps down unless a quorum answers, in its own time.
+    /// Time on the leader's clock at which it steps down unless a quorum answers.
     pub leads_until: MonotonicTime,
-    /// Proposals that wait for their commit.
+    /// Number of proposals that wait for their commit.
     pub pending_proposals: usize,
-    /// Reads that wait for their quorum check.
+    /// Number of reads that wait for their quorum check.
     pub pending_reads: usize,
-    /// What the group can lose.
+    /// Redundancy of the group.
     pub redundancy: RedundancyReport,
-    /// The other keepers.
+    /// Replication state of each other keeper.
     pub peers: Vec<PeerDump>,
 }
 
-/// How far a peer is.
+/// Replication state of one peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerDump {
-    /// The peer.
+    /// Identity of the peer.
     pub keeper: KeeperId,
-    /// Up to here it holds what the leader holds, synced.
+    /// Highest index up to which the peer's synced log matches the leader's.
     pub matched: LogIndex,
-    /// Next entry that it is sent.
+    /// Index of the next entry that the leader sends.
     pub next: LogIndex,
-    /// Messages that it has not answered.
+    /// Number of unanswered append messages.
     pub inflight: usize,
-    /// Whether it is being sent a snapshot.
+    /// Whether the leader is sending a snapshot to the peer.
     pub receives_snapshot: bool,
-    /// When the latest heartbeat that it answered was sent, in the leader's time.
+    /// Sending time, on the leader's clock, of the latest heartbeat that the peer answered.
     pub contact_at: MonotonicTime,
 }
 
 impl AgreementNode {
-    /// How this keeper stands now.
+    /// Returns the current state of this keeper.
     #[must_use]
     pub fn dump(&self) -> AgreementDump {
         AgreementDump {
--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -1,8 +1,9 @@
 //! Elections: pre-vote, vote, and stepping down.
 //!
-//! A keeper that was cut off asks first whether it would win (pre-vote), so its return never
-//! unseats a leader that the others hear. A keeper that hears a leader gives no vote, unless that
-//! leader itself ordered the hand-over.
+//! A keeper whose election timer expires first asks whether it would win (pre-vote), so a keeper
+//! that returns from a partition never deposes a leader that the others still receive heartbeats
+//! from. A keeper with an active leader grants no vote, unless that leader itself requested the
+//! hand-over.
 
 use std::collections::BTreeSet;
 
@@ -12,9 +13,9 @@
 use super::node::{AgreementNode, RoleState};
 use super::persist::HeldAction;
 
-/// Answers to a candidate.
+/// Replies that a candidate received.
 ///
-/// Invariant: only voters of the membership in force are counted, each under its full identity.
+/// Invariant: only voters of the current membership are counted, each under its full identity.
 #[derive(Debug, Default)]
 pub(super) struct VoteCount {
     granted: BTreeSet<KeeperId>,
@@ -22,11 +23,11 @@
 }
 
 impl AgreementNode {
-    /// Asks for votes once no leader was heard for the election timeout.
+    /// Starts a pre-vote when no heartbeat or append arrived within the election timeout.
     pub(super) fn run_election_timer(&mut self) {
         let is_due = self.now >= self.election_due;
-        let may_stand = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
-        if is_due && may_stand && self.is_voter() {
+        let may_campaign = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
+        if is_due && may_campaign && self.is_voter() {
             self.start_pre_vote();
         }
     }
@@ -41,7 +42,7 @@
         self.count_votes();
     }
 
-    /// Takes the next term and asks for votes in it.
+    /// Increments the term and requests votes in it.
     pub(super) fn start_election(&mut self, kind: VoteKind) {
         self.hard_state = HardState {
             term: self.term().next(),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Counts the own vote, now that it can't be forgotten in a crash.
+    /// Counts this keeper's own vote after its sync, since a crash can no longer lose it.
     pub(super) fn count_own_vote(&mut self, term: Term) {
         if term != self.term() {
             return;
@@ -82,24 +83,24 @@
         }
     }
 
-    /// Gives a vote, or tells whether it would be given.
+    /// Answers a vote request; a pre-vote only reports whether the vote would be granted.
     pub(super) fn on_vote_request(&mut self, from: KeeperId, request: &VoteRequest) {
-        let hears_leader = request.kind != VoteKind::HandOver && self.hears_leader();
-        if hears_leader && request.term >= self.term() {
+        let has_active_leader = request.kind != VoteKind::HandOver && self.has_active_leader();
+        if has_active_leader && request.term >= self.term() {
             return;
         }
         if request.kind == VoteKind::PreVote {
-            self.answer_pre_vote(from, request);
+            self.reply_pre_vote(from, request);
             return;
         }
         if request.term > self.term() {
             self.follow(request.term, None);
         }
-        let is_free = match &self.hard_state.voted_for {
+        let may_vote = match &self.hard_state.voted_for {
             Some(voted_for) => *voted_for == from,
             None => self.leader.is_none(),
         };
-        let granted = request.term == self.term() && is_free && self.is_up_to_date(request);
+        let granted = request.term == self.term() && may_vote && self.is_up_to_date(request);
         if granted && self.hard_state.voted_for.is_none() {
             self.hard_state.voted_for = Some(from.clone());
             self.writes.set_hard_state(self.hard_state.clone());
@@ -110,7 +111,7 @@
         self.reply_vote(from, request, granted);
     }
 
-    fn answer_pre_vote(&mut self, from: KeeperId, request: &VoteRequest) {
+    fn reply_pre_vote(&mut self, from: KeeperId, request: &VoteRequest) {
         let granted = request.term > self.term() && self.is_up_to_date(request);
         self.reply_vote(from, request, granted);
     }
@@ -129,22 +130,23 @@
         theirs >= (self.log.last_term(), self.log.last_index())
     }
 
-    /// Whether this keeper leads or heard the leader within the shortest election timeout.
-    fn hears_leader(&self) -> bool {
+    /// Whether this keeper leads, or its leader contacted it within the shortest election timeout.
+    fn has_active_leader(&self) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
             return true;
         }
-        let is_recent = |heard_at| self.now.since(heard_at) < self.settings.election_timeout;
-        self.leader.is_some() && self.heard_at.is_some_and(is_recent)
+        let is_recent =
+            |leader_seen_at| self.now.since(leader_seen_at) < self.settings.election_timeout;
+        self.leader.is_some() && self.leader_seen_at.is_some_and(is_recent)
     }
 
-    /// Counts an answer.
+    /// Counts a reply to this keeper's vote request.
     pub(super) fn on_vote_reply(&mut self, from: KeeperId, reply: &VoteReply) {
         if !reply.granted && reply.term > self.term() {
             self.follow(reply.term, None);
             return;
         }
-        let asked_term = match reply.kind {
+        let requested_term = match reply.kind {
             VoteKind::PreVote => self.term().next(),
             VoteKind::Election | VoteKind::HandOver => self.term(),
         };
@@ -154,7 +156,7 @@
             RoleState::Candidate(count) if !is_pre_vote => count,
             _ => return,
         };
-        if reply.granted && reply.term == asked_term {
+        if reply.granted && reply.term == requested_term {
             count.granted.insert(from.clone());
         } else if !reply.granted {
             count.rejected.insert(from.clone());
@@ -193,7 +195,8 @@
         self.append_own(EntryPayload::Noop);
     }
 
-    /// Follows `leader`, or nobody yet, in `term`. What a leader had not settled is answered.
+    /// Becomes a follower of `leader` (`None`: not known yet) in `term`, and resolves the pending
+    /// requests of a leadership that ends.
     pub(super) fn follow(&mut self, term: Term, leader: Option<KeeperId>) {
         if term > self.term() {
             self.hard_state = HardState {
@@ -203,7 +206,7 @@
             self.writes.set_hard_state(self.hard_state.clone());
             self.assembly = None;
             self.leader = None;
-            self.heard_at = None;
+            self.leader_seen_at = None;
         }
         if leader.is_some() {
             self.leader = leader;
--- a/crates/coordination/src/agreement/entry.rs
+++ b/crates/coordination/src/agreement/entry.rs
@@ -1,4 +1,4 @@
-//! What the log is made of; the store writes these types and the agreement core decides on them.
+//! Types of the log, which the store persists and the agreement core decides on.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -9,37 +9,37 @@
 use crate::base::{HostName, Incarnation, number_type, shared_bytes};
 
 number_type!(
-    /// Number of a leadership period; at most one leader exists in each.
+    /// Number of a leadership period; at most one leader exists in each term.
     Term(u64)
 );
 
 number_type!(
-    /// Position in the log, from 1; 0 stands before the first entry.
+    /// Position in the log, from 1; 0 is the position before the first entry.
     LogIndex(u64)
 );
 
 impl LogIndex {
-    /// The index before this one; 0 stays 0.
+    /// Returns the preceding index; 0 stays 0.
     #[must_use]
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// Identity of a keeper: its host, and the life of the disk that its votes are written on.
+/// Identity of a keeper: its host, and the incarnation of the disk that stores its votes.
 ///
-/// Invariant: a disk that came back empty, old or from another host never carries the incarnation
-/// under which an earlier vote was given.
+/// Invariant: a disk that returns empty, from an old copy or from another host never has the
+/// incarnation under which an earlier vote was granted.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{host}#{incarnation}")]
 pub struct KeeperId {
-    /// Host that the keeper runs on.
+    /// Host on which the keeper runs.
     pub host: HostName,
-    /// Life of the keeper's disk.
+    /// Incarnation of the keeper's disk.
     pub incarnation: Incarnation,
 }
 
-/// Who votes, and who is being brought up to date before voting.
+/// The voters of the group, and the learners that catch up before they vote.
 ///
 /// Invariant: `voters` and `learners` share no keeper, and successive memberships in the log differ
 /// by at most one voter, so any two successive majorities overlap.
@@ -47,22 +47,22 @@
 pub struct Membership {
     /// Keepers whose votes and syncs count towards the quorum.
     pub voters: BTreeSet<KeeperId>,
-    /// Keepers that receive the log without counting.
+    /// Keepers that receive the log and count towards no quorum.
     pub learners: BTreeSet<KeeperId>,
 }
 
 impl Membership {
-    /// Voters that make a majority.
+    /// Number of voters that form a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a quorum of the voters is among `reached` hosts.
+    /// Whether `reached` contains the hosts of a quorum of the voters.
     ///
-    /// Voters that were retired do not count. Counting every keeper that was ever heard of, the
-    /// majority of five that had outlived a sixth took itself for cut off, turned all heartbeats
-    /// away, and the leases of all backend servers ended at once.
+    /// Removed voters don't count. When every keeper ever known counted, a majority of five that
+    /// had outlived a sixth considered itself cut off and rejected all heartbeats, and the leases
+    /// of all backend servers expired at once.
     pub fn is_quorum(&self, reached: &BTreeSet<HostName>) -> bool {
         let voters = self.voters.iter();
         let reached = voters.filter(|voter| reached.contains(&voter.host)).count();
@@ -75,12 +75,12 @@
         self.voters.contains(keeper) || self.learners.contains(keeper)
     }
 
-    /// Voters and learners.
+    /// Iterates over voters, then learners.
     pub fn keepers(&self) -> impl Iterator<Item = &KeeperId> {
         self.voters.iter().chain(&self.learners)
     }
 
-    /// Whether a later incarnation of the keeper's host is a member while the keeper is none.
+    /// Whether a later incarnation of the keeper's host is a member and the keeper itself isn't.
     #[must_use]
     pub fn supersedes(&self, keeper: &KeeperId) -> bool {
         let is_later =
@@ -92,41 +92,41 @@
 /// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Opens a leader's term; commits what earlier terms left.
+    /// First entry of a leader's term; its commit also commits the entries of earlier terms.
     Noop,
-    /// Command for the state machine, in its own encoding.
+    /// Command for the state machine, in the state machine's encoding.
     Command(#[serde(with = "shared_bytes")] Arc<[u8]>),
-    /// New membership, in force from the moment the entry is in the log.
+    /// New membership, in effect as soon as the entry is in the log.
     Membership(Membership),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Position; entries of a log have no gaps.
+    /// Position; indices in a log have no gaps.
     pub index: LogIndex,
-    /// Term of the leader that appended the entry; never falls along the log.
+    /// Term of the leader that appended the entry; never decreases along the log.
     pub term: Term,
-    /// Content.
+    /// Content of the entry.
     pub payload: EntryPayload,
 }
 
-/// What a keeper must have synced before it answers a vote or an append.
+/// State that a keeper must sync before it answers a vote request or an append.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Highest term seen; never falls.
+    /// Highest term seen; never decreases.
     pub term: Term,
-    /// Whom this keeper voted for in `term`; set at most once a term.
+    /// Candidate that this keeper voted for in `term`; set at most once per term.
     pub voted_for: Option<KeeperId>,
 }
 
-/// What a snapshot stands for.
+/// Log position and membership that a snapshot covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
-    /// Last entry that the snapshot contains.
+    /// Index of the last entry that the snapshot covers.
     pub index: LogIndex,
     /// Term of that entry.
     pub term: Term,
-    /// Membership in force at that entry.
+    /// Membership in effect at that entry.
     pub membership: Membership,
 }
--- a/crates/coordination/src/agreement/follower.rs
+++ b/crates/coordination/src/agreement/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's messages.
+//! Handling of a leader's messages by a follower.
 
 use super::entry::{KeeperId, LogEntry, LogIndex, Term};
 use super::interface::DropReason;
@@ -8,11 +8,11 @@
 use super::node::{AgreementNode, RoleState};
 
 impl AgreementNode {
-    /// Accepts `from` as the leader of `term`, or answers that its term is over.
+    /// Accepts `from` as the leader of `term`, or replies that its term is stale.
     pub(super) fn accept_leader(&mut self, from: &KeeperId, term: Term) -> bool {
         if term < self.term() {
-            // A leader of a former term learns of the later one only from such an answer, since
-            // it hears no vote requests while it leads.
+            // A leader ignores vote requests of its term, so only this reply tells a leader of an
+            // earlier term about the later one.
             let reply = AppendReply {
                 term: self.term(),
                 outcome: AppendOutcome::StaleTerm,
@@ -20,19 +20,19 @@
             self.send_after_persist(from.clone(), AgreementMessage::AppendReply(reply));
             return false;
         }
-        let leads_itself = matches!(self.role, RoleState::Leader(_));
-        let has_other = self.leader.as_ref().is_some_and(|leader| leader != from);
-        if term == self.term() && (leads_itself || has_other) {
+        let is_leader = matches!(self.role, RoleState::Leader(_));
+        let has_other_leader = self.leader.as_ref().is_some_and(|leader| leader != from);
+        if term == self.term() && (is_leader || has_other_leader) {
             self.drop_message(from.clone(), DropReason::Malformed);
             return false;
         }
         self.follow(term, Some(from.clone()));
-        self.heard_at = Some(self.now);
+        self.leader_seen_at = Some(self.now);
         self.reset_election_timer();
         true
     }
 
-    /// Answers a heartbeat at once: it proves reachability and the term, nothing that is synced.
+    /// Answers a heartbeat at once: the reply proves reachability and the term, no synced state.
     pub(super) fn on_heartbeat(&mut self, from: KeeperId, heartbeat: Heartbeat) {
         if !self.accept_leader(&from, heartbeat.term) {
             return;
@@ -47,7 +47,7 @@
         self.send(from, AgreementMessage::HeartbeatReply(reply));
     }
 
-    /// Takes a leader's entries in; the answer leaves once they are synced.
+    /// Appends a leader's entries; the reply is sent after their sync.
     pub(super) fn on_append(&mut self, from: KeeperId, request: AppendRequest) {
         if !is_well_formed(&request) {
             self.drop_message(from, DropReason::Malformed);
@@ -57,7 +57,7 @@
             return;
         }
         let outcome = match self.log.term_at(request.prev_index) {
-            // What is committed here agrees with every later leader's log.
+            // Committed entries match the log of every later leader.
             _ if request.prev_index < self.commit => self.append_entries(&from, request),
             Some(term) if term == request.prev_term => self.append_entries(&from, request),
             _ => Some(self.mismatch(&request)),
@@ -108,7 +108,7 @@
         Some(AppendOutcome::Matched(last.max(self.commit)))
     }
 
-    /// Whether the log holds this entry, or held it before it was compacted.
+    /// Whether the log contains this entry, or contained it before compaction.
     fn holds(&self, entry: &LogEntry) -> bool {
         entry.index <= self.log.base_index() || self.log.term_at(entry.index) == Some(entry.term)
     }
--- a/crates/coordination/src/agreement/hand_over.rs
+++ b/crates/coordination/src/agreement/hand_over.rs
@@ -1,4 +1,4 @@
-//! Planned hand-over of leadership: no proposal is left unknown, and no election timeout passes.
+//! Planned hand-over of leadership, without unknown proposals and without an election timeout.
 
 use super::entry::{KeeperId, Term};
 use super::interface::{AgreementEffect, HandOverOutcome, RefusalReason, RequestToken};
@@ -6,18 +6,18 @@
 use super::node::{AgreementNode, RoleState};
 use crate::base::{HostName, MonotonicTime};
 
-/// A hand-over that was ordered.
+/// A hand-over in progress.
 #[derive(Clone, Debug)]
 pub(super) struct HandOverState {
     pub(super) token: RequestToken,
     pub(super) target: KeeperId,
-    /// When this keeper gives up and leads on.
+    /// Time at which the hand-over times out and this keeper continues to lead.
     pub(super) due: MonotonicTime,
     pub(super) is_sent: bool,
 }
 
 impl AgreementNode {
-    /// Starts to hand leadership over; new proposals are refused from now on.
+    /// Starts a hand-over; from now on this keeper refuses new proposals.
     pub(super) fn hand_over(&mut self, token: RequestToken, target: &HostName) {
         let state = match self.plan_hand_over(token, target) {
             Ok(state) => state,
@@ -62,10 +62,10 @@
         })
     }
 
-    /// Orders the target to stand once it holds everything and nothing is left uncommitted.
+    /// Sends `TimeoutNow` to the target once its log is complete and every entry is committed.
     pub(super) fn run_hand_over(&mut self) {
         let last_index = self.log.last_index();
-        let is_settled = self.commit == last_index;
+        let is_committed = self.commit == last_index;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
@@ -80,7 +80,7 @@
             return;
         };
         let matched = leader.peers.get(&state.target).map(|peer| peer.matched);
-        if state.is_sent || !is_settled || matched != Some(last_index) {
+        if state.is_sent || !is_committed || matched != Some(last_index) {
             return;
         }
         state.is_sent = true;
@@ -88,11 +88,11 @@
         self.send(target, AgreementMessage::TimeoutNow(self.term()));
     }
 
-    /// Stands at once, on the leader's order.
+    /// Starts an election at once when the leader of this term requests it.
     pub(super) fn on_timeout_now(&mut self, from: &KeeperId, term: Term) {
-        let is_ordered = term == self.term() && self.leader.as_ref() == Some(from);
-        let may_stand = matches!(self.role, RoleState::Follower) && self.is_voter();
-        if is_ordered && may_stand {
+        let is_from_leader = term == self.term() && self.leader.as_ref() == Some(from);
+        let may_campaign = matches!(self.role, RoleState::Follower) && self.is_voter();
+        if is_from_leader && may_campaign {
             self.start_election(VoteKind::HandOver);
         }
     }
--- a/crates/coordination/src/agreement/identity.rs
+++ b/crates/coordination/src/agreement/identity.rs
@@ -1,11 +1,12 @@
-//! Who may be counted: the check of every message's sender.
+//! Identity check of every message's sender.
 //!
-//! A disk that comes back empty starts under a new incarnation, and no membership counts that. A
-//! disk that comes back from an old copy still carries its incarnation, and would vote and
-//! acknowledge as if it held what it has lost; its symptom is a committed entry that vanishes after
-//! the next election. Each keeper therefore remembers what it saw the others acknowledge, and a
-//! process that starts from less than that is refused. The memory spreads with heartbeats and is
-//! not synced: the note on agreement says what this leaves open.
+//! A disk that returns empty starts under a new incarnation, which no membership counts. A disk
+//! that is restored from an old copy keeps its incarnation, and would vote and acknowledge as if it
+//! still contained the entries that it lost; the symptom is a committed entry that disappears
+//! after the next election. Each keeper therefore remembers the acknowledgements that it observed
+//! from the others, and rejects a process that starts from an older state. This memory spreads
+//! with heartbeats and isn't synced; the design note on agreement lists the cases that this does
+//! not cover.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,23 +18,23 @@
 use super::node::{AgreementNode, RoleState};
 use super::progress::PeerProgress;
 
-/// Starts of one keeper that stay accepted, so that late messages of an earlier life don't look
-/// like an old disk.
+/// Accepted starts that are remembered for each keeper, so that late messages of an earlier
+/// process don't look like an old disk.
 const ACCEPTED_STARTS: usize = 8;
 
-/// Keepers that are remembered; far above the size of any group.
+/// Keepers that are remembered; far more than any group has.
 const MAX_RECORDS: usize = 64;
 
-/// Largest step between two terms that a message may take; a larger one is a broken sender.
+/// Largest term increase that one message may cause; a larger one means a faulty sender.
 const MAX_TERM_STEP: u64 = 1 << 32;
 
-/// What is known of one keeper.
+/// Observed starts and acknowledgements of one keeper.
 #[derive(Debug, Default)]
 struct IdentityRecord {
     /// Accepted starts, latest last.
     starts: VecDeque<ProcessStart>,
     /// Highest acknowledgement, by term and then index.
-    witnessed: (Term, LogIndex),
+    highest_ack: (Term, LogIndex),
 }
 
 impl IdentityRecord {
@@ -41,7 +42,7 @@
         if self.starts.iter().any(|known| known.nonce == start.nonce) {
             return true;
         }
-        let (term, index) = self.witnessed;
+        let (term, index) = self.highest_ack;
         let holds_enough = start.term > term || (start.term == term && start.last_index >= index);
         if !holds_enough {
             return false;
@@ -54,16 +55,17 @@
     }
 }
 
-/// What is known of the other keepers' starts and acknowledgements.
+/// Observed starts and acknowledgements of the other keepers.
 ///
-/// Invariant: an acknowledgement is recorded only from what its keeper had synced.
+/// Invariant: every recorded acknowledgement refers to state that its keeper had synced.
 #[derive(Debug, Default)]
 pub(super) struct IdentityTable {
     records: BTreeMap<KeeperId, IdentityRecord>,
 }
 
 impl IdentityTable {
-    /// Whether a start is that of a disk which holds all that was acknowledged.
+    /// Accepts the start of a disk that contains everything its keeper acknowledged; otherwise
+    /// returns the highest acknowledgement.
     fn accept(&mut self, keeper: &KeeperId, start: ProcessStart) -> Result<(), (Term, LogIndex)> {
         if !self.records.contains_key(keeper) && self.records.len() >= MAX_RECORDS {
             return Ok(());
@@ -72,21 +74,24 @@
         if record.accept(start) {
             return Ok(());
         }
-        Err(record.witnessed)
+        Err(record.highest_ack)
     }
 
-    /// Notes that `keeper` acknowledged `index`, or a vote, in `term`.
+    /// Records that `keeper` acknowledged `index`, or granted a vote, in `term`.
     pub(super) fn record_ack(&mut self, keeper: &KeeperId, term: Term, index: LogIndex) {
         if let Some(record) = self.records.get_mut(keeper) {
-            record.witnessed = record.witnessed.max((term, index));
+            record.highest_ack = record.highest_ack.max((term, index));
         }
     }
 
-    /// What a leader's heartbeats tell of its peers.
-    pub(super) fn records(&self, peers: &BTreeMap<KeeperId, PeerProgress>) -> Vec<ObservedAck> {
+    /// Observed acknowledgements of `peers`, for a leader's heartbeats.
+    pub(super) fn observed_acks(
+        &self,
+        peers: &BTreeMap<KeeperId, PeerProgress>,
+    ) -> Vec<ObservedAck> {
         let record_of = |keeper: &KeeperId| {
             let record = self.records.get(keeper)?;
-            let (term, index) = record.witnessed;
+            let (term, index) = record.highest_ack;
             Some(ObservedAck {
                 keeper: keeper.clone(),
                 start: *record.starts.back()?,
@@ -97,7 +102,7 @@
         peers.keys().filter_map(record_of).collect()
     }
 
-    /// Forgets keepers that `is_kept` names no longer.
+    /// Removes the records of keepers for which `is_kept` is false.
     pub(super) fn retain<F>(&mut self, is_kept: F)
     where
         F: Fn(&KeeperId) -> bool,
@@ -107,7 +112,7 @@
 }
 
 impl AgreementNode {
-    /// Checks sender and receiver of a message before its content is read.
+    /// Checks sender and receiver of a message before its content is processed.
     pub(super) fn admit(&mut self, envelope: &AgreementEnvelope) -> Result<(), DropReason> {
         if matches!(self.role, RoleState::Retired) {
             return Err(DropReason::Retired);
@@ -131,8 +136,8 @@
         Ok(())
     }
 
-    /// Whether a start is that of a disk which holds all that was acknowledged; if not, its keeper
-    /// is told.
+    /// Whether the disk of a start contains everything its keeper acknowledged; if not, sends the
+    /// keeper a rejection.
     fn accept_start(&mut self, keeper: &KeeperId, start: ProcessStart) -> bool {
         let Err((term, index)) = self.identities.accept(keeper, start) else {
             return true;
@@ -147,8 +152,9 @@
         false
     }
 
-    /// Takes a leader's records in. A start that this keeper itself has reason to refuse stays
-    /// refused, also when the leader accepted it because it was restarted and remembers less.
+    /// Merges a leader's records. A start that this keeper itself rejects stays rejected even if
+    /// the leader accepted it, for example because a restarted leader remembers fewer
+    /// acknowledgements.
     pub(super) fn merge_observed_acks(&mut self, records: Vec<ObservedAck>) {
         for record in records {
             if record.keeper != self.id && self.accept_start(&record.keeper, record.start) {
@@ -158,7 +164,7 @@
         }
     }
 
-    /// Retires when a member proves that this disk is older than what it acknowledged.
+    /// Retires when a member shows that this disk is older than what this keeper acknowledged.
     pub(super) fn on_identity_rejected(&mut self, from: KeeperId, rejected: &IdentityRejected) {
         let is_own = rejected.nonce == self.start.nonce;
         if !is_own || !self.log.membership().contains(&from) {
--- a/crates/coordination/src/agreement/interface.rs
+++ b/crates/coordination/src/agreement/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the agreement core and what comes out of it.
+//! Inputs and outputs of the agreement core.
 
 use std::sync::Arc;
 
@@ -11,25 +11,25 @@
 use crate::base::{HostName, number_type};
 
 number_type!(
-    /// Token of one request, chosen by the caller and returned with the outcome.
+    /// Token of one request; the caller chooses it and the outcome returns it.
     RequestToken(u64)
 );
 
 number_type!(
-    /// Number of a persist order, from 1, without gaps.
+    /// Number of a persist request, from 1, without gaps.
     PersistSequence(u64)
 );
 
 /// A snapshot with its content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSnapshot {
-    /// What it stands for.
+    /// Log position and membership that the snapshot covers.
     pub mark: SnapshotMetadata,
     /// The state machine's encoding.
     pub bytes: Arc<[u8]>,
 }
 
-/// What a keeper's disk held at start.
+/// Content of a keeper's disk at start.
 ///
 /// Invariant: `entries` above the snapshot's index follow it without a gap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,12 +42,12 @@
     pub entries: Vec<LogEntry>,
 }
 
-/// What the caller tells the core.
+/// Input of the core: a message, a request or a completed action of the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgreementInput {
-    /// A message of a peer arrived.
+    /// A message from a peer arrived.
     Message(AgreementEnvelope),
-    /// Append a command. All proposals of one tick share a persist order and its sync.
+    /// Append a command. All proposals of one tick share a persist request and its sync.
     Propose {
         /// Returned with the outcome.
         token: RequestToken,
@@ -59,9 +59,9 @@
         /// Returned with the outcome.
         token: RequestToken,
     },
-    /// Everything up to this persist order is synced.
+    /// Every persist request up to this one is synced.
     Persisted(PersistSequence),
-    /// Give leadership to the voter on a host.
+    /// Hand leadership over to the voter on a host.
     HandOver {
         /// Returned with the outcome.
         token: RequestToken,
@@ -75,9 +75,9 @@
         /// The change.
         change: MembershipChange,
     },
-    /// The state machine's state after applying `index` was encoded.
+    /// The caller encoded the state of the state machine after applying `index`.
     SnapshotTaken {
-        /// Last entry that the snapshot contains.
+        /// Index of the last entry that the snapshot covers.
         index: LogIndex,
         /// The encoded state.
         bytes: Arc<[u8]>,
@@ -86,144 +86,145 @@
 
 /// One step of a membership change.
 ///
-/// A replacement is `AddLearner` under the new incarnation, then `Promote` once it has caught up;
-/// the leader removes the host's former incarnation itself as soon as the promotion is committed.
+/// A replacement is `AddLearner` with the new incarnation, then `Promote` once it has caught up;
+/// the leader removes the host's earlier incarnation by itself once the promotion is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Bring a keeper up to date without counting it.
+    /// Add a keeper that receives the log and doesn't vote.
     AddLearner(KeeperId),
-    /// Count a caught-up learner.
+    /// Make a caught-up learner a voter.
     Promote(KeeperId),
-    /// Take a keeper out.
+    /// Remove a keeper from the membership.
     Remove(KeeperId),
 }
 
-/// What the core tells the caller to do, in this order.
+/// Action that the caller must perform; effects of a tick are performed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AgreementEffect {
-    /// Send a message. It may be lost, delayed or doubled.
+    /// Send a message. It may be lost, delayed or duplicated.
     Send(AgreementEnvelope),
     /// Write and sync, then report [`AgreementInput::Persisted`].
     Persist(PersistRequest),
-    /// Apply these entries, in order; each index is delivered once in the life of a process. Only
-    /// [`EntryPayload::Command`](super::EntryPayload::Command) carries something for the state
-    /// machine; the others still move the applied index.
+    /// Apply these entries in order; a process delivers each index once. Only
+    /// [`EntryPayload::Command`](super::EntryPayload::Command) contains input for the state
+    /// machine; the other payloads only advance the applied index.
     Committed(Vec<LogEntry>),
-    /// Replace the whole state by this snapshot; it is already synced.
+    /// Replace the complete state by this snapshot, which is already synced.
     InstallSnapshot(StoredSnapshot),
-    /// What became of a proposal.
+    /// Outcome of a proposal.
     Proposal {
         /// The caller's token.
         token: RequestToken,
         /// Outcome.
         outcome: ProposalOutcome,
     },
-    /// What became of a read.
+    /// Outcome of a read.
     Read {
         /// The caller's token.
         token: RequestToken,
         /// Outcome.
         outcome: ReadOutcome,
     },
-    /// What became of a hand-over.
+    /// Outcome of a hand-over.
     HandOver {
         /// The caller's token.
         token: RequestToken,
         /// Outcome.
         outcome: HandOverOutcome,
     },
-    /// What became of a membership change.
+    /// Outcome of a membership change.
     MembershipChange {
         /// The caller's token.
         token: RequestToken,
         /// Outcome.
         outcome: ProposalOutcome,
     },
-    /// Role, term or known leader changed.
+    /// The role, the term or the known leader changed.
     RoleChanged(RoleStatus),
-    /// Another membership is in force.
+    /// A different membership is in effect.
     MembershipChanged {
-        /// Entry that carries it.
+        /// Index of the entry that contains it.
         index: LogIndex,
         /// The membership.
         membership: Membership,
     },
-    /// What the group can lose changed; only a leader tells.
+    /// The redundancy of the group changed; only a leader reports this.
     RedundancyChanged(RedundancyReport),
     /// Enough entries were delivered since the last snapshot: encode the state.
     SnapshotRequested {
-        /// Entry that the snapshot should contain at least.
+        /// Lowest index that the snapshot must cover.
         index: LogIndex,
     },
-    /// The disk is older than what this keeper acknowledged; it takes no further part. The caller
-    /// sets the data aside and returns under a new incarnation.
+    /// The disk is older than what this keeper acknowledged; the keeper stops taking part. The
+    /// caller moves the data aside and restarts under a new incarnation.
     IdentityLost {
-        /// Keeper that noticed.
+        /// Keeper that detected it.
         detected_by: KeeperId,
-        /// Term in which more was acknowledged.
+        /// Term of the highest observed acknowledgement.
         term: Term,
-        /// Index that was acknowledged.
+        /// Index of that acknowledgement.
         index: LogIndex,
     },
-    /// A message was not acted on.
+    /// The core ignored a message.
     MessageDropped {
-        /// Its sender.
+        /// Sender of the message.
         from: KeeperId,
-        /// Why.
+        /// Reason for ignoring it.
         reason: DropReason,
     },
 }
 
-/// What must be synced, in this order: hard state, snapshot, truncation, entries.
+/// State to write and sync, in this order: hard state, snapshot, truncation, entries.
 ///
-/// A crash may leave any prefix of that order; nothing that depends on the order was sent yet.
+/// A crash may leave any prefix of these writes; no message that depends on them was sent yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistRequest {
-    /// Number to report.
+    /// Number to report in [`AgreementInput::Persisted`].
     pub sequence: PersistSequence,
     /// New hard state.
     pub hard_state: Option<HardState>,
-    /// New snapshot; entries up to its index may be dropped, and the log goes on after it.
+    /// New snapshot; entries up to its index may be removed, and the log continues after it.
     pub snapshot: Option<StoredSnapshot>,
     /// Remove this entry and all that follow it.
     pub truncate_from: Option<LogIndex>,
-    /// Append these. The first follows what is left, or, where what is left ends before the
-    /// snapshot's index, the snapshot; none stands at or below the latest snapshot's index.
+    /// Entries to append. The first follows the last remaining entry, or the snapshot if the last
+    /// remaining entry precedes the snapshot's index; none is at or below the index of the latest
+    /// snapshot.
     pub entries: Vec<LogEntry>,
 }
 
-/// What became of a proposal.
+/// Outcome of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// Synced by a quorum at this index; it was delivered before this effect.
+    /// A quorum synced it at this index; the core delivered it before this effect.
     Committed(LogIndex),
-    /// It is in no log and will never be.
+    /// No log contains it, and none ever will.
     NotAppended(RefusalReason),
-    /// It is in this keeper's log, but leadership ended before it was committed.
+    /// It is in this keeper's log, but the leadership ended before the commit.
     Unknown,
 }
 
-/// Why a request was refused.
+/// Reason for refusing a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RefusalReason {
     /// This keeper does not lead.
     #[display("not the leader")]
     NotLeader {
-        /// Who does, where known.
+        /// Current leader, if known.
         leader: Option<KeeperId>,
     },
-    /// Leadership is being given away.
+    /// A hand-over of leadership is in progress.
     #[display("leadership is being handed over")]
     HandingOver,
     /// A bounded queue is full; try again later.
     #[display("too many requests are waiting")]
     Busy,
-    /// The command exceeds the bound.
+    /// The command exceeds the size limit.
     #[display("command of {size} bytes exceeds {limit}")]
     TooLarge {
-        /// Its bytes.
+        /// Size of the command in bytes.
         size: usize,
-        /// Bytes that are accepted.
+        /// Largest accepted size in bytes.
         limit: usize,
     },
     /// Another membership change, or the first entry of the term, is not committed yet.
@@ -241,80 +242,80 @@
     /// The learner lacks committed entries.
     #[display("learner has not caught up")]
     NotCaughtUp,
-    /// The keeper that should lead does not answer now.
+    /// The keeper that should lead doesn't answer at present.
     #[display("keeper does not answer")]
     NotAnswering,
     /// The leader would remove itself; hand leadership over first.
     #[display("hand leadership over before removing its holder")]
     HandOverFirst,
-    /// The voters that answer would be no quorum after the change.
+    /// The voters that answer would not form a quorum after the change.
     #[display("the voters that answer would no longer be a quorum")]
     QuorumAtRisk,
 }
 
-/// What became of a read.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// A state that contains this entry is current; all entries up to it were delivered.
+    /// A state that includes this entry is current; all entries up to it were delivered.
     Ready(LogIndex),
-    /// Nothing was read.
+    /// The core refused the read.
     Refused(RefusalReason),
 }
 
-/// What became of a hand-over.
+/// Outcome of a hand-over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HandOverOutcome {
     /// This keeper no longer leads.
     Done,
-    /// The target did not take over in time; this keeper leads on.
+    /// The target did not take over in time; this keeper continues to lead.
     TimedOut,
-    /// Not started.
+    /// The hand-over did not start.
     Refused(RefusalReason),
 }
 
-/// Part that a keeper plays.
+/// Role of a keeper in the group.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeeperRole {
-    /// In no membership that it knows: an empty disk waiting to be added.
+    /// In no membership that it knows: an empty disk that waits to be added.
     #[display("outsider")]
     Outsider,
-    /// Receives the log without counting.
+    /// Receives the log and doesn't vote.
     #[display("learner")]
     Learner,
-    /// Votes and follows.
+    /// Votes, and follows the leader.
     #[display("follower")]
     Follower,
-    /// Asks for votes.
+    /// Requests votes.
     #[display("candidate")]
     Candidate,
-    /// Leads.
+    /// Leads the group.
     #[display("leader")]
     Leader,
-    /// Its disk is older than its acknowledgements; takes no part.
+    /// Its disk is older than its acknowledgements; it doesn't take part.
     #[display("retired")]
     Retired,
 }
 
-/// Role with what goes with it.
+/// Role of a keeper with its term and leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleStatus {
-    /// Role.
+    /// Role of the keeper.
     pub role: KeeperRole,
-    /// Present term.
+    /// Current term.
     pub term: Term,
-    /// Leader of that term, where known.
+    /// Leader of that term, if known.
     pub leader: Option<KeeperId>,
 }
 
-/// Why a message was not acted on.
+/// Reason for ignoring a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DropReason {
     /// Addressed to another keeper or another incarnation.
     #[display("not addressed to this incarnation")]
     OtherReceiver,
-    /// Its sender claims to be this keeper.
+    /// The sender uses this keeper's identity.
     #[display("sent under this keeper's own identity")]
     OwnIdentity,
     /// A later incarnation of the sender's host is a member.
@@ -323,10 +324,10 @@
     /// The sender's disk is older than its acknowledgements.
     #[display("sender's disk is older than what it acknowledged")]
     OldDisk,
-    /// Its content contradicts itself or what is known to be committed.
+    /// The content contradicts itself or entries that are known to be committed.
     #[display("content is malformed")]
     Malformed,
-    /// This keeper takes no part any more.
+    /// This keeper is retired.
     #[display("this keeper is retired")]
     Retired,
 }
--- a/crates/coordination/src/agreement/leader.rs
+++ b/crates/coordination/src/agreement/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: takes proposals, beats, commits, and steps down without a quorum.
+//! Leader duties: accepting proposals, heartbeats, commit, and stepping down without a quorum.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -21,36 +21,36 @@
 use super::redundancy::RedundancyReport;
 use crate::base::MonotonicTime;
 
-/// Rounds after which unchanged witness records are sent again, for peers that missed them.
-const WITNESS_REPEAT_ROUNDS: u64 = 20;
+/// Rounds after which unchanged acknowledgement records are sent again, for peers that missed them.
+const ACK_REPEAT_ROUNDS: u64 = 20;
 
-/// Election timeouts for which a removed peer is still sent the log.
+/// Election timeouts for which the leader continues to send the log to a removed peer.
 const LEAVING_ELECTION_TIMEOUTS: u32 = 10;
 
-/// A request that waits for the commit of its entry.
+/// A request that waits for its entry to be committed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingEntry {
     pub(super) index: LogIndex,
     pub(super) token: RequestToken,
-    /// Bytes that the entry counts for in the bound on what is uncommitted.
+    /// Bytes of the entry, as counted by the limit on uncommitted bytes.
     pub(super) bytes: usize,
 }
 
-/// Whose majority is meant, and who asks.
+/// Membership whose quorum is computed, and the keeper that computes it.
 pub(super) struct QuorumView<'a> {
     pub(super) membership: &'a Membership,
     pub(super) keeper: &'a KeeperId,
 }
 
-/// State that lives as long as one leadership.
+/// State of one leadership.
 ///
-/// Invariant: `peers` holds the other keepers of the membership in force, and those that were
-/// removed and may not know it yet; only the former are counted.
+/// Invariant: `peers` contains the other keepers of the current membership, and removed keepers
+/// that may not know of their removal yet; only the former are counted.
 #[derive(Debug)]
 pub(super) struct LeaderState {
     pub(super) peers: BTreeMap<KeeperId, PeerProgress>,
-    /// First entry of this term; until it is committed the commit index of earlier leaders isn't
-    /// known, so no read is answered and no membership changed.
+    /// First entry of this term. Until it is committed, the commit index of earlier leaders is
+    /// unknown, so no read is answered and no membership change is accepted.
     pub(super) term_start: LogIndex,
     pub(super) heartbeat_due: MonotonicTime,
     pub(super) round: HeartbeatRound,
@@ -58,12 +58,12 @@
     pub(super) proposals: VecDeque<PendingEntry>,
     pub(super) uncommitted_bytes: usize,
     pub(super) change: Option<PendingEntry>,
-    /// When a keeper last began to vote, until that is set against a lost one.
+    /// Time of the latest promotion of a voter; cleared once a lost voter was removed for it.
     pub(super) promoted_at: Option<MonotonicTime>,
     pub(super) hand_over: Option<HandOverState>,
     pub(super) reported_redundancy: Option<RedundancyReport>,
-    /// Witness records that peers were told last.
-    told_records: Vec<ObservedAck>,
+    /// Acknowledgement records that peers were last sent.
+    sent_acks: Vec<ObservedAck>,
 }
 
 impl LeaderState {
@@ -80,12 +80,12 @@
             promoted_at: None,
             hand_over: None,
             reported_redundancy: None,
-            told_records: Vec::new(),
+            sent_acks: Vec::new(),
         }
     }
 
-    /// The value that a majority of voters reached, where `own` is this keeper's; a voter without
-    /// a known value counts for none.
+    /// The highest value that a majority of voters reached, where `own` is this keeper's value; a
+    /// voter without a known value is left out.
     pub(super) fn quorum_value<T, F>(
         &self,
         quorum: &QuorumView<'_>,
@@ -112,7 +112,7 @@
 }
 
 impl AgreementNode {
-    /// Appends a command, or says why not.
+    /// Appends a command, or reports the reason for refusing it.
     pub(super) fn propose(&mut self, token: RequestToken, command: Arc<[u8]>) {
         if let Err(reason) = self.check_proposal(&command) {
             let outcome = ProposalOutcome::NotAppended(reason);
@@ -144,9 +144,9 @@
                 limit,
             });
         }
-        let has_room = leader.proposals.len() < self.settings.max_uncommitted_entries
+        let has_capacity = leader.proposals.len() < self.settings.max_uncommitted_entries
             && leader.uncommitted_bytes < self.settings.max_uncommitted_bytes;
-        has_room.then_some(()).ok_or(RefusalReason::Busy)
+        has_capacity.then_some(()).ok_or(RefusalReason::Busy)
     }
 
     pub(super) fn require_leader(&self) -> Result<&LeaderState, RefusalReason> {
@@ -158,11 +158,12 @@
         }
     }
 
-    /// Steps down once no quorum answered a heartbeat that was sent within the election timeout.
+    /// Steps down when no quorum answered a heartbeat sent within the election timeout.
     ///
-    /// Else a leader behind a partition would claim to lead for as long as the partition lasts,
-    /// and its callers would wait there instead of at the other side. The time counts from the
-    /// sending of what was answered, so it ends before the others' own election timeout.
+    /// Otherwise a leader behind a partition would claim leadership for as long as the partition
+    /// lasts, and its callers would wait there instead of using the other side. The timeout counts
+    /// from the sending time of the answered heartbeat, so it expires before the election timeout
+    /// of the other keepers.
     pub(super) fn check_leadership(&mut self) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -171,12 +172,12 @@
             return;
         }
         self.leader = None;
-        self.heard_at = None;
+        self.leader_seen_at = None;
         self.follow(self.term(), None);
     }
 
-    /// When this keeper stops to claim leadership unless a quorum answers; `None` if it doesn't
-    /// lead now.
+    /// Time at which this keeper stops claiming leadership unless a quorum answers; `None` if it
+    /// doesn't lead at `now`.
     #[must_use]
     pub fn leads_until(&self, now: MonotonicTime) -> Option<MonotonicTime> {
         let RoleState::Leader(leader) = &self.role else {
@@ -208,21 +209,21 @@
         }
     }
 
-    /// Whether peers answer within the time that a leader may count on.
+    /// Time within which a peer must have answered to count as reachable.
     pub(super) fn contact_window(&self) -> Duration {
         self.settings.election_timeout
     }
 
-    /// A leader's part of the tick, after all inputs.
+    /// Leader duties of one tick, after all inputs.
     pub(super) fn run_leader(&mut self) {
         self.advance_commit();
-        self.drop_left_peers();
-        self.retire_former_incarnations();
-        self.retire_lost_voters();
+        self.drop_departed_peers();
+        self.remove_former_incarnations();
+        self.remove_lost_voters();
         self.run_hand_over();
         self.run_heartbeat();
         self.replicate();
-        // A group of one commits what it synced itself.
+        // A group of one commits its own synced entries.
         self.advance_commit();
     }
 
@@ -235,8 +236,8 @@
         let Some(reached) = reached else {
             return;
         };
-        // Only an entry of the own term commits by counting: one of an earlier term that a
-        // majority holds can still be replaced by another leader's.
+        // Only an entry of the current term is committed by counting: another leader can still
+        // replace an entry of an earlier term, even one that a majority has.
         if reached > self.commit && self.log.term_at(reached) == Some(self.term()) {
             self.commit = reached;
         }
@@ -261,19 +262,19 @@
             progress.expire(self.now, &self.settings);
             progress.check_caught_up(self.commit, self.now);
         }
-        // Others acknowledge to the leader; what the leader itself counts towards a quorum they
-        // learn only here, and refuse its disk too if it comes back without it.
+        // Peers acknowledge to the leader. They learn the leader's own acknowledgement only from
+        // this record, and need it to reject the leader's disk if it returns from an older copy.
         let own = ObservedAck {
             keeper: self.id.clone(),
             start: self.start,
             term: self.hard_state.term,
             index: self.writes.durable_index(),
         };
-        let mut records = self.identities.records(&leader.peers);
+        let mut records = self.identities.observed_acks(&leader.peers);
         records.push(own);
-        let is_repeat = leader.round.0.is_multiple_of(WITNESS_REPEAT_ROUNDS);
-        let witnessed = if is_repeat || records != leader.told_records {
-            leader.told_records.clone_from(&records);
+        let is_repeat = leader.round.0.is_multiple_of(ACK_REPEAT_ROUNDS);
+        let witnessed = if is_repeat || records != leader.sent_acks {
+            leader.sent_acks.clone_from(&records);
             records
         } else {
             Vec::new()
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Whether an entry of the own term is committed.
+    /// Whether an entry of the current term is committed.
     pub(super) fn has_committed_in_term(&self) -> bool {
         match &self.role {
             RoleState::Leader(leader) => self.commit >= leader.term_start,
@@ -298,20 +299,20 @@
         }
     }
 
-    /// Brings `peers` in line with the membership in force.
+    /// Updates `peers` to the current membership.
     pub(super) fn refresh_peers(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
         let membership = self.log.membership();
         leader.peers.retain(|peer, _| !membership.supersedes(peer));
-        let patience = self
+        let leave_timeout = self
             .settings
             .election_timeout
             .saturating_mul(LEAVING_ELECTION_TIMEOUTS);
         let leaving = LeavingPeer {
             removed_at: self.log.membership_index(),
-            due: self.now.after(patience),
+            due: self.now.after(leave_timeout),
         };
         for (peer, progress) in &mut leader.peers {
             let is_member = membership.contains(peer);
@@ -326,13 +327,13 @@
         }
     }
 
-    fn drop_left_peers(&mut self) {
+    fn drop_departed_peers(&mut self) {
         if let RoleState::Leader(leader) = &mut self.role {
-            leader.peers.retain(|_, peer| !peer.has_left(self.now));
+            leader.peers.retain(|_, peer| !peer.has_departed(self.now));
         }
     }
 
-    /// Takes the answer to an append in.
+    /// Handles the reply to an append.
     pub(super) fn on_append_reply(&mut self, from: &KeeperId, reply: &AppendReply) {
         if reply.term > self.term() {
             self.follow(reply.term, None);
@@ -366,7 +367,7 @@
             return;
         };
         if let Some(progress) = leader.peers.get_mut(from) {
-            progress.note_matched(index, self.now);
+            progress.record_matched(index, self.now);
             self.identities.record_ack(from, term, index);
         }
     }
@@ -388,7 +389,7 @@
         }
     }
 
-    /// Takes the answer to a heartbeat in.
+    /// Handles the reply to a heartbeat.
     pub(super) fn on_heartbeat_reply(&mut self, from: &KeeperId, reply: &HeartbeatReply) {
         if reply.term > self.term() {
             self.follow(reply.term, None);
@@ -440,7 +441,7 @@
         }
     }
 
-    /// Answers everything that a lost leadership leaves open.
+    /// Answers every request that is pending when the leadership ends.
     pub(super) fn resolve_deposed(&mut self, leader: LeaderState) {
         for pending in leader.proposals {
             self.effects.push(AgreementEffect::Proposal {
--- a/crates/coordination/src/agreement/log.rs
+++ b/crates/coordination/src/agreement/log.rs
@@ -1,14 +1,14 @@
-//! The log in memory: entries, the memberships among them, and the latest snapshot.
+//! The in-memory log: entries, the memberships among them, and the latest snapshot.
 
 use std::collections::VecDeque;
 
 use super::entry::{EntryPayload, LogEntry, LogIndex, Membership, SnapshotMetadata, Term};
 use super::interface::{RestoredState, StoredSnapshot};
 
-/// Bytes counted for an entry beside its command.
+/// Bytes counted for an entry in addition to its command.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes that an entry counts for in bounds.
+/// Size of an entry in bytes, as counted by limits.
 pub(super) fn entry_bytes(entry: &LogEntry) -> usize {
     match &entry.payload {
         EntryPayload::Command(command) => command.len().saturating_add(ENTRY_OVERHEAD_BYTES),
@@ -16,7 +16,7 @@
     }
 }
 
-/// Entries after a base, with the memberships that they carry.
+/// Entries after a base index, and the memberships that they contain.
 ///
 /// Invariant: `entries[i].index == base.index + 1 + i`; `changes` lists the membership entries
 /// among them in order; `base.index <= snapshot.mark.index`.
@@ -25,14 +25,14 @@
     base: SnapshotMetadata,
     entries: VecDeque<LogEntry>,
     changes: Vec<(LogIndex, Membership)>,
-    /// Rises whenever the membership in force may have become another.
+    /// Increments whenever the current membership may have changed.
     change_count: u64,
     snapshot: Option<StoredSnapshot>,
 }
 
 impl ReplicatedLog {
-    /// The log of a disk, or `None` where its entries have a gap or their terms fall: what is
-    /// missing may have been acknowledged, so the rest must not vote.
+    /// Restores the log of a disk; `None` if its entries have a gap or their terms decrease. The
+    /// missing entries may have been acknowledged, so such a keeper must not vote.
     pub(super) fn restore(restored: RestoredState) -> Option<Self> {
         let mut log = Self::default();
         if let Some(snapshot) = restored.snapshot {
@@ -63,7 +63,7 @@
             .map_or(self.base.term, |entry| entry.term)
     }
 
-    /// Index before the first entry that is still held.
+    /// Index before the first entry that the log still contains.
     pub(super) fn base_index(&self) -> LogIndex {
         self.base.index
     }
@@ -78,7 +78,7 @@
             .map_or(LogIndex(0), |snapshot| snapshot.mark.index)
     }
 
-    /// Term of an entry; `None` where the log doesn't know it.
+    /// Term of an entry; `None` if the log doesn't contain it.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -91,21 +91,21 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The membership in force: the latest in the log, committed or not.
+    /// The current membership: the latest in the log, committed or not.
     pub(super) fn membership(&self) -> &Membership {
         self.changes
             .last()
             .map_or(&self.base.membership, |(_, membership)| membership)
     }
 
-    /// Entry that carries the membership in force.
+    /// Index of the entry that contains the current membership.
     pub(super) fn membership_index(&self) -> LogIndex {
         self.changes
             .last()
             .map_or(self.base.index, |(index, _)| *index)
     }
 
-    /// Rises whenever the membership in force may have become another.
+    /// Increments whenever the current membership may have changed.
     pub(super) fn change_count(&self) -> u64 {
         self.change_count
     }
@@ -128,7 +128,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes `from` and everything after it.
+    /// Removes the entry at `from` and all later ones.
     pub(super) fn truncate_from(&mut self, from: LogIndex) {
         let kept = from.0.saturating_sub(self.base.index.0).saturating_sub(1);
         self.entries
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Entries from `from` on, as many as both bounds allow, at least one where there is one.
+    /// Entries from `from` on within both limits; at least one if the log contains one.
     pub(super) fn slice(
         &self,
         from: LogIndex,
@@ -159,7 +159,7 @@
         entries
     }
 
-    /// Entries from `from` on.
+    /// Iterates over the entries from `from` on.
     pub(super) fn iter_from(&self, from: LogIndex) -> impl Iterator<Item = &LogEntry> {
         let skipped = from.0.saturating_sub(self.base.index.0).saturating_sub(1);
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
@@ -167,7 +167,7 @@
         self.entries.range(start..)
     }
 
-    /// Highest index up to `index` whose term is at most `term`: where two logs can still agree.
+    /// Highest index up to `index` whose term is at most `term`, where two logs can still match.
     pub(super) fn conflict_hint(&self, index: LogIndex, term: Term) -> (LogIndex, Term) {
         let mut index = index.min(self.last_index());
         while index > self.base.index {
@@ -179,7 +179,7 @@
         (self.base.index, self.base.term)
     }
 
-    /// Mark of a snapshot taken after `index`; `None` where the log doesn't hold that entry.
+    /// Metadata of a snapshot taken after `index`; `None` if the log doesn't contain that entry.
     pub(super) fn metadata_at(&self, index: LogIndex) -> Option<SnapshotMetadata> {
         Some(SnapshotMetadata {
             index,
@@ -188,14 +188,15 @@
         })
     }
 
-    /// Takes a snapshot of this log in, keeping `retained` entries behind it at most.
+    /// Stores a snapshot of this log and keeps at most `retained` entries up to its index.
     ///
-    /// Failure: entries were kept by number alone, and a peer that lacked one was sent them all.
-    /// Symptom: a keeper with an empty disk got every text that was ever published, at the full load of
-    /// a leader that had to answer hosts meanwhile. Entries beyond the size of the
-    /// snapshot take longer to send and to apply than the snapshot does. Those after the snapshot
-    /// before stay: a peer that is just being sent that one would otherwise need this one next.
-    pub(super) fn take_snapshot(&mut self, snapshot: StoredSnapshot, retained: u64) {
+    /// Failure: entries were kept by count alone, and a peer that lacked one was sent all of them.
+    /// Symptom: a keeper with an empty disk received every text ever published, while the leader
+    /// was at full load and had to answer hosts. Entries larger in total than the snapshot take
+    /// longer to send and apply than the snapshot itself. The entries after the previous snapshot
+    /// stay, because a peer that is still receiving that snapshot would otherwise need this one
+    /// next.
+    pub(super) fn store_snapshot(&mut self, snapshot: StoredSnapshot, retained: u64) {
         let by_count = LogIndex(snapshot.mark.index.0.saturating_sub(retained));
         let by_bytes = self.index_before(snapshot.mark.index, snapshot.bytes.len());
         let keep_after = by_count.max(by_bytes.min(self.snapshot_index()));
@@ -217,7 +218,7 @@
         self.base = base;
     }
 
-    /// Index after which the entries up to `index` have at most `max_bytes`.
+    /// Lowest index such that the entries after it, up to `index`, have at most `max_bytes`.
     fn index_before(&self, index: LogIndex, max_bytes: usize) -> LogIndex {
         let mut bytes = 0_usize;
         let mut before = index;
@@ -231,8 +232,8 @@
         before
     }
 
-    /// Puts a peer's snapshot in the place of the log up to its mark. Returns whether entries
-    /// after the mark were kept because the log agrees with the snapshot there.
+    /// Replaces the log up to the index of a peer's snapshot. Returns whether the entries after
+    /// that index were kept because the log matches the snapshot there.
     pub(super) fn install_snapshot(&mut self, snapshot: StoredSnapshot) -> bool {
         let mark = snapshot.mark.clone();
         let agrees = self.term_at(mark.index) == Some(mark.term);
--- a/crates/coordination/src/agreement/log/tests.rs
+++ b/crates/coordination/src/agreement/log/tests.rs
@@ -1,10 +1,10 @@
-//! What a log keeps behind its snapshots.
+//! Tests of log compaction.
 
 use std::sync::Arc;
 
 use super::{EntryPayload, LogEntry, LogIndex, ReplicatedLog, StoredSnapshot, Term};
 
-/// Entries kept by number; never reached here.
+/// Retained entries; high enough that the byte limit always applies first.
 const RETAINED: u64 = 1_000;
 
 fn log_of(entries: u64, entry_bytes: usize) -> ReplicatedLog {
@@ -24,16 +24,16 @@
         .metadata_at(LogIndex(index))
         .expect("an entry of the log");
     let bytes = Arc::from(vec![0; bytes]);
-    log.take_snapshot(StoredSnapshot { mark, bytes }, RETAINED);
+    log.store_snapshot(StoredSnapshot { mark, bytes }, RETAINED);
     log.base_index().0
 }
 
-// Callers of all hosts wait for a leader at full load: a keeper comes back with an empty disk, and is
-// sent every large command since the group was founded, though a snapshot has all of them in a few
-// hundred kilobytes. What is kept behind a snapshot may weigh as much as it, or reach back to the one
-// before, which a peer may just be receiving.
+// A keeper returns with an empty disk and is sent every large command since the group was founded,
+// although a snapshot contains them in a few hundred kilobytes: the leader runs at full load and
+// callers of all hosts wait. The entries before a snapshot may be as large as the snapshot, or
+// reach back to the previous snapshot, which a peer may still be receiving.
 #[test]
-fn a_log_keeps_no_more_behind_a_snapshot_than_it_weighs() {
+fn entries_before_a_snapshot_are_limited_by_its_size() {
     let cases = [
         (
             "large commands, first snapshot",
--- a/crates/coordination/src/agreement/lost_voters.rs
+++ b/crates/coordination/src/agreement/lost_voters.rs
@@ -1,43 +1,43 @@
-//! Voters that are gone for good, taken out once they are replaced.
+//! Removal of permanently lost voters.
 
 use super::entry::KeeperId;
 use super::node::{AgreementNode, RoleState};
 use crate::base::MonotonicTime;
 
-/// Voters that a group keeps, whoever is silent: with fewer it would bear no loss.
-const SMALLEST_GROUP: usize = 3;
+/// Smallest number of voters that removal leaves; a smaller group tolerates no loss.
+const MIN_VOTERS: usize = 3;
 
 impl AgreementNode {
-    /// Takes one voter out that has been silent for the time that the settings name.
+    /// Removes one voter that didn't answer for `lost_voter_timeout`.
     ///
-    /// A lost disk counts in the size of the quorum until it is taken out. A group of three that
-    /// lost one, and got another in its place, has four voters and needs three of them: the next
-    /// loss would stop it. A voter that was only cut off asks to join again once it is back.
+    /// A lost disk counts in the quorum size until its voter is removed. A group of three that lost
+    /// one keeper and added another has four voters and needs three of them, so the next loss would
+    /// stop it. A voter that was only cut off asks to join again once it returns.
     ///
-    /// One whose replacement votes already is taken out much sooner.
-    pub(super) fn retire_lost_voters(&mut self) {
-        let Some(patience) = self.settings.lost_voter_timeout else {
+    /// A voter whose replacement already votes is removed after one election timeout.
+    pub(super) fn remove_lost_voters(&mut self) {
+        let Some(lost_voter_timeout) = self.settings.lost_voter_timeout else {
             return;
         };
         if !matches!(self.role, RoleState::Leader(_)) || !self.may_change_membership() {
             return;
         }
-        let replaced = self.settings.election_timeout;
-        let Some((voter, contact_at)) = self.longest_silent() else {
+        let replaced_timeout = self.settings.election_timeout;
+        let Some((voter, contact_at)) = self.longest_unreachable() else {
             return;
         };
-        let silence = self.now.since(contact_at);
-        let is_replaced = self.promoted_after(contact_at) && silence >= replaced;
-        if !is_replaced && silence < patience {
+        let unanswered_for = self.now.since(contact_at);
+        let is_replaced = self.promoted_after(contact_at) && unanswered_for >= replaced_timeout;
+        if !is_replaced && unanswered_for < lost_voter_timeout {
             return;
         }
-        if self.remove_silent(&voter) {
-            self.forget_promotion();
+        if self.remove_voter(&voter) {
+            self.clear_promotion();
         }
     }
 
-    /// The voter that answered longest ago, and when.
-    fn longest_silent(&self) -> Option<(KeeperId, MonotonicTime)> {
+    /// The voter with the oldest answered heartbeat, and the sending time of that heartbeat.
+    fn longest_unreachable(&self) -> Option<(KeeperId, MonotonicTime)> {
         let RoleState::Leader(leader) = &self.role else {
             return None;
         };
@@ -56,19 +56,19 @@
         leader.promoted_at.is_some_and(|promoted| promoted > time)
     }
 
-    fn forget_promotion(&mut self) {
+    fn clear_promotion(&mut self) {
         if let RoleState::Leader(leader) = &mut self.role {
             leader.promoted_at = None;
         }
     }
 
-    fn remove_silent(&mut self, voter: &KeeperId) -> bool {
+    fn remove_voter(&mut self, voter: &KeeperId) -> bool {
         let RoleState::Leader(leader) = &self.role else {
             return false;
         };
         let mut membership = self.log.membership().clone();
         membership.voters.remove(voter);
-        if membership.voters.len() < SMALLEST_GROUP {
+        if membership.voters.len() < MIN_VOTERS {
             return false;
         }
         let Ok(membership) = self.check_quorum(leader, membership) else {
--- a/crates/coordination/src/agreement/membership_change.rs
+++ b/crates/coordination/src/agreement/membership_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes, one keeper at a time.
+//! Membership changes of one keeper at a time.
 
 use super::entry::{EntryPayload, KeeperId, Membership};
 use super::interface::{
@@ -8,11 +8,11 @@
 use super::node::{AgreementNode, RoleState};
 
 impl AgreementNode {
-    /// Appends a changed membership, or says why not.
+    /// Appends a changed membership, or reports the reason for refusing it.
     pub(super) fn change_membership(&mut self, token: RequestToken, change: MembershipChange) {
         match self.plan_change(change) {
             Ok(membership) => {
-                self.note_promotion(&membership);
+                self.record_promotion(&membership);
                 self.append_membership(membership, Some(token));
             }
             Err(reason) => {
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Remembers when a keeper began to vote, perhaps in place of one that is lost.
-    fn note_promotion(&mut self, membership: &Membership) {
+    /// Records the time of a promotion, which may replace a lost voter.
+    fn record_promotion(&mut self, membership: &Membership) {
         let is_promotion = membership.voters.len() > self.log.membership().voters.len();
         let now = self.now;
         if let RoleState::Leader(leader) = &mut self.role
@@ -66,8 +66,8 @@
         }
     }
 
-    /// One change at a time, and none before an entry of the own term is committed: two
-    /// memberships that differ by more than one voter could elect two leaders.
+    /// Whether a membership change is allowed: the previous one and an entry of the current term
+    /// must be committed, since memberships that differ by two voters could elect two leaders.
     pub(super) fn may_change_membership(&self) -> bool {
         self.has_committed_in_term() && self.log.membership_index() <= self.commit
     }
@@ -108,7 +108,7 @@
         self.check_quorum(leader, membership)
     }
 
-    /// Refuses a membership of which no quorum answers now: the group could not even undo it.
+    /// Refuses a membership without an answering quorum, since the group couldn't even undo it.
     pub(super) fn check_quorum(
         &self,
         leader: &LeaderState,
@@ -126,11 +126,11 @@
         Ok(membership)
     }
 
-    /// Removes the former incarnation of a host whose new one votes.
+    /// Removes an earlier incarnation of a host whose later incarnation votes.
     ///
-    /// Until then the lost disk still counts in the size of the quorum, and one more loss stops a
-    /// group of three. The leader does it itself, also one that was elected in between.
-    pub(super) fn retire_former_incarnations(&mut self) {
+    /// Until then the lost disk counts in the quorum size, and one more loss stops a group of
+    /// three. Every leader does this, including one elected after the promotion.
+    pub(super) fn remove_former_incarnations(&mut self) {
         if !matches!(self.role, RoleState::Leader(_)) || !self.may_change_membership() {
             return;
         }
@@ -158,9 +158,9 @@
 }
 
 fn add_learner(mut membership: Membership, keeper: KeeperId) -> Result<Membership, RefusalReason> {
-    let is_covered =
+    let is_same_or_later =
         |member: &KeeperId| member.host == keeper.host && member.incarnation >= keeper.incarnation;
-    if membership.keepers().any(is_covered) {
+    if membership.keepers().any(is_same_or_later) {
         return Err(RefusalReason::AlreadyMember);
     }
     membership
--- a/crates/coordination/src/agreement/message.rs
+++ b/crates/coordination/src/agreement/message.rs
@@ -1,4 +1,4 @@
-//! What keepers send each other.
+//! Messages between keepers.
 
 use std::sync::Arc;
 
@@ -14,60 +14,60 @@
 #[serde(transparent)]
 pub struct HeartbeatRound(pub u64);
 
-/// Where the sender's disk stood when its process started.
+/// State of the sender's disk when its process started.
 ///
-/// Receivers compare it with what they saw the same keeper acknowledge before: a disk that was put
-/// back from an old copy starts behind its own acknowledgements and is not counted.
+/// Receivers compare it with the acknowledgements that they observed from the same keeper: a disk
+/// restored from an old copy starts behind its own acknowledgements and isn't counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStart {
-    /// Drawn at random at each start; tells the lives of one process apart.
+    /// Random number drawn at each start; distinguishes processes of one keeper.
     pub nonce: u64,
-    /// Term that the disk held.
+    /// Term stored on the disk.
     pub term: Term,
-    /// Last entry that the disk held.
+    /// Index of the last entry on the disk.
     pub last_index: LogIndex,
 }
 
 /// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgreementEnvelope {
-    /// Sender.
+    /// Keeper that sent the message.
     pub from: KeeperId,
-    /// Receiver; a keeper drops what is not addressed to its present incarnation.
+    /// Receiver; a keeper ignores messages that aren't addressed to its current incarnation.
     pub to: KeeperId,
     /// Start of the sender's process.
     pub start: ProcessStart,
-    /// Content.
+    /// Content of the message.
     pub message: AgreementMessage,
 }
 
 /// Content of a message between keepers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgreementMessage {
-    /// Asks for a vote, or whether a vote would be given.
+    /// Requests a vote, or asks whether it would be granted.
     VoteRequest(VoteRequest),
     /// Answers a vote request.
     VoteReply(VoteReply),
     /// Carries entries, or only the commit index.
     Append(AppendRequest),
-    /// Answers an append, once what it says is synced.
+    /// Answers an append after the state that the reply reports is synced.
     AppendReply(AppendReply),
-    /// Keeps leadership known and carries quorum checks.
+    /// Announces leadership and carries quorum checks.
     Heartbeat(Heartbeat),
     /// Answers a heartbeat, without waiting for any sync.
     HeartbeatReply(HeartbeatReply),
-    /// Part of a snapshot for a peer that needs entries which the leader no longer holds.
+    /// Part of a snapshot for a peer that needs entries which the leader has compacted.
     SnapshotChunk(SnapshotChunk),
     /// Answers a snapshot chunk.
     SnapshotReply(SnapshotReply),
-    /// Tells a caught-up voter to ask for votes at once: the planned hand-over of leadership.
+    /// Requests an immediate election from a caught-up voter, for a planned hand-over.
     TimeoutNow(Term),
-    /// Tells a keeper that its disk is older than what it acknowledged before.
+    /// Reports to a keeper that its disk is older than what it acknowledged before.
     IdentityRejected(IdentityRejected),
 }
 
 impl AgreementMessage {
-    /// Term that the message speaks in; `None` where it carries none.
+    /// Term of the message; `None` if it has none.
     pub fn term(&self) -> Option<Term> {
         match self {
             Self::VoteRequest(request) => Some(request.term),
@@ -84,25 +84,25 @@
     }
 }
 
-/// What a vote is asked for.
+/// Purpose of a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoteKind {
-    /// Would the vote be given? Changes nothing at either side.
+    /// Asks whether the vote would be granted; changes no state at either keeper.
     PreVote,
-    /// The vote itself, after the leader was lost.
+    /// Requests the vote after the leader was lost.
     Election,
-    /// The vote itself, on the old leader's order; it holds although that leader was just heard.
+    /// Requests the vote for a hand-over by the old leader; valid although that leader is active.
     HandOver,
 }
 
 /// Request for a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// Kind of vote.
+    /// Kind of vote requested.
     pub kind: VoteKind,
-    /// Term that the sender wants to lead.
+    /// Term in which the sender would lead.
     pub term: Term,
-    /// Last entry of the sender.
+    /// Index of the sender's last entry.
     pub last_index: LogIndex,
     /// Term of that entry.
     pub last_term: Term,
@@ -111,27 +111,27 @@
 /// Answer to a vote request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteReply {
-    /// Kind of vote that was asked for.
+    /// Kind of vote that was requested.
     pub kind: VoteKind,
-    /// The asked term where granted, else the term of the answering keeper.
+    /// The requested term if granted, otherwise the term of the answering keeper.
     pub term: Term,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     pub granted: bool,
 }
 
-/// Entries from a leader.
+/// Request of a leader to append entries.
 ///
-/// Invariant: `entries` continue `prev_index` without a gap, and their terms lie between
-/// `prev_term` and `term` and never fall.
+/// Invariant: `entries` continue `prev_index` without a gap, and their terms are between
+/// `prev_term` and `term` and never decrease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendRequest {
     /// The leader's term.
     pub term: Term,
-    /// Entry before the first carried one.
+    /// Index of the entry before `entries`.
     pub prev_index: LogIndex,
     /// Term of that entry.
     pub prev_term: Term,
-    /// The entries.
+    /// Entries to append; may be empty.
     pub entries: Vec<LogEntry>,
     /// The leader's commit index.
     pub commit: LogIndex,
@@ -142,38 +142,38 @@
 pub struct AppendReply {
     /// Term of the answering keeper.
     pub term: Term,
-    /// Result.
+    /// Result of the append.
     pub outcome: AppendOutcome,
 }
 
 /// Result of an append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log agrees with the leader's up to here, synced.
+    /// The synced log matches the leader's log up to this index.
     Matched(LogIndex),
-    /// The entry before the carried ones is missing or differs.
+    /// The entry at `prev_index` is missing or differs.
     Mismatch {
-        /// The `prev_index` that was refused.
+        /// `prev_index` of the refused request.
         refused: LogIndex,
-        /// Highest index at which the logs can still agree.
+        /// Highest index at which the logs can still match.
         hint_index: LogIndex,
         /// Term of the answering keeper's entry there.
         hint_term: Term,
     },
-    /// The request's term is over.
+    /// The term of the request is over.
     StaleTerm,
 }
 
-/// Sign of life from a leader.
+/// Periodic message by which a leader announces that it is active.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The leader's term.
     pub term: Term,
-    /// Round; an answer proves that the sender still led when the round began.
+    /// Round; a reply proves that the sender still led when the round began.
     pub round: HeartbeatRound,
-    /// The leader's own time at sending, given back in the answer and read by no one else.
+    /// Sending time on the leader's clock, returned in the reply and used by the leader only.
     pub sent_at: MonotonicTime,
-    /// What the leader saw other keepers acknowledge.
+    /// Acknowledgements of other keepers that the leader observed.
     pub witnessed: Vec<ObservedAck>,
 }
 
@@ -182,20 +182,20 @@
 pub struct HeartbeatReply {
     /// Term of the answering keeper.
     pub term: Term,
-    /// Round that is answered.
+    /// Round of the answered heartbeat.
     pub round: HeartbeatRound,
-    /// `sent_at` of the heartbeat.
+    /// `sent_at` of the answered heartbeat.
     pub sent_at: MonotonicTime,
     /// Commit index of the answering keeper.
     pub commit: LogIndex,
 }
 
-/// What was seen of one keeper.
+/// The highest acknowledgement observed from one keeper.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedAck {
     /// The keeper.
     pub keeper: KeeperId,
-    /// Its latest known start.
+    /// Latest known start of its process.
     pub start: ProcessStart,
     /// Term in which it acknowledged.
     pub term: Term,
@@ -208,13 +208,13 @@
 pub struct SnapshotChunk {
     /// The leader's term.
     pub term: Term,
-    /// What the snapshot stands for.
+    /// Log position and membership that the snapshot covers.
     pub mark: SnapshotMetadata,
-    /// Position of `bytes` in the snapshot.
+    /// Offset of `bytes` in the snapshot, in bytes.
     pub offset: u64,
-    /// Bytes of the whole snapshot.
+    /// Size of the complete snapshot in bytes.
     pub total: u64,
-    /// The part.
+    /// Content of this part.
     #[serde(with = "shared_bytes")]
     pub bytes: Arc<[u8]>,
 }
@@ -224,7 +224,7 @@
 pub struct SnapshotReply {
     /// Term of the answering keeper.
     pub term: Term,
-    /// Index of the snapshot that is being received.
+    /// Index of the snapshot in transfer.
     pub index: LogIndex,
     /// State of the transfer.
     pub outcome: SnapshotOutcome,
@@ -233,19 +233,19 @@
 /// State of a snapshot transfer at the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotOutcome {
-    /// The next byte that is wanted.
+    /// The receiver expects this byte offset next.
     Continue(u64),
-    /// The receiver holds everything up to this index, synced.
+    /// The receiver has synced everything up to this index.
     Installed(LogIndex),
 }
 
-/// A start that is not accepted.
+/// Rejection of a process start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdentityRejected {
-    /// Start that is refused; a keeper ignores the refusal of another start than its own.
+    /// Nonce of the rejected start; a keeper ignores the rejection of any start but its own.
     pub nonce: u64,
-    /// Term in which the keeper acknowledged before.
+    /// Term of the keeper's highest observed acknowledgement.
     pub witnessed_term: Term,
-    /// Index that it acknowledged.
+    /// Index of that acknowledgement.
     pub witnessed_index: LogIndex,
 }
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -1,4 +1,4 @@
-//! The agreement core of one keeper: its state, and the tick that every input goes through.
+//! The agreement core of one keeper: its state, and the tick that processes every input.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
 use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
 
-/// Part of the election timeout after which a candidate without an answer tries again.
-const RETRY_SHARE: u32 = 4;
+/// Divisor of the election timeout that gives the shortest wait of an unanswered candidate.
+const RETRY_DIVISOR: u32 = 4;
 
-/// What a keeper is doing in its term.
+/// State of a keeper's role in its term.
 #[derive(Debug)]
 pub(super) enum RoleState {
     Follower,
@@ -34,11 +34,11 @@
 
 /// The agreement core of one keeper.
 ///
-/// It does no I/O: [`AgreementNode::tick`] takes the time and what happened, and returns what to
-/// do. The same calls with the same seed give the same effects.
+/// It does no I/O: [`AgreementNode::tick`] takes the time and the inputs, and returns the actions
+/// to perform. The same calls with the same seed give the same effects.
 ///
-/// Invariants: the term never falls; at most one vote is given in a term; `delivered <= commit`;
-/// a reply that rests on state leaves only after that state is synced.
+/// Invariants: the term never decreases; at most one vote is granted per term;
+/// `delivered <= commit`; a reply that depends on state is sent only after that state is synced.
 #[derive(Debug)]
 pub struct AgreementNode {
     pub(super) settings: AgreementSettings,
@@ -51,28 +51,28 @@
     pub(super) writes: PersistQueue,
     pub(super) role: RoleState,
     pub(super) leader: Option<KeeperId>,
-    /// When the leader of this term was last heard.
-    pub(super) heard_at: Option<MonotonicTime>,
+    /// Time of the latest message from the leader of this term.
+    pub(super) leader_seen_at: Option<MonotonicTime>,
     pub(super) election_due: MonotonicTime,
     pub(super) commit: LogIndex,
     pub(super) delivered: LogIndex,
-    /// Snapshots of peers that wait for their sync; nothing is delivered meanwhile.
+    /// Number of snapshots from peers that wait for their sync; delivery pauses meanwhile.
     pub(super) installs_pending: usize,
     pub(super) assembly: Option<SnapshotAssembly>,
     pub(super) identities: IdentityTable,
-    /// Index at which a snapshot was last asked for.
+    /// Index at which a snapshot was last requested.
     pub(super) snapshot_requested_at: LogIndex,
     pub(super) reported_role: Option<RoleStatus>,
-    /// Count of membership changes in the log that was told last.
+    /// `change_count` of the log at the last membership report.
     pub(super) reported_membership: u64,
     pub(super) effects: Vec<AgreementEffect>,
 }
 
 impl AgreementNode {
-    /// A keeper as its disk left it. `seed` drives the election timeouts.
+    /// Starts a keeper from the content of its disk. `seed` determines the election timeouts.
     ///
     /// A disk without entries and snapshot gives a keeper that waits to be added as a learner; a
-    /// group is founded by [`RestoredState::founding`] on each of its first voters. Entries with a
+    /// group starts from [`RestoredState::founding`] on each of its first voters. Entries with a
     /// gap, or of a later term than the hard state, give a keeper that is retired from the start.
     #[must_use]
     pub fn new(
@@ -82,7 +82,7 @@
         now: MonotonicTime,
         seed: u64,
     ) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(own_seed(&id, seed));
+        let mut random = ChaCha8Rng::seed_from_u64(derive_seed(&id, seed));
         let hard_state = restored.hard_state.clone();
         let restored_log = ReplicatedLog::restore(restored);
         let role = match restored_log {
@@ -105,7 +105,7 @@
             writes: PersistQueue::restored(log.last_index()),
             role,
             leader: None,
-            heard_at: None,
+            leader_seen_at: None,
             election_due: now,
             commit: log.base_index(),
             delivered: log.base_index(),
@@ -118,37 +118,38 @@
             log,
             effects: Vec::new(),
         };
-        // Nobody is known to lead. Where somebody does, those that hear of it refuse the pre-vote; where
-        // all keepers start together, a whole timeout would pass in which nothing is served.
+        // No leader is known, so the shorter retry timer applies. Keepers with an active leader
+        // refuse the pre-vote; when all keepers start together, the full election timeout would
+        // only delay service.
         node.reset_retry_timer();
         node
     }
 
-    /// Takes what happened up to `now` and returns what to do, in order.
+    /// Processes `inputs` that arrived up to `now` and returns the actions to perform, in order.
     ///
-    /// A `now` before that of an earlier call counts as that earlier time.
+    /// A `now` earlier than that of a previous call counts as the previous time.
     pub fn tick(
         &mut self,
         now: MonotonicTime,
         inputs: Vec<AgreementInput>,
     ) -> Vec<AgreementEffect> {
         self.now = self.now.max(now);
-        // A leader that was paused must notice before it reads anything that its time is over:
-        // else it would take in proposals for a term that others have left.
+        // A paused leader must detect the end of its leadership before it processes any input, or
+        // it would accept proposals in a term that the other keepers have left.
         self.check_leadership();
         for input in inputs {
-            self.take_input(input);
+            self.handle_input(input);
         }
         self.run_election_timer();
         self.run_leader();
         self.deliver();
         self.finish_reads();
         self.flush_persist();
-        self.tell_changes();
+        self.report_changes();
         std::mem::take(&mut self.effects)
     }
 
-    /// When [`AgreementNode::tick`] must be called next if nothing happens before.
+    /// Time by which [`AgreementNode::tick`] must be called if no input arrives before.
     #[must_use]
     pub fn next_deadline(&self) -> MonotonicTime {
         match &self.role {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// This keeper.
+    /// Identity of this keeper.
     #[must_use]
     pub fn id(&self) -> &KeeperId {
         &self.id
@@ -175,7 +176,7 @@
         }
     }
 
-    /// The membership in force here, committed or not.
+    /// The current membership of this keeper's log, committed or not.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.log.membership()
@@ -187,25 +188,25 @@
         self.commit
     }
 
-    /// Last entry of the log, synced or not.
+    /// Index of the last entry of the log, synced or not.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.log.last_index()
     }
 
-    /// Last entry that is synced here.
+    /// Index of the last synced entry.
     #[must_use]
     pub fn durable_index(&self) -> LogIndex {
         self.writes.durable_index()
     }
 
-    /// An entry, where the log still holds it.
+    /// The entry at `index`; `None` if the log doesn't contain it.
     #[must_use]
     pub fn entry_at(&self, index: LogIndex) -> Option<&LogEntry> {
         self.log.entry(index)
     }
 
-    fn take_input(&mut self, input: AgreementInput) {
+    fn handle_input(&mut self, input: AgreementInput) {
         match input {
             AgreementInput::Message(envelope) => self.receive(envelope),
             AgreementInput::Propose { token, command } => self.propose(token, command),
@@ -284,29 +285,30 @@
         index
     }
 
-    /// Waits for a leader: between one election timeout and one and a half.
+    /// Sets the time to wait for a leader: between one and one and a half election timeouts.
     ///
-    /// A wider spread has fewer keepers stand at once, but the wait itself costs more than that.
+    /// A wider range makes simultaneous candidates rarer, but costs more in waiting than it saves.
     pub(super) fn reset_election_timer(&mut self) {
         let shortest = self.settings.election_timeout;
         let extra = self.random_up_to(shortest / 2);
         self.election_due = self.now.after(shortest.saturating_add(extra));
     }
 
-    /// Waits for votes: between a quarter of the election timeout and the whole of it.
+    /// Sets the time to wait for votes: between a quarter of the election timeout and all of it.
     ///
-    /// Two that stood at once, or one that asked a moment before the others missed their leader,
-    /// would else cost a whole further timeout, in which nothing is accepted.
+    /// After two simultaneous candidates, or a candidate that asked just before the others
+    /// detected the loss of their leader, a longer wait would cost a further election timeout in
+    /// which no command is accepted.
     pub(super) fn reset_retry_timer(&mut self) {
-        let shortest = self.settings.election_timeout / RETRY_SHARE;
-        let spread = self.settings.election_timeout.saturating_sub(shortest);
-        let extra = self.random_up_to(spread);
+        let shortest = self.settings.election_timeout / RETRY_DIVISOR;
+        let range = self.settings.election_timeout.saturating_sub(shortest);
+        let extra = self.random_up_to(range);
         self.election_due = self.now.after(shortest.saturating_add(extra));
     }
 
-    fn random_up_to(&mut self, longest: Duration) -> Duration {
-        let longest = u64::try_from(longest.as_micros()).unwrap_or(u64::MAX);
-        Duration::from_micros(self.random.random_range(0..=longest))
+    fn random_up_to(&mut self, max: Duration) -> Duration {
+        let max = u64::try_from(max.as_micros()).unwrap_or(u64::MAX);
+        Duration::from_micros(self.random.random_range(0..=max))
     }
 
     fn keeper_role(&self) -> KeeperRole {
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Delivers what is committed, once and in order.
+    /// Delivers committed entries, each once and in order.
     fn deliver(&mut self) {
         if self.installs_pending > 0 || self.delivered >= self.commit {
             return;
@@ -339,7 +341,7 @@
         self.request_snapshot();
     }
 
-    fn tell_changes(&mut self) {
+    fn report_changes(&mut self) {
         let change_count = self.log.change_count();
         if change_count != self.reported_membership {
             self.reported_membership = change_count;
@@ -359,9 +361,9 @@
     }
 }
 
-/// Seed of one keeper. Two that were given the same seed must not draw the same timeouts: they
-/// would stand in the same moment again and again, and split the votes each time.
-fn own_seed(id: &KeeperId, seed: u64) -> u64 {
+/// Derives the seed of one keeper. Keepers that are given the same seed must not draw the same
+/// timeouts: they would become candidates at the same time repeatedly and split the votes.
+fn derive_seed(id: &KeeperId, seed: u64) -> u64 {
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
     let host = id.host.as_str().bytes();
     let incarnation = id.incarnation.0.to_be_bytes();
@@ -371,10 +373,10 @@
 }
 
 impl RestoredState {
-    /// The disk of each first voter of a new group: one entry that names them all.
+    /// Initial disk content of each first voter of a new group: one entry with the membership.
     ///
-    /// It is written once, by the operator's explicit order, and synced before the keeper starts.
-    /// Invariant: every first voter is given the same membership.
+    /// The caller writes it once, on the operator's explicit request, and syncs it before the
+    /// keeper starts. Invariant: every first voter gets the same membership.
     #[must_use]
     pub fn founding(membership: Membership) -> Self {
         const FOUNDING_TERM: Term = Term(1);
--- a/crates/coordination/src/agreement/persist.rs
+++ b/crates/coordination/src/agreement/persist.rs
@@ -1,7 +1,8 @@
-//! Group commit: what waits for a sync, and what is held until it is done.
+//! Group commit: the state that waits for a sync, and the actions held until it is synced.
 //!
-//! At most one persist order is out at a time. Whatever arrives meanwhile shares the next one, so
-//! the number of syncs falls as load rises, and no reply leaves before the sync it depends on.
+//! At most one persist request is outstanding at a time. State that changes meanwhile shares the
+//! next request, so the number of syncs per command decreases as load rises, and no reply is sent
+//! before the sync that it depends on.
 
 use std::collections::VecDeque;
 
@@ -11,35 +12,35 @@
 use super::message::AgreementEnvelope;
 use super::node::AgreementNode;
 
-/// Messages that wait for a sync. A disk that hangs must not let them pile up; a message that is
-/// not sent counts as lost, and is asked for again.
+/// Messages that may wait for a sync, so that a disk that hangs can't make them accumulate. A
+/// message above the limit counts as lost, and its sender retries.
 const MAX_HELD_MESSAGES: usize = 4096;
 
-/// What is done once a persist order is synced.
+/// Action that waits until a persist request is synced.
 #[derive(Debug)]
 pub(super) enum HeldAction {
     /// Send a message.
     Send(AgreementEnvelope),
-    /// Count the vote for itself.
+    /// Count this keeper's vote for itself.
     CountOwnVote(Term),
     /// Hand a peer's snapshot to the state machine.
     Install(StoredSnapshot),
 }
 
-/// State that is not synced yet.
+/// State that isn't synced yet, and the actions that wait for it.
 ///
 /// Invariants: `durable_index` never exceeds the log's last index; an index counts as durable only
-/// while the entry that was synced there still stands.
+/// while the log still contains the entry that was synced there.
 #[derive(Debug, Default)]
 pub(super) struct PersistQueue {
     hard_state: Option<HardState>,
     snapshot: Option<StoredSnapshot>,
     truncate_from: Option<LogIndex>,
-    /// First entry that no order contains yet.
-    unsaved_from: LogIndex,
+    /// First entry that no persist request contains yet.
+    unissued_from: LogIndex,
     issued: PersistSequence,
     outstanding: bool,
-    /// Last entry that the outstanding order makes durable.
+    /// Index of the last entry that the outstanding request makes durable.
     outstanding_index: LogIndex,
     durable_index: LogIndex,
     held: VecDeque<(PersistSequence, HeldAction)>,
@@ -48,7 +49,7 @@
 impl PersistQueue {
     pub(super) fn restored(last_index: LogIndex) -> Self {
         Self {
-            unsaved_from: last_index.next(),
+            unissued_from: last_index.next(),
             outstanding_index: last_index,
             durable_index: last_index,
             ..Self::default()
@@ -67,27 +68,27 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Notes that `from` and what follows was removed from the log.
+    /// Records the removal of the entry at `from` and all later ones from the log.
     pub(super) fn truncate_from(&mut self, from: LogIndex) {
         let last = from.previous();
-        if from < self.unsaved_from {
+        if from < self.unissued_from {
             let earlier = self.truncate_from.unwrap_or(from);
             self.truncate_from = Some(earlier.min(from));
-            self.unsaved_from = from;
+            self.unissued_from = from;
         }
         self.outstanding_index = self.outstanding_index.min(last);
         self.durable_index = self.durable_index.min(last);
     }
 
-    /// Notes that a peer's snapshot stands in place of the log up to `mark`; `kept_suffix` tells
-    /// whether entries after it still stand.
+    /// Records that a peer's snapshot replaced the log up to `mark`; `kept_suffix` is true if the
+    /// log kept the entries after it.
     pub(super) fn replace_log(&mut self, mark: LogIndex, kept_suffix: bool) {
         if kept_suffix {
-            self.unsaved_from = self.unsaved_from.max(mark.next());
+            self.unissued_from = self.unissued_from.max(mark.next());
             return;
         }
         self.truncate_from(mark.next());
-        self.unsaved_from = mark.next();
+        self.unissued_from = mark.next();
     }
 
     fn is_full(&self) -> bool {
@@ -102,26 +103,27 @@
         self.hard_state.is_some()
             || self.snapshot.is_some()
             || self.truncate_from.is_some()
-            || self.unsaved_from <= log.last_index()
+            || self.unissued_from <= log.last_index()
     }
 
-    /// Order that must be synced before what is decided now may be told; `None` if nothing waits.
-    fn awaited(&self, log: &ReplicatedLog) -> Option<PersistSequence> {
+    /// Persist request that must be synced before a reply may depend on the current state; `None`
+    /// if all state is synced.
+    fn required_sync(&self, log: &ReplicatedLog) -> Option<PersistSequence> {
         if self.is_dirty(log) {
             return Some(PersistSequence(self.issued.0.saturating_add(1)));
         }
         self.outstanding.then_some(self.issued)
     }
 
-    fn next_order(&mut self, log: &ReplicatedLog) -> Option<PersistRequest> {
+    fn next_request(&mut self, log: &ReplicatedLog) -> Option<PersistRequest> {
         if self.outstanding || !self.is_dirty(log) {
             return None;
         }
         self.issued = PersistSequence(self.issued.0.saturating_add(1));
         self.outstanding = true;
-        let first = self.unsaved_from.max(log.snapshot_index().next());
+        let first = self.unissued_from.max(log.snapshot_index().next());
         let entries = log.iter_from(first).cloned().collect();
-        self.unsaved_from = log.last_index().next();
+        self.unissued_from = log.last_index().next();
         self.outstanding_index = log.last_index();
         Some(PersistRequest {
             sequence: self.issued,
@@ -132,7 +134,7 @@
         })
     }
 
-    /// Notes a finished sync and returns what was held for it.
+    /// Records a completed sync and returns the actions that waited for it.
     fn finish(&mut self, sequence: PersistSequence) -> Vec<HeldAction> {
         if !self.outstanding || sequence != self.issued {
             return Vec::new();
@@ -143,7 +145,7 @@
         while self
             .held
             .front()
-            .is_some_and(|(awaited, _)| *awaited <= self.issued)
+            .is_some_and(|(required_sync, _)| *required_sync <= self.issued)
         {
             if let Some((_, action)) = self.held.pop_front() {
                 released.push(action);
@@ -154,26 +156,26 @@
 }
 
 impl AgreementNode {
-    /// Does `action` once everything decided so far is synced; at once if it already is.
+    /// Performs `action` once all current state is synced; at once if it already is.
     pub(super) fn after_persist(&mut self, action: HeldAction) {
-        match self.writes.awaited(&self.log) {
+        match self.writes.required_sync(&self.log) {
             Some(_) if self.writes.is_full() && matches!(action, HeldAction::Send(_)) => {}
             Some(sequence) => self.writes.held.push_back((sequence, action)),
             None => self.perform(action),
         }
     }
 
-    /// Notes a finished sync and does what was held for it.
+    /// Handles a completed sync and performs the actions that waited for it.
     pub(super) fn on_persisted(&mut self, sequence: PersistSequence) {
         for action in self.writes.finish(sequence) {
             self.perform(action);
         }
     }
 
-    /// Gives out the next persist order, if one is needed and none is out.
+    /// Issues the next persist request, if one is needed and none is outstanding.
     pub(super) fn flush_persist(&mut self) {
-        if let Some(order) = self.writes.next_order(&self.log) {
-            self.effects.push(AgreementEffect::Persist(order));
+        if let Some(request) = self.writes.next_request(&self.log) {
+            self.effects.push(AgreementEffect::Persist(request));
         }
     }
 
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -1,4 +1,4 @@
-//! How far each peer's log is known to agree with the leader's, and how it is sent more.
+//! Replication progress of each peer, and the flow control of messages to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,12 +9,12 @@
 use super::settings::AgreementSettings;
 use crate::base::MonotonicTime;
 
-/// How a peer is sent entries.
+/// Flow control of messages to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SendMode {
-    /// One message at a time, until the logs are known to agree.
+    /// One message at a time, until the logs are known to match.
     Probe,
-    /// Several messages ahead of their answers.
+    /// Several unanswered messages at a time.
     Stream,
     /// A snapshot, one chunk at a time.
     Snapshot {
@@ -26,29 +26,30 @@
 
 /// Replication state of one peer.
 ///
-/// Invariants: `matched < next`; `inflight` rises and never holds more messages than the setting.
+/// Invariants: `matched < next`; `inflight` is in ascending order and never longer than
+/// `max_inflight_appends`.
 #[derive(Clone, Debug)]
 pub(super) struct PeerProgress {
     pub(super) matched: LogIndex,
     pub(super) next: LogIndex,
     pub(super) mode: SendMode,
-    /// Last entry of each unanswered message of the stream.
+    /// Index of the last entry of each unanswered message of the stream.
     pub(super) inflight: VecDeque<LogIndex>,
-    /// Whether a probe or a chunk is unanswered.
+    /// Whether a probe or a snapshot chunk is unanswered.
     pub(super) waiting: bool,
-    /// Commit index that the peer was told last.
+    /// Commit index that was last sent to the peer.
     pub(super) sent_commit: LogIndex,
-    /// When something was last answered, or sent after nothing was unanswered.
+    /// Time of the last reply, or of the last message sent while none was unanswered.
     pub(super) advanced_at: MonotonicTime,
     /// Sending time of the latest heartbeat that the peer answered.
     pub(super) contact_at: MonotonicTime,
     /// Latest heartbeat round that the peer answered.
     pub(super) answered_round: HeartbeatRound,
-    /// When the peer last held all that was committed one check before.
+    /// Time at which the peer last reached `catch_up_goal`.
     pub(super) caught_up_at: Option<MonotonicTime>,
-    /// Commit index at that check.
+    /// Commit index at the previous check that the peer passed.
     catch_up_goal: LogIndex,
-    /// Commit index that the peer last said it knows.
+    /// Highest commit index that the peer reported.
     pub(super) known_commit: LogIndex,
     /// Set once the peer is no longer a member.
     pub(super) leaving: Option<LeavingPeer>,
@@ -56,12 +57,12 @@
 
 /// A removed peer that is still sent the log until it knows of its removal.
 ///
-/// Else it would believe to be a voter for ever, and ask for votes that nobody gives.
+/// Without this it would consider itself a voter forever and request votes that nobody grants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeavingPeer {
-    /// Entry that removes it.
+    /// Index of the entry that removes it.
     pub(super) removed_at: LogIndex,
-    /// When it is given up, as its disk may be gone.
+    /// Time at which the leader stops sending, since the peer's disk may be lost.
     pub(super) due: MonotonicTime,
 }
 
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Whether one more message may be sent before another answer.
+    /// Whether one more message may be sent before the next reply.
     pub(super) fn can_send(&self, settings: &AgreementSettings) -> bool {
         match self.mode {
             SendMode::Probe | SendMode::Snapshot { .. } => !self.waiting,
@@ -92,14 +93,14 @@
         }
     }
 
-    /// Notes a probe or a chunk.
-    pub(super) fn note_waiting(&mut self, now: MonotonicTime) {
+    /// Records that a probe or a snapshot chunk was sent.
+    pub(super) fn record_waiting(&mut self, now: MonotonicTime) {
         self.waiting = true;
         self.advanced_at = now;
     }
 
-    /// Notes a message of the stream that ends with `last`.
-    pub(super) fn note_streamed(&mut self, last: LogIndex, now: MonotonicTime) {
+    /// Records that a message of the stream was sent, whose last entry is `last`.
+    pub(super) fn record_streamed(&mut self, last: LogIndex, now: MonotonicTime) {
         if self.inflight.is_empty() {
             self.advanced_at = now;
         }
@@ -107,8 +108,8 @@
         self.next = last.next();
     }
 
-    /// The peer holds everything up to `matched`, synced.
-    pub(super) fn note_matched(&mut self, matched: LogIndex, now: MonotonicTime) {
+    /// Records that the peer has synced everything up to `matched`.
+    pub(super) fn record_matched(&mut self, matched: LogIndex, now: MonotonicTime) {
         self.advanced_at = now;
         self.matched = self.matched.max(matched);
         while self.inflight.front().is_some_and(|last| *last <= matched) {
@@ -122,7 +123,7 @@
         self.next = self.next.max(self.matched.next());
     }
 
-    /// The logs don't agree before `next`, or an answer was lost: go on there, one at a time.
+    /// Continues at `next` in probe mode, after a mismatch or a lost reply.
     pub(super) fn probe_from(&mut self, next: LogIndex, now: MonotonicTime) {
         self.mode = SendMode::Probe;
         self.inflight.clear();
@@ -131,7 +132,7 @@
         self.advanced_at = now;
     }
 
-    /// Sends again what went unanswered for too long.
+    /// Allows a resend after `resend_timeout` without progress.
     pub(super) fn expire(&mut self, now: MonotonicTime, settings: &AgreementSettings) {
         let is_stalled = now.since(self.advanced_at) >= settings.resend_timeout;
         if !is_stalled {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Notes whether the peer reached the commit index of the last check, and sets a new goal.
+    /// Checks whether the peer reached the goal; if so, sets `commit` as the next goal.
     pub(super) fn check_caught_up(&mut self, commit: LogIndex, now: MonotonicTime) {
         if self.matched >= self.catch_up_goal {
             self.caught_up_at = Some(now);
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Whether the peer is removed, and knows it or is given up.
-    pub(super) fn has_left(&self, now: MonotonicTime) -> bool {
+    /// Whether the peer is removed, and either knows it or exceeded its time limit.
+    pub(super) fn has_departed(&self, now: MonotonicTime) -> bool {
         let is_done =
             |leaving: LeavingPeer| self.known_commit >= leaving.removed_at || now >= leaving.due;
         self.leaving.is_some_and(is_done)
@@ -163,7 +164,7 @@
         now.since(self.contact_at) < window
     }
 
-    /// Whether the peer answered within `window` and lacked nothing committed for longer than that.
+    /// Whether the peer answered within `window` and reached its catch-up goal within it.
     pub(super) fn is_current(&self, now: MonotonicTime, window: Duration) -> bool {
         let is_caught_up = self.caught_up_at.is_some_and(|at| now.since(at) < window);
         is_caught_up && self.is_in_contact(now, window)
--- a/crates/coordination/src/agreement/read.rs
+++ b/crates/coordination/src/agreement/read.rs
@@ -1,7 +1,7 @@
-//! Linearizable reads behind a quorum check, without any assumption about clocks.
+//! Linearizable reads that use a quorum check and make no assumption about clocks.
 //!
-//! A read is ready once a quorum answered a heartbeat that was sent after the read came in: then no
-//! later leader can have committed anything before it. Reads that wait together share one round.
+//! A read is ready once a quorum answered a heartbeat that was sent after the read arrived: no
+//! later leader can have committed an entry before then. Reads that wait together share one round.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 use super::message::HeartbeatRound;
 use super::node::{AgreementNode, RoleState};
 
-/// A read whose round was sent.
+/// A read that waits for the replies to its heartbeat round.
 #[derive(Clone, Copy, Debug)]
 struct CheckedRead {
     token: RequestToken,
@@ -19,9 +19,9 @@
     round: HeartbeatRound,
 }
 
-/// Reads of one leadership.
+/// Pending reads of one leadership.
 ///
-/// Invariant: rounds and indices rise along `checking`.
+/// Invariant: rounds and indices never decrease along `checking`.
 #[derive(Debug, Default)]
 pub(super) struct ReadQueue {
     waiting: Vec<RequestToken>,
@@ -29,12 +29,12 @@
 }
 
 impl ReadQueue {
-    /// Whether a round should be sent for reads: some wait, and none is on its way.
+    /// Whether the reads need a new round: some wait, and no round is in progress.
     pub(super) fn needs_round(&self) -> bool {
         !self.waiting.is_empty() && self.checking.is_empty()
     }
 
-    /// Ties the waiting reads to a round that is sent now.
+    /// Assigns the waiting reads to a round that is about to be sent.
     pub(super) fn join_round(&mut self, round: HeartbeatRound, index: LogIndex) {
         let reads = self.waiting.drain(..).map(|token| CheckedRead {
             token,
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Answers the reads whose round a quorum answered; runs after delivery.
+    /// Answers the reads whose round a quorum answered; must run after delivery.
     pub(super) fn finish_reads(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -1,4 +1,4 @@
-//! What the group can lose, as seen by its leader.
+//! Redundancy of the group, as observed by its leader.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -9,45 +9,45 @@
 use super::membership_change::former_incarnation;
 use super::node::{AgreementNode, RoleState};
 
-/// Voters below which no loss can be borne.
-const SMALLEST_REDUNDANT_GROUP: usize = 3;
+/// Smallest number of voters that tolerates the loss of one.
+const MIN_REDUNDANT_VOTERS: usize = 3;
 
-/// Why redundancy is not whole.
+/// Reason for incomplete redundancy.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RedundancyGap {
-    /// The voter did not answer for an election timeout.
+    /// The voter didn't answer within an election timeout.
     #[display("{_0} does not answer")]
     Silent(KeeperId),
-    /// The voter answers, but lacked committed entries for longer than an election timeout.
+    /// The voter answers, but has lacked committed entries for longer than an election timeout.
     #[display("{_0} lacks committed entries")]
     Behind(KeeperId),
-    /// The keeper is being brought up to date and does not count yet.
+    /// The keeper is a learner that catches up and doesn't vote yet.
     #[display("{_0} is being brought up to date")]
     Learning(KeeperId),
-    /// The voter is a former incarnation of a host and waits to be removed.
+    /// The keeper is an earlier incarnation of a host and waits to be removed.
     #[display("{_0} waits to be removed")]
     Replaced(KeeperId),
-    /// A group of fewer than three voters can lose none.
+    /// A group of fewer than three voters tolerates no loss.
     #[display("fewer than three voters")]
     TooFewVoters,
 }
 
-/// What the group can lose.
+/// Number of losses that the group tolerates, and the reasons for incomplete redundancy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RedundancyReport {
-    /// Voters that answer and hold all that is committed, the leader included.
+    /// Voters that answer and have all committed entries, including the leader.
     pub current_voters: usize,
     /// Voters in the membership.
     pub voters: usize,
-    /// Further keepers that can be lost now while changes are still accepted.
+    /// Further voters that can fail now while the group still accepts changes.
     pub losses_borne: usize,
-    /// Why redundancy is not whole; empty where it is.
+    /// Reasons for incomplete redundancy; empty if it is complete.
     pub gaps: Vec<RedundancyGap>,
 }
 
 impl RedundancyReport {
-    /// Whether every voter counts and nothing waits to be repaired.
+    /// Whether every voter is current and no repair is pending.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.gaps.is_empty()
@@ -55,7 +55,7 @@
 }
 
 impl AgreementNode {
-    /// What the group can lose now; `None` unless this keeper leads.
+    /// Current redundancy of the group; `None` unless this keeper leads.
     #[must_use]
     pub fn redundancy(&self) -> Option<RedundancyReport> {
         match &self.role {
@@ -88,14 +88,14 @@
         report.gaps.extend(learners.map(RedundancyGap::Learning));
         let former = former_incarnation(membership, &self.id).cloned();
         report.gaps.extend(former.map(RedundancyGap::Replaced));
-        if membership.voters.len() < SMALLEST_REDUNDANT_GROUP {
+        if membership.voters.len() < MIN_REDUNDANT_VOTERS {
             report.gaps.push(RedundancyGap::TooFewVoters);
         }
         report.losses_borne = report.current_voters.saturating_sub(membership.quorum());
         report
     }
 
-    /// Tells a changed report.
+    /// Reports the redundancy if it changed.
     pub(super) fn report_redundancy(&mut self) {
         let Some(report) = self.redundancy() else {
             return;
--- a/crates/coordination/src/agreement/replicate.rs
+++ b/crates/coordination/src/agreement/replicate.rs
@@ -1,4 +1,4 @@
-//! Sending entries: pipelined, in bounded batches, with a bounded number unanswered.
+//! Sending of entries: pipelined, in bounded batches, with a bounded number of unanswered messages.
 
 use super::entry::{LogIndex, Term};
 use super::log::ReplicatedLog;
@@ -9,7 +9,7 @@
 use super::snapshot_transfer::next_chunk;
 use crate::base::MonotonicTime;
 
-/// What a leader reads while it decides what to send.
+/// State of the leader that determines the next message to a peer.
 struct SendContext<'a> {
     log: &'a ReplicatedLog,
     settings: &'a AgreementSettings,
@@ -19,7 +19,7 @@
 }
 
 impl AgreementNode {
-    /// Sends each peer what it lacks, as far as its window allows.
+    /// Sends each peer the entries that it lacks, within its window.
     pub(super) fn replicate(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -52,13 +52,13 @@
     }
     enter_snapshot_mode(progress, context.log);
     if let Some(chunk) = next_chunk(progress, context.term, context.settings) {
-        progress.note_waiting(context.now);
+        progress.record_waiting(context.now);
         return Some(AgreementMessage::SnapshotChunk(chunk));
     }
     next_append(progress, context).map(AgreementMessage::Append)
 }
 
-/// A peer that needs an entry which is no longer held gets the snapshot in its place.
+/// Switches a peer to the snapshot if it needs an entry that the log no longer contains.
 fn enter_snapshot_mode(progress: &mut PeerProgress, log: &ReplicatedLog) {
     let is_in_transfer = matches!(progress.mode, SendMode::Snapshot { .. });
     if is_in_transfer || progress.next > log.base_index() {
@@ -83,16 +83,16 @@
         context.settings.max_append_bytes,
     );
     let last = entries.last().map_or(prev_index, |entry| entry.index);
-    let told = context.commit.min(last);
+    let commit = context.commit.min(last);
     let must_probe =
         progress.mode == SendMode::Probe && progress.matched < context.log.last_index();
-    if entries.is_empty() && !must_probe && progress.sent_commit >= told {
+    if entries.is_empty() && !must_probe && progress.sent_commit >= commit {
         return None;
     }
-    progress.sent_commit = told;
+    progress.sent_commit = commit;
     match progress.mode {
-        SendMode::Probe => progress.note_waiting(context.now),
-        _ if !entries.is_empty() => progress.note_streamed(last, context.now),
+        SendMode::Probe => progress.record_waiting(context.now),
+        _ if !entries.is_empty() => progress.record_streamed(last, context.now),
         _ => {}
     }
     Some(AppendRequest {
--- a/crates/coordination/src/agreement/settings.rs
+++ b/crates/coordination/src/agreement/settings.rs
@@ -6,50 +6,52 @@
 
 use crate::base::{FindingList, Place};
 
-const SHORTEST_HEARTBEAT: Duration = Duration::from_millis(1);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Heartbeats that fit into an election timeout at least, so that one lost heartbeat starts none.
-const HEARTBEATS_PER_ELECTION: u32 = 3;
+/// Minimum ratio of election timeout to heartbeat interval, so that one lost heartbeat starts no
+/// election.
+const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 
-/// How one keeper takes part in agreement; all keepers of a group carry the same values.
+/// Settings of one keeper; all keepers of a group use the same values.
 ///
 /// Invariant after [`AgreementSettings::checked`]: `heartbeat_interval` is at most a third of
-/// `election_timeout`, and no bound is zero.
+/// `election_timeout`, and no limit is zero.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AgreementSettings {
     /// Time between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Shortest time without a leader after which a keeper asks for votes. The time that is used
-    /// lies at random between this and one and a half times this. A leader that reaches no quorum for this long
-    /// steps down.
+    /// Shortest time without a leader after which a keeper requests votes. The actual time is
+    /// random, between this and one and a half times this. A leader that reaches no quorum for
+    /// this long steps down.
     pub election_timeout: Duration,
-    /// Silence after which a leader takes a voter out of the group; `None` to leave that to
-    /// operators. Far above a restart, which would else cost two changes of membership.
+    /// Time without an answer after which the leader removes a voter; `None` leaves removal to
+    /// operators. It must be much longer than a restart, which would otherwise cost two membership
+    /// changes.
     pub lost_voter_timeout: Option<Duration>,
     /// Time without progress after which unanswered entries or snapshot chunks are sent again.
     pub resend_timeout: Duration,
-    /// Entries that one append message carries at most.
+    /// Maximum entries in one append message.
     pub max_append_entries: usize,
-    /// Payload bytes that one append message carries at most, unless its first entry is larger.
+    /// Maximum payload bytes in one append message, unless its first entry is larger.
     pub max_append_bytes: usize,
-    /// Append messages to one peer that may be unanswered.
+    /// Maximum unanswered append messages to one peer.
     pub max_inflight_appends: usize,
-    /// Bytes of one command; a larger one is refused.
+    /// Maximum bytes of one command; a larger one is refused.
     pub max_command_bytes: usize,
-    /// Entries that a leader holds uncommitted before it refuses proposals.
+    /// Uncommitted entries at which a leader refuses further proposals.
     pub max_uncommitted_entries: usize,
-    /// Payload bytes that a leader holds uncommitted before it refuses proposals.
+    /// Uncommitted payload bytes at which a leader refuses further proposals.
     pub max_uncommitted_bytes: usize,
-    /// Reads that wait for their quorum check before further ones are refused.
+    /// Reads waiting for their quorum check at which further reads are refused.
     pub max_pending_reads: usize,
-    /// Bytes of a snapshot that one message carries.
+    /// Bytes of a snapshot in one message.
     pub snapshot_chunk_bytes: usize,
-    /// Bytes of a snapshot that is accepted from a peer.
+    /// Maximum bytes of a snapshot accepted from a peer.
     pub max_snapshot_bytes: usize,
-    /// Delivered entries after which a new snapshot is asked for.
+    /// Delivered entries after which a new snapshot is requested.
     pub snapshot_after_entries: u64,
-    /// Entries kept in memory behind a snapshot, so that a peer that lags a little needs none.
+    /// Entries kept in memory before a snapshot, so that a peer with a small lag needs no snapshot.
     pub retained_entries: u64,
 }
 
@@ -76,28 +78,28 @@
 }
 
 impl AgreementSettings {
-    /// Says what [`AgreementSettings::checked`] would change, as errors at the place that
-    /// `place_of` gives for an option's name.
+    /// Reports each value that [`AgreementSettings::checked`] would change, as an error at the
+    /// place that `place_of` returns for the option's name.
     #[must_use]
     pub fn findings<F>(&self, place_of: F) -> FindingList
     where
         F: Fn(&str) -> Place,
     {
         let mut findings = FindingList::default();
-        if self.heartbeat_interval < SHORTEST_HEARTBEAT {
+        if self.heartbeat_interval < MIN_HEARTBEAT_INTERVAL {
             let place = place_of("heartbeat_interval");
             findings.error(place, "heartbeat_interval is too short", "at least 1 ms");
         }
         if self.election_timeout
             < self
                 .heartbeat_interval
-                .saturating_mul(HEARTBEATS_PER_ELECTION)
+                .saturating_mul(MIN_HEARTBEATS_PER_ELECTION)
         {
             let place = place_of("election_timeout");
             let accepted = "at least three times heartbeat_interval";
             findings.error(place, "election_timeout is too short", accepted);
         }
-        if self.resend_timeout < SHORTEST_HEARTBEAT {
+        if self.resend_timeout < MIN_HEARTBEAT_INTERVAL {
             let place = place_of("resend_timeout");
             findings.error(place, "resend_timeout is too short", "at least 1 ms");
         }
@@ -106,7 +108,7 @@
             let accepted = "at least max_command_bytes";
             findings.error(place, "max_uncommitted_bytes is too small", accepted);
         }
-        for (name, value) in self.bounds() {
+        for (name, value) in self.limits() {
             if value == 0 {
                 findings.error(place_of(name), format!("{name} is 0"), "at least 1");
             }
@@ -114,7 +116,7 @@
         findings
     }
 
-    fn bounds(&self) -> [(&'static str, usize); 9] {
+    fn limits(&self) -> [(&'static str, usize); 9] {
         let snapshot_after = usize::try_from(self.snapshot_after_entries).unwrap_or(usize::MAX);
         [
             ("max_append_entries", self.max_append_entries),
@@ -129,15 +131,15 @@
         ]
     }
 
-    /// The same settings with each value raised or lowered to what the core can work with.
+    /// Returns the settings with each value raised to the minimum that the core supports.
     #[must_use]
     pub fn checked(mut self) -> Self {
-        self.heartbeat_interval = self.heartbeat_interval.max(SHORTEST_HEARTBEAT);
+        self.heartbeat_interval = self.heartbeat_interval.max(MIN_HEARTBEAT_INTERVAL);
         self.election_timeout = self.election_timeout.max(
             self.heartbeat_interval
-                .saturating_mul(HEARTBEATS_PER_ELECTION),
+                .saturating_mul(MIN_HEARTBEATS_PER_ELECTION),
         );
-        self.resend_timeout = self.resend_timeout.max(SHORTEST_HEARTBEAT);
+        self.resend_timeout = self.resend_timeout.max(MIN_HEARTBEAT_INTERVAL);
         self.max_append_entries = self.max_append_entries.max(1);
         self.max_append_bytes = self.max_append_bytes.max(1);
         self.max_inflight_appends = self.max_inflight_appends.max(1);
@@ -167,7 +169,7 @@
     }
 
     #[test]
-    fn all_unworkable_values_are_found_at_once() {
+    fn all_invalid_values_are_reported_at_once() {
         let settings = AgreementSettings {
             heartbeat_interval: Duration::MAX,
             resend_timeout: Duration::ZERO,
--- a/crates/coordination/src/agreement/snapshot_transfer.rs
+++ b/crates/coordination/src/agreement/snapshot_transfer.rs
@@ -1,4 +1,4 @@
-//! Snapshots: taking them, and sending them in bounded chunks to peers that lag too far.
+//! Snapshots: recording them, and sending them in bounded chunks to peers that lag too far.
 
 use std::sync::Arc;
 
@@ -10,9 +10,9 @@
 use super::progress::{PeerProgress, SendMode};
 use super::settings::AgreementSettings;
 
-/// A snapshot that arrives in chunks.
+/// A partially received snapshot.
 ///
-/// Invariant: `bytes.len() <= total`, and `total` is within the setting.
+/// Invariant: `bytes.len() <= total`, and `total` is at most `max_snapshot_bytes`.
 #[derive(Debug)]
 pub(super) struct SnapshotAssembly {
     mark: SnapshotMetadata,
@@ -20,7 +20,7 @@
     bytes: Vec<u8>,
 }
 
-/// The chunk that a peer in transfer is sent next.
+/// The next chunk for a peer; `None` unless a snapshot transfer to it is in progress.
 pub(super) fn next_chunk(
     progress: &PeerProgress,
     term: Term,
@@ -48,7 +48,7 @@
 }
 
 impl AgreementNode {
-    /// Takes the caller's snapshot in and lets go of the entries behind it.
+    /// Stores the caller's snapshot and compacts the log.
     pub(super) fn snapshot_taken(&mut self, index: LogIndex, bytes: Arc<[u8]>) {
         if index <= self.log.snapshot_index() || index > self.delivered {
             return;
@@ -59,10 +59,10 @@
         let snapshot = StoredSnapshot { mark, bytes };
         self.writes.set_snapshot(snapshot.clone());
         self.log
-            .take_snapshot(snapshot, self.settings.retained_entries);
+            .store_snapshot(snapshot, self.settings.retained_entries);
     }
 
-    /// Asks for a snapshot once enough was delivered since the last one.
+    /// Requests a snapshot once enough entries were delivered since the last one.
     pub(super) fn request_snapshot(&mut self) {
         let since = self.log.snapshot_index().max(self.snapshot_requested_at);
         let delivered = self.delivered.0.saturating_sub(since.0);
@@ -75,7 +75,7 @@
             .push(AgreementEffect::SnapshotRequested { index });
     }
 
-    /// Takes a chunk in; the last one puts the snapshot in the place of the log.
+    /// Stores a chunk; the last one installs the snapshot in place of the log.
     pub(super) fn on_snapshot_chunk(&mut self, from: KeeperId, chunk: SnapshotChunk) {
         if !self.is_acceptable(&chunk) {
             self.drop_message(from, DropReason::Malformed);
@@ -98,7 +98,7 @@
         let limit = u64::try_from(self.settings.max_snapshot_bytes).unwrap_or(u64::MAX);
         let end = chunk.offset.checked_add(length(&chunk.bytes));
         let fits = end.is_some_and(|end| end <= chunk.total) && chunk.total <= limit;
-        fits && chunk.mark.term <= chunk.term && is_sound(&chunk.mark.membership)
+        fits && chunk.mark.term <= chunk.term && is_valid(&chunk.mark.membership)
     }
 
     fn assemble(&mut self, chunk: SnapshotChunk) -> SnapshotOutcome {
@@ -106,10 +106,10 @@
             self.assembly = None;
             return SnapshotOutcome::Installed(self.commit);
         }
-        let is_other = |assembly: &SnapshotAssembly| {
+        let differs = |assembly: &SnapshotAssembly| {
             assembly.mark != chunk.mark || assembly.total != chunk.total
         };
-        if self.assembly.as_ref().is_none_or(is_other) {
+        if self.assembly.as_ref().is_none_or(differs) {
             self.assembly = Some(SnapshotAssembly {
                 mark: chunk.mark.clone(),
                 total: chunk.total,
@@ -146,7 +146,7 @@
         self.after_persist(HeldAction::Install(snapshot));
     }
 
-    /// Takes the receiver's answer in: the next chunk, or back to entries.
+    /// Handles the receiver's reply: continues with the next chunk, or returns to sending entries.
     pub(super) fn on_snapshot_reply(&mut self, from: &KeeperId, reply: &SnapshotReply) {
         if reply.term > self.term() {
             self.follow(reply.term, None);
@@ -170,12 +170,12 @@
             bytes,
             offset,
         } = &mut progress.mode
-            && let SnapshotOutcome::Continue(wanted) = reply.outcome
+            && let SnapshotOutcome::Continue(expected) = reply.outcome
             && mark.index == reply.index
-            && wanted < length(bytes)
-            && wanted != *offset
+            && expected < length(bytes)
+            && expected != *offset
         {
-            *offset = wanted;
+            *offset = expected;
             progress.waiting = false;
             progress.advanced_at = self.now;
         }
@@ -195,7 +195,7 @@
     }
 }
 
-fn is_sound(membership: &Membership) -> bool {
+fn is_valid(membership: &Membership) -> bool {
     !membership.voters.is_empty() && membership.voters.is_disjoint(&membership.learners)
 }
 
--- a/crates/coordination/src/agreement/state_machine.rs
+++ b/crates/coordination/src/agreement/state_machine.rs
@@ -1,4 +1,4 @@
-//! The border between the log and what is replicated through it.
+//! Interface between the log and the state machine that it replicates.
 
 use std::sync::Arc;
 
@@ -7,34 +7,34 @@
 use super::entry::LogIndex;
 use crate::base::{MonotonicTime, WallTime};
 
-/// Why a state machine refused bytes.
+/// Error of a state machine that encodes or decodes a command, an answer or a snapshot.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("state machine can't read {what}: {reason}")]
 pub struct StateMachineError {
-    /// What was being read: a command or a snapshot.
+    /// Kind of value: `command`, `answer` or `snapshot`.
     pub what: &'static str,
-    /// The decoder's words.
+    /// Error text of the encoder or decoder.
     pub reason: String,
 }
 
-/// A deterministic state that the log's commands are applied to.
+/// Deterministic state that the commands of the log are applied to.
 ///
 /// Invariant: the same commands in the same order give the same answers and the same snapshot on
-/// every keeper; no clock, random number or map order may enter.
+/// every keeper; the result must not depend on a clock, a random number or a map's order.
 pub trait StateMachine: Send {
-    /// Applies one command and returns its encoded answer.
+    /// Applies the command at `index` and returns its encoded answer.
     ///
     /// # Errors
     /// The command can't be decoded; the state is unchanged.
     fn apply(&mut self, index: LogIndex, command: &[u8]) -> Result<Vec<u8>, StateMachineError>;
 
-    /// Completes a command that this keeper is about to propose, such as with the leader's time.
+    /// Completes a command that this keeper is about to propose, for example with a time stamp.
     ///
-    /// Only the keeper that appends a command may stamp it: stamps then stand in the log in the
-    /// order in which they were made.
+    /// Only the keeper that appends a command may stamp it, so that the order of stamps in the log
+    /// is the order in which they were made.
     ///
     /// # Errors
-    /// The command can't be read; it is not proposed.
+    /// The command can't be decoded; it isn't proposed.
     fn prepare(
         &self,
         now: MonotonicTime,
@@ -45,13 +45,13 @@
         Ok(command)
     }
 
-    /// Encodes the whole state.
+    /// Encodes the complete state.
     ///
     /// # Errors
     /// The state can't be encoded.
     fn snapshot(&self) -> Result<Vec<u8>, StateMachineError>;
 
-    /// Replaces the whole state by that of a snapshot.
+    /// Replaces the complete state by that of a snapshot.
     ///
     /// # Errors
     /// The snapshot can't be decoded; the state is unchanged.
