--- a/crates/coordination/src/replicated.rs
+++ b/crates/coordination/src/replicated.rs
@@ -1,7 +1,7 @@
-//! The state that keepers replicate: configuration changes, claims, evidence and order rights.
+//! State that keepers replicate: configuration changes, claims, evidence and order rights.
 //!
 //! [`ReplicatedState`] applies [`StampedCommand`]s from the log in order and answers each with a
-//! [`CommandAnswer`]. All that makes a resend safe is part of its snapshot.
+//! [`CommandAnswer`]. Its snapshot includes everything that makes a resent command safe.
 
 mod clock;
 mod command;
--- a/crates/coordination/src/replicated/clock.rs
+++ b/crates/coordination/src/replicated/clock.rs
@@ -1,4 +1,4 @@
-//! Time that all keepers agree on, driven by what leaders measure of their own uptime.
+//! Replicated clock, which advances with the uptime that leaders measure.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 /// Time since the replicated state began, in microseconds.
 ///
-/// Invariant: never runs backwards.
+/// Invariant: never decreases.
 #[derive(
     Clone,
     Copy,
@@ -29,53 +29,54 @@
 pub struct ReplicatedTime(u64);
 
 impl ReplicatedTime {
-    /// The time `micros` microseconds after the state began.
+    /// Creates the time `micros` microseconds after the state began.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Microseconds since the state began.
+    /// Returns the microseconds since the state began.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// This time plus `duration`, held at the maximum instead of wrapping.
+    /// Adds `duration`, saturating at the maximum.
     #[must_use]
     pub fn after(self, duration: Duration) -> Self {
         let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         Self(self.0.saturating_add(micros))
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies in the future.
+    /// Returns the time since `earlier`; zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// When and by whom a command was appended to the log.
+/// Time at which a leader appended a command, and the leader's identity.
 ///
-/// The leader stamps each command as it appends it, whoever asked for it: only then do stamps stand
-/// in the log in the order in which they were made.
+/// The leader stamps each command as it appends it, whichever host requested it, so that the order
+/// of stamps in the log is the order in which they were made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandStamp {
     /// Host of the leader.
     pub host: HostName,
-    /// Life of that host's process; differs between any two lives.
+    /// Incarnation of that host's process; differs between any two processes.
     pub incarnation: Incarnation,
     /// Monotonic time of that process.
     pub uptime: MonotonicTime,
-    /// Wall-clock time there; goes into records and decides nothing.
+    /// Wall-clock time of that host; it is recorded and affects no decision.
     pub wall: WallTime,
 }
 
-/// The agreed clock.
+/// The replicated clock.
 ///
 /// Failure: with wall clocks, one host whose clock jumps a day ahead would expire every claim at
-/// once, and a resend would run a booking again. Safeguard: only what one process's monotonic time
-/// gains between two successive stamps of that process moves this clock, so between any two
-/// entries it gains no more than real time did. It loses an interval at each change of leader and
-/// stands still while nothing is appended; claims and leases then last longer, the safe side.
+/// once, and a resend would run a booking again. Safeguard: the clock advances only by the increase
+/// of one process's monotonic time between two successive stamps of that process, so between any
+/// two entries it advances by no more than real time. It loses an interval at each change of leader
+/// and stops while no command is appended; claims and leases then last longer, which is the safe
+/// side.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedClock {
     now: ReplicatedTime,
@@ -86,17 +87,17 @@
 struct LastStamp {
     host: HostName,
     incarnation: Incarnation,
-    /// Highest uptime of this process's successive stamps.
+    /// Highest uptime among the successive stamps of this process.
     uptime: MonotonicTime,
 }
 
 impl ReplicatedClock {
-    /// The agreed time.
+    /// Returns the current replicated time.
     pub fn now(&self) -> ReplicatedTime {
         self.now
     }
 
-    /// Moves the clock by a stamp and gives the agreed time.
+    /// Advances the clock by a stamp and returns the new replicated time.
     pub fn observe(&mut self, stamp: &CommandStamp) -> ReplicatedTime {
         let mut uptime = stamp.uptime;
         let same_process = self
--- a/crates/coordination/src/replicated/command.rs
+++ b/crates/coordination/src/replicated/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the log and their answers.
+//! Commands in the log and their answers.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,69 +11,69 @@
 use crate::claims::{SettleAnswer, SettleClaim, TakeAnswer, TakeClaim};
 use crate::configuration::{ChangeAnswer, ChangeRequest, EditRequest};
 
-/// A command; each may be proposed again when its answer was lost.
+/// A command; proposing the same command again after a lost answer is safe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicatedCommand {
-    /// Changes the configuration.
+    /// Replaces the configuration by a complete new text.
     ChangeConfiguration(ChangeRequest),
-    /// Changes the configuration by what differs.
+    /// Sets or removes single documents of the configuration.
     EditConfiguration(EditRequest),
-    /// Takes a claim for a call that may not be repeated.
+    /// Takes a claim for a non-idempotent call.
     TakeClaim(TakeClaim),
-    /// Settles a claim.
+    /// Settles a claim with the outcome of its call.
     SettleClaim(SettleClaim),
-    /// Records evidence.
+    /// Records a batch of evidence records.
     RecordEvidence(EvidenceBatch),
-    /// Grants the right to give orders to a backend server.
+    /// Requests the right to give orders to a backend server.
     GrantOrderRight(GrantOrderRight),
-    /// A host's process started: it gets its incarnation, and earlier ones are ended.
+    /// Assigns an incarnation to a host's new process and ends the host's earlier incarnations.
     StartHost(StartHost),
-    /// A host's process is gone: its claims in progress become unknown.
+    /// Ends a host's process; its claims in progress become unknown.
     EndHost {
         /// The host.
         host: HostName,
-        /// Its last incarnation.
+        /// Last incarnation of the host to end.
         incarnation: Incarnation,
     },
-    /// Moves the agreed clock while nothing else is proposed.
+    /// Advances the replicated clock while no other command is proposed.
     Tick,
 }
 
-/// A command as it stands in the log.
+/// A command with the stamp of the leader that appended it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StampedCommand {
-    /// When the leader appended it.
+    /// Time at which the leader appended it, and the leader's identity.
     pub stamp: CommandStamp,
     /// The command.
     pub command: ReplicatedCommand,
 }
 
-/// Answer to a command.
+/// Answer to a [`ReplicatedCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAnswer {
-    /// To `ChangeConfiguration` and `EditConfiguration`.
+    /// Answer to `ChangeConfiguration` and `EditConfiguration`.
     Change(ChangeAnswer),
-    /// To `TakeClaim`.
+    /// Answer to `TakeClaim`.
     Taken(TakeAnswer),
-    /// To `SettleClaim`.
+    /// Answer to `SettleClaim`.
     Settled(SettleAnswer),
-    /// To `RecordEvidence`.
+    /// Answer to `RecordEvidence`.
     Evidence(EvidenceAnswer),
-    /// To `GrantOrderRight`.
+    /// Answer to `GrantOrderRight`.
     OrderRight(OrderRightAnswer),
-    /// To `StartHost`: the incarnation of the process.
+    /// Answer to `StartHost`: the incarnation of the process.
     Started(Incarnation),
-    /// To `EndHost`: number of claims that became unknown.
+    /// Answer to `EndHost`.
     Ended {
-        /// Claims that became unknown.
+        /// Number of claims that became unknown.
         claims: u64,
     },
-    /// To `Tick`.
+    /// Answer to `Tick`.
     Ticked,
 }
 
 impl ReplicatedCommand {
-    /// The command as bytes for the keeper that will stamp and propose it.
+    /// Encodes the command for the keeper that will stamp and propose it.
     ///
     /// # Errors
     /// The command can't be encoded.
@@ -81,17 +81,17 @@
         encode("command", self)
     }
 
-    /// Reads a command that has not been stamped.
+    /// Decodes a command without a stamp.
     ///
     /// # Errors
-    /// The bytes are no command.
+    /// The bytes aren't an encoded command.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
         decode("command", bytes)
     }
 }
 
 impl StampedCommand {
-    /// The command as bytes for the log.
+    /// Encodes the stamped command for the log.
     ///
     /// # Errors
     /// The command can't be encoded.
@@ -101,10 +101,10 @@
 }
 
 impl CommandAnswer {
-    /// Reads the answer that applying a command gave.
+    /// Decodes the answer that applying a command returned.
     ///
     /// # Errors
-    /// The bytes are no answer.
+    /// The bytes aren't an encoded answer.
     pub fn decode(bytes: &[u8]) -> Result<Self, StateMachineError> {
         decode("answer", bytes)
     }
--- a/crates/coordination/src/replicated/evidence_index.rs
+++ b/crates/coordination/src/replicated/evidence_index.rs
@@ -1,4 +1,4 @@
-//! Evidence records as they are agreed: each exactly once, in one order for all keepers.
+//! Replicated evidence records: each exactly once, in the same order on all keepers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -13,70 +13,70 @@
 /// Successive records of one writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceBatch {
-    /// Host whose process made them.
+    /// Host whose process wrote the records.
     pub writer: HostName,
-    /// Life of that process.
+    /// Incarnation of that process.
     pub incarnation: Incarnation,
-    /// Number of the first record; the others follow it. A life's numbers begin at 0.
+    /// Number of the first record; the others follow it. Each incarnation's numbers begin at 0.
     pub first: SequenceNumber,
-    /// The records in their own encoding.
+    /// The records in the writer's encoding.
     pub records: Vec<Arc<[u8]>>,
 }
 
-/// Answer to a batch.
+/// Answer to an [`EvidenceBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvidenceAnswer {
-    /// All records up to `next` are recorded, those of the batch and all before.
+    /// All records before `next` are recorded: those of the batch and all earlier ones.
     Recorded {
         /// Number of the record to send next.
         next: SequenceNumber,
     },
-    /// Records before the batch are missing; none of it is recorded.
+    /// Records before the batch are missing; no record of the batch is recorded.
     Gap {
         /// Number of the first missing record.
         expected: SequenceNumber,
     },
-    /// A later life of the writer has recorded already; none of it is recorded.
+    /// A later incarnation of the writer has recorded already; no record of the batch is recorded.
     Superseded,
 }
 
-/// Position of a record in the agreed order, from 0.
+/// Position of a record in the replicated order, from 0.
 #[derive(
     Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct EvidencePosition(pub u64);
 
-/// A record in the agreed order.
+/// A record in the replicated order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IndexedRecord {
-    /// Its position.
+    /// Position of the record.
     pub position: EvidencePosition,
-    /// Host that made it.
+    /// Host that wrote it.
     pub writer: HostName,
-    /// Life of the writer.
+    /// Incarnation of the writer.
     pub incarnation: Incarnation,
-    /// Number within that life.
+    /// Number within that incarnation.
     pub sequence: SequenceNumber,
-    /// The record.
+    /// The record in the writer's encoding.
     #[serde(with = "shared_bytes")]
     pub record: Arc<[u8]>,
 }
 
-/// How much is kept here; keepers copy records to their evidence files before that.
+/// Limits of the kept records; keepers copy records to their evidence files well before these.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceRetention {
-    /// Most records.
+    /// Maximum number of records.
     pub records: usize,
-    /// Most bytes of records.
+    /// Maximum total bytes of records.
     pub bytes: usize,
-    /// Longest time for which a record is kept.
+    /// Maximum time for which a record is kept.
     #[serde(default = "longest_age")]
     pub age: Duration,
 }
 
 /// Keepers copy records to their files within a fraction of a second, and a disk that stalls for
-/// longer than this is taken for lost.
+/// longer than this time counts as lost.
 fn longest_age() -> Duration {
     Duration::from_secs(30)
 }
@@ -97,23 +97,23 @@
     next: SequenceNumber,
 }
 
-/// When records came, of those that are kept.
+/// Arrival time of a group of kept records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ArrivalMark {
-    /// Position after the last record that came with it.
+    /// Position after the last record of the group.
     before: EvidencePosition,
     at: ReplicatedTime,
 }
 
-/// The latest records, and how far each writer has come.
+/// The latest records, and the next expected number of each writer.
 ///
-/// Failure: records were kept by number and bytes alone, so that a group with little evidence kept all
-/// of it. Symptom: snapshots grew with each change, and so did the time in which a keeper that starts
-/// again answers nobody. Records that every keeper has had the time to copy to its files are of
-/// no use here.
+/// Failure: records were kept by number and bytes alone, so a group with little evidence kept all
+/// of it. Symptom: snapshots grew with each change, and so did the time in which a restarting
+/// keeper answers no request. Records that every keeper has had time to copy to its files are not
+/// needed here.
 ///
-/// Invariants: positions rise by one; `bytes` is the sum of the records kept; `arrivals` rise, and there
-/// are no more of them than records.
+/// Invariants: positions increase by one; `bytes` is the sum of the kept records; `arrivals`
+/// increase, and are no more than the records.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceIndex {
     retention: EvidenceRetention,
@@ -126,7 +126,7 @@
 }
 
 impl EvidenceIndex {
-    /// An empty index.
+    /// Creates an index without records that keeps records within `retention`.
     pub fn new(retention: EvidenceRetention) -> Self {
         Self {
             retention,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Records what is new in a batch, and drops what is old.
+    /// Adds the new records of a batch, and drops records older than the retention time.
     pub fn record(&mut self, batch: &EvidenceBatch, now: ReplicatedTime) -> EvidenceAnswer {
         self.expire(now);
         let known = self.writers.get(&batch.writer);
@@ -165,27 +165,28 @@
         EvidenceAnswer::Recorded { next }
     }
 
-    /// Position that the next record will get.
+    /// Returns the position of the next record.
     pub fn next_position(&self) -> EvidencePosition {
         self.next
     }
 
-    /// Position of the oldest record kept.
+    /// Returns the position of the oldest kept record, or of the next record if none is kept.
     pub fn oldest_position(&self) -> EvidencePosition {
         self.recent
             .front()
             .map_or(self.next, |record| record.position)
     }
 
-    /// Records from `position` on that are kept.
+    /// Iterates exceeds_limits the kept records from `position` on.
     pub fn since(&self, position: EvidencePosition) -> impl Iterator<Item = &IndexedRecord> {
         let skipped = position.0.saturating_sub(self.oldest_position().0);
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
         self.recent.iter().skip(skipped)
     }
 
-    /// Marks what came now. Marks of records that are gone, and batches that brought nothing, leave none:
-    /// a writer that sends faster than records grow old would fill the state with marks.
+    /// Records the arrival time of the new records. Removes marks of dropped records and adds none
+    /// for a batch without new records: otherwise a writer that sends faster than records expire
+    /// would fill the state with marks.
     fn mark_arrival(&mut self, now: ReplicatedTime) {
         let oldest = self.oldest_position();
         while self
@@ -232,10 +233,10 @@
             record,
         });
         self.next = EvidencePosition(self.next.0 + 1);
-        let over = |index: &Self| {
+        let exceeds_limits = |index: &Self| {
             index.recent.len() > index.retention.records || index.bytes > index.retention.bytes
         };
-        while over(self) && !self.recent.is_empty() {
+        while exceeds_limits(self) && !self.recent.is_empty() {
             self.drop_oldest();
         }
     }
--- a/crates/coordination/src/replicated/incarnations.rs
+++ b/crates/coordination/src/replicated/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of hosts' processes: each start takes a higher incarnation, also on hosts without a disk.
+//! Incarnations of hosts' processes; each start gets a higher one, even on hosts without a disk.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 
 use crate::base::{HostName, Incarnation};
 
-/// Random number that a process draws at its start; tells a resend from another start.
+/// Random number drawn at the start of a process; distinguishes a resend from another start.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ProcessNonce(pub u64);
 
-/// A host's process asks for its incarnation.
+/// Request of a host's process for its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartHost {
-    /// The host.
+    /// Host of the process.
     pub host: HostName,
-    /// Drawn at the start of the process.
+    /// Number drawn at the start of the process.
     pub nonce: ProcessNonce,
 }
 
@@ -29,39 +29,39 @@
 
 /// Current incarnation of each host.
 ///
-/// Invariant: the incarnation of a host never falls.
+/// Invariant: the incarnation of a host never decreases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct IncarnationTable {
-    lives: BTreeMap<HostName, HostIncarnation>,
+    by_host: BTreeMap<HostName, HostIncarnation>,
 }
 
 impl IncarnationTable {
-    /// The incarnation of the process that asks: a higher one for a new process, the same one for
-    /// a resend.
+    /// Returns the incarnation of the requesting process: a higher one for a new process, the same
+    /// one for a resend.
     pub fn start(&mut self, start: &StartHost) -> Incarnation {
-        let known = self.lives.get(&start.host);
-        if let Some(life) = known.filter(|life| life.nonce == start.nonce) {
-            return life.incarnation;
+        let known = self.by_host.get(&start.host);
+        if let Some(current) = known.filter(|current| current.nonce == start.nonce) {
+            return current.incarnation;
         }
-        let incarnation = known.map_or(Incarnation(1), |life| life.incarnation.next());
-        let life = HostIncarnation {
+        let incarnation = known.map_or(Incarnation(1), |current| current.incarnation.next());
+        let started = HostIncarnation {
             incarnation,
             nonce: start.nonce,
         };
-        self.lives.insert(start.host.clone(), life);
+        self.by_host.insert(start.host.clone(), started);
         incarnation
     }
 
-    /// Current incarnation of a host; `None` if it never started.
+    /// Returns the current incarnation of a host; `None` if it never started.
     pub fn incarnation(&self, host: &HostName) -> Option<Incarnation> {
-        self.lives.get(host).map(|life| life.incarnation)
+        self.by_host.get(host).map(|current| current.incarnation)
     }
 
-    /// Hosts and their incarnations.
+    /// Iterates over hosts and their current incarnations.
     pub fn iter(&self) -> impl Iterator<Item = (&HostName, Incarnation)> {
-        self.lives
+        self.by_host
             .iter()
-            .map(|(host, life)| (host, life.incarnation))
+            .map(|(host, current)| (host, current.incarnation))
     }
 }
--- a/crates/coordination/src/replicated/order_right.rs
+++ b/crates/coordination/src/replicated/order_right.rs
@@ -1,4 +1,4 @@
-//! The right to give orders to a backend server: one holder at a time, under a rising number.
+//! Rights to give orders to backend servers, each with one holder and an increasing number.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use super::clock::ReplicatedTime;
 use crate::base::{FencingNumber, HostName, Incarnation, ServerName};
 
-/// Longest lease that is granted.
+/// Maximum lease of a granted right.
 const MAX_LEASE: Duration = Duration::from_secs(60);
 
-/// Who holds a right.
+/// Holder of an order right.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{host}#{incarnation}")]
 pub struct OrderHolder {
-    /// Host.
+    /// Host of the holder.
     pub host: HostName,
-    /// Life of its process.
+    /// Incarnation of the host's process.
     pub incarnation: Incarnation,
 }
 
-/// Asks for the right to give orders to a backend server, or renews it.
+/// Requests or renews the right to give orders to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantOrderRight {
-    /// The backend server.
+    /// Backend server that the orders go to.
     pub server: ServerName,
-    /// Who asks.
+    /// Process that requests the right.
     pub holder: OrderHolder,
-    /// How long the right is asked for, at most a minute.
+    /// Requested duration, at most a minute.
     pub lease: Duration,
 }
 
@@ -38,19 +38,19 @@
 pub enum OrderRightAnswer {
     /// The right is granted.
     ///
-    /// The holder counts the lease from the moment at which it asked, on its own monotonic clock,
-    /// so that it stops before the keepers let another one have it.
+    /// The holder counts the lease from the time of its request, on its own monotonic clock, so
+    /// that it stops before the keepers grant the right to another process.
     Granted {
-        /// Number to put on orders; a new holder's is above every earlier one.
+        /// Number to put on orders; a new holder's number is higher than every earlier one.
         fencing: FencingNumber,
-        /// How long it holds.
+        /// Granted duration.
         lease: Duration,
     },
-    /// Another one holds it.
+    /// Another process holds the right.
     Held {
-        /// Who.
+        /// Current holder.
         holder: OrderHolder,
-        /// How long at most, if it is not renewed.
+        /// Longest time until the right expires, unless the holder renews it.
         remaining: Duration,
     },
 }
@@ -62,10 +62,10 @@
     until: ReplicatedTime,
 }
 
-/// All rights.
+/// Current order rights.
 ///
 /// Invariant: `fencing` is at least as high as the number of every right ever granted, so that a
-/// right which was dropped is never granted again under an old number.
+/// dropped right is never granted again with an old number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRightTable {
     rights: BTreeMap<ServerName, OrderRight>,
@@ -73,7 +73,7 @@
 }
 
 impl OrderRightTable {
-    /// Grants a right if nobody else holds it. A renewal keeps its number.
+    /// Grants a right unless another process holds it. A renewal keeps the number.
     pub fn grant(&mut self, request: &GrantOrderRight, now: ReplicatedTime) -> OrderRightAnswer {
         self.rights.retain(|_, right| now <= right.until);
         let lease = request.lease.min(MAX_LEASE);
@@ -100,12 +100,12 @@
         OrderRightAnswer::Granted { fencing, lease }
     }
 
-    /// Number of rights held or not yet dropped.
+    /// Returns the number of rights that are held or not yet dropped.
     pub fn len(&self) -> usize {
         self.rights.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table contains no rights.
     pub fn is_empty(&self) -> bool {
         self.rights.is_empty()
     }
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -1,4 +1,4 @@
-//! The state machine over all replicated tables.
+//! State machine over all replicated tables.
 
 use std::sync::Arc;
 
@@ -16,23 +16,23 @@
     ChangeAnswer, ChangeDecision, ChangeLog, ChangeRetention, Configuration,
 };
 
-/// Format of snapshots that are written.
+/// Format version of written snapshots.
 const SNAPSHOT_FORMAT: u16 = 2;
-/// Oldest format that is read; a keeper refuses those before it, and after the one that it writes.
+/// Oldest readable format; a keeper refuses older formats, and newer ones than it writes.
 const OLDEST_FORMAT: u16 = 1;
 
-/// Bounds of the tables. They are part of the state: the first keeper's are kept through snapshots.
+/// Limits of the tables. They are part of the state: snapshots keep the first keeper's values.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedSettings {
     /// Retention of configuration changes.
     pub changes: ChangeRetention,
-    /// Bounds and horizon of claims.
+    /// Limits and horizon of claims.
     pub claims: ClaimSettings,
     /// Retention of evidence in memory.
     pub evidence: EvidenceRetention,
 }
 
-/// All replicated tables; everything here is part of a snapshot.
+/// All replicated tables; a snapshot contains every field.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct ReplicatedTables {
     format: u16,
@@ -41,13 +41,14 @@
     changes: ChangeLog,
     claims: ClaimTable,
     evidence: EvidenceIndex,
-    lives: IncarnationTable,
+    #[serde(rename = "lives")]
+    incarnations: IncarnationTable,
     order_rights: OrderRightTable,
 }
 
 /// The replicated state of one keeper.
 ///
-/// Invariant: `configuration` is the layout of `tables.changes` at its revision.
+/// Invariant: `configuration` is the configuration that `tables.changes` builds at its revision.
 #[derive(Debug, Default)]
 pub struct ReplicatedState {
     tables: ReplicatedTables,
@@ -55,7 +56,7 @@
 }
 
 impl ReplicatedState {
-    /// An empty state.
+    /// Creates a state without content whose tables have the limits of `settings`.
     pub fn new(settings: ReplicatedSettings) -> Self {
         let tables = ReplicatedTables {
             format: SNAPSHOT_FORMAT,
@@ -70,47 +71,47 @@
         }
     }
 
-    /// The configuration in force at this keeper's last applied entry.
+    /// The configuration in effect after this keeper's last applied entry.
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.clone()
     }
 
-    /// Accepted changes and answers to change ids.
+    /// Accepted changes and answers by change id.
     pub fn changes(&self) -> &ChangeLog {
         &self.tables.changes
     }
 
-    /// Claims.
+    /// Claims of non-idempotent calls.
     pub fn claims(&self) -> &ClaimTable {
         &self.tables.claims
     }
 
-    /// Latest evidence.
+    /// Latest evidence records.
     pub fn evidence(&self) -> &EvidenceIndex {
         &self.tables.evidence
     }
 
-    /// Incarnations of hosts.
+    /// Current incarnations of hosts.
     pub fn incarnations(&self) -> &IncarnationTable {
-        &self.tables.lives
+        &self.tables.incarnations
     }
 
-    /// Rights to give orders.
+    /// Rights to give orders to backend servers.
     pub fn order_rights(&self) -> &OrderRightTable {
         &self.tables.order_rights
     }
 
-    /// The agreed time.
+    /// Current replicated time.
     pub fn now(&self) -> ReplicatedTime {
         self.tables.clock.now()
     }
 
-    /// Last applied entry.
+    /// Index of the last applied entry.
     pub fn applied(&self) -> LogIndex {
         self.tables.applied
     }
 
-    /// Applies a command that is already decoded.
+    /// Applies a decoded command and returns its answer.
     pub fn apply_command(&mut self, index: LogIndex, stamped: &StampedCommand) -> CommandAnswer {
         let now = self.tables.clock.observe(&stamped.stamp);
         self.tables.applied = index;
@@ -119,11 +120,11 @@
             ReplicatedCommand::ChangeConfiguration(request) => {
                 let wall = stamped.stamp.wall;
                 let decision = tables.changes.decide_and_build(request, wall, now);
-                CommandAnswer::Change(self.put_in_force(decision))
+                CommandAnswer::Change(self.apply_decision(decision))
             }
             ReplicatedCommand::EditConfiguration(request) => {
                 let decision = tables.changes.decide_edit(request, stamped.stamp.wall, now);
-                CommandAnswer::Change(self.put_in_force(decision))
+                CommandAnswer::Change(self.apply_decision(decision))
             }
             ReplicatedCommand::TakeClaim(take) => {
                 CommandAnswer::Taken(tables.claims.take(take, now))
@@ -146,16 +147,17 @@
         }
     }
 
-    fn put_in_force(&mut self, decision: ChangeDecision) -> ChangeAnswer {
+    fn apply_decision(&mut self, decision: ChangeDecision) -> ChangeAnswer {
         if let Some(configuration) = decision.configuration {
             self.configuration = configuration;
         }
         decision.answer
     }
 
-    /// A new life of a host ends its earlier ones: what they held is unknown.
+    /// Starts a host's process; claims that its earlier incarnations have in progress become
+    /// unknown.
     fn start(&mut self, start: &StartHost, now: ReplicatedTime) -> Incarnation {
-        let incarnation = self.tables.lives.start(start);
+        let incarnation = self.tables.incarnations.start(start);
         let ended = Incarnation(incarnation.0.saturating_sub(1));
         self.tables.claims.end_incarnation(&start.host, ended, now);
         incarnation
@@ -188,7 +190,7 @@
         let mut tables: ReplicatedTables = decode("snapshot", snapshot)?;
         if !(OLDEST_FORMAT..=SNAPSHOT_FORMAT).contains(&tables.format) {
             let known = format!("{OLDEST_FORMAT} to {SNAPSHOT_FORMAT}");
-            let reason = format!("format {}, not {known}", tables.format);
+            let reason = format!("found format {}, expected {known}", tables.format);
             let what = "snapshot";
             return Err(StateMachineError { what, reason });
         }
