--- a/crates/coordination/benches/agreement.rs
+++ b/crates/coordination/benches/agreement.rs
@@ -1,8 +1,8 @@
-//! What the agreement core costs by itself: three keepers, no network, no disk.
+//! CPU cost of the agreement core: three keepers without network or disk.
 //!
 //! `commands` is the rate at which one thread runs all three keepers through propose, replicate,
-//! sync report and commit, at 1, 8 and 64 proposals a batch. `syncs` in the printed lines counts
-//! persist orders of one keeper per 1,000 commands: what group commit saves.
+//! sync report and commit, at 1, 8 and 64 proposals per batch. `syncs` in the printed lines is the
+//! number of persist requests of one keeper per 1,000 commands, which group commit reduces.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hint::black_box;
@@ -20,7 +20,7 @@
 const COMMAND_BYTES: usize = 256;
 const SNAPSHOT_AFTER: u64 = 10_000;
 
-/// Three keepers whose messages and syncs take no time.
+/// Three keepers with instant messages and syncs.
 struct InstantGroup {
     nodes: Vec<AgreementNode>,
     now: MonotonicTime,
@@ -73,7 +73,7 @@
             for index in 0..self.nodes.len() {
                 self.tick(index, Vec::new());
             }
-            self.settle();
+            self.process_queue();
         }
     }
 
@@ -86,10 +86,10 @@
             command: command.clone(),
         };
         self.tick(leader, (0..batch).map(proposal).collect());
-        self.settle();
+        self.process_queue();
     }
 
-    fn settle(&mut self) {
+    fn process_queue(&mut self) {
         while let Some((index, input)) = self.queue.pop_front() {
             self.tick(index, vec![input]);
         }
@@ -98,16 +98,16 @@
     fn tick(&mut self, index: usize, inputs: Vec<AgreementInput>) {
         let effects = self.nodes[index].tick(self.now, inputs);
         for effect in effects {
-            self.take_effect(index, effect);
+            self.handle_effect(index, effect);
         }
     }
 
-    fn take_effect(&mut self, index: usize, effect: AgreementEffect) {
+    fn handle_effect(&mut self, index: usize, effect: AgreementEffect) {
         match effect {
             AgreementEffect::Send(envelope) => self.transmit(envelope),
-            AgreementEffect::Persist(order) => {
+            AgreementEffect::Persist(request) => {
                 self.syncs += u64::from(index == 0);
-                let synced = AgreementInput::Persisted(order.sequence);
+                let synced = AgreementInput::Persisted(request.sequence);
                 self.queue.push_back((index, synced));
             }
             AgreementEffect::Proposal {
@@ -149,7 +149,7 @@
     Arc::from(vec![7_u8; COMMAND_BYTES])
 }
 
-/// Counts that need no clock: syncs per command, and bytes on the wire of an idle group.
+/// Prints counts that don't depend on time: syncs per command, and bytes sent by an idle group.
 fn print_counts() {
     const COMMANDS: u64 = 64_000;
     for batch in BATCHES {
--- a/crates/coordination/src/replicated/incarnations.rs
+++ b/crates/coordination/src/replicated/incarnations.rs
@@ -33,6 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct IncarnationTable {
+    #[serde(rename = "lives")]
     by_host: BTreeMap<HostName, HostIncarnation>,
 }
 
--- a/crates/coordination/tests/agreement_contract/main.rs
+++ b/crates/coordination/tests/agreement_contract/main.rs
@@ -1,4 +1,4 @@
-//! The agreement core's contract, one node at a time: what it takes, refuses, holds and drops.
+//! Contract of the agreement core, tested on one node at a time.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/coordination/tests/agreement_contract/messages.rs
+++ b/crates/coordination/tests/agreement_contract/messages.rs
@@ -1,4 +1,4 @@
-//! What a keeper does with messages: counts, holds, drops.
+//! Handling of messages: which are counted, delayed until a sync, or dropped.
 
 use std::sync::Arc;
 
@@ -12,9 +12,10 @@
 
 use super::support::{append, follower, from_b, from_keeper, grant, keeper, membership, outcomes};
 
-/// A leader would lose an acknowledged entry if a follower answered before its sync and crashed.
+/// A follower that answers before its sync and then crashes makes the leader lose an acknowledged
+/// entry.
 #[test]
-fn follower_answers_only_after_the_sync() {
+fn follower_replies_to_an_append_only_after_the_sync() {
     let mut node = follower();
     let message = from_b(append(1, &[(2, 2), (3, 2)]));
     let before = node.tick(MonotonicTime::START, vec![message]);
@@ -32,10 +33,10 @@
     "#);
 }
 
-/// Two leaders could be elected if a disk that came back empty counted under its new incarnation
-/// before the membership names it, or a host that is in no membership. Only the voter counts.
+/// Two leaders can be elected if votes count from keepers outside the membership: a disk that
+/// returned empty under a new incarnation, or a host that no membership contains.
 #[test]
-fn only_voters_of_the_membership_are_counted() {
+fn only_votes_of_voters_are_counted() {
     let mut node = follower();
     let now = node.next_deadline();
     node.tick(now, Vec::new());
@@ -65,10 +66,10 @@
     "#);
 }
 
-/// A follower that holds entries of a lost leader would deliver them as accepted if it took the new
-/// leader's commit index for its own whole log. Only what that leader compared is committed.
+/// A follower with entries of a lost leader delivers them as committed if it applies the new
+/// leader's commit index to its complete log. Only entries that the new leader compared count.
 #[test]
-fn follower_commits_only_what_was_compared() {
+fn follower_commits_only_compared_entries() {
     let mut node = follower();
     let stale = from_b(append(1, &[(2, 1), (3, 1)]));
     let AgreementMessage::Append(mut probe) = append(1, &[]) else {
@@ -83,9 +84,10 @@
     );
 }
 
-/// Messages that must not count are dropped with their reason, and change nothing.
+/// A message from or to a wrong incarnation, or with contradictory content, would change the term
+/// or the log. The node must drop it with the reason and stay unchanged.
 #[test]
-fn messages_that_must_not_count_are_dropped() {
+fn invalid_messages_are_dropped() {
     let heartbeat = |term| {
         AgreementMessage::Heartbeat(Heartbeat {
             term: Term(term),
@@ -125,7 +127,7 @@
             append(0, &[(1, 2)]),
         ),
     ];
-    let mut told = String::new();
+    let mut report = String::new();
     for (name, from, to, message) in cases {
         let mut node = follower();
         node.tick(MonotonicTime::START, vec![from_b(append(1, &[]))]);
@@ -144,9 +146,9 @@
         let input = AgreementInput::Message(envelope);
         let effects = node.tick(MonotonicTime::START, vec![input]);
         assert_eq!((node.last_index(), node.status().term), (last, Term(2)));
-        told.push_str(&format!("{name}: {}\n", outcomes(&effects).join(", ")));
+        report.push_str(&format!("{name}: {}\n", outcomes(&effects).join(", ")));
     }
-    insta::assert_snapshot!(told, @"
+    insta::assert_snapshot!(report, @"
     former receiver: not addressed to this incarnation
     own identity: sent under this keeper's own identity
     former sender: sent by a former incarnation
@@ -207,7 +209,7 @@
 }
 
 proptest! {
-    /// Whatever a peer sends, nothing panics, and neither term nor commit index falls.
+    /// Arbitrary messages of a peer must not cause a panic or decrease the term or commit index.
     #[test]
     fn any_messages_keep_the_invariants(messages in proptest::collection::vec(any_message(), 1..40)) {
         let mut node = follower();
@@ -215,8 +217,8 @@
         for message in messages {
             let before = (node.status().term, node.commit_index());
             let effects = node.tick(node.next_deadline(), vec![from_b(message)]);
-            let is_order = |effect: &&AgreementEffect| matches!(effect, AgreementEffect::Persist(_));
-            sequence += effects.iter().filter(is_order).count() as u64;
+            let is_persist = |effect: &&AgreementEffect| matches!(effect, AgreementEffect::Persist(_));
+            sequence += effects.iter().filter(is_persist).count() as u64;
             let synced = AgreementInput::Persisted(PersistSequence(sequence));
             node.tick(MonotonicTime::START, vec![synced]);
             assert!(node.status().term >= before.0 && node.commit_index() >= before.1);
--- a/crates/coordination/tests/agreement_contract/requests.rs
+++ b/crates/coordination/tests/agreement_contract/requests.rs
@@ -1,4 +1,4 @@
-//! What a keeper answers its callers, and when it stands.
+//! Answers to callers, and the conditions for starting an election.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,11 @@
 
 use super::support::{from_b, keeper, leader, membership, outcomes, propose, settings};
 
-/// The caller of an isolated leader waits, then is told `unknown`, and later ones are refused.
-/// No peer answers; at the election timeout the leader steps down before it reads its inputs,
-/// so it refuses what reaches it in that very moment.
+/// An isolated leader that kept claiming leadership would let callers wait. At the election timeout
+/// it steps down before it processes inputs: pending proposals become `Unknown`, and requests
+/// that arrive in the same tick are refused.
 #[test]
-fn isolated_leader_stops_claiming() {
+fn isolated_leader_steps_down_after_the_election_timeout() {
     let (mut node, now) = leader();
     node.tick(now, vec![propose(1, 4)]);
     let end = node.leads_until(now).unwrap();
@@ -32,11 +32,11 @@
     assert_eq!(node.leads_until(end), None);
 }
 
-/// A caller's accepted entry could vanish if a new leader took an earlier term's entry for committed
-/// because a majority holds it: a third keeper with a later term's entry could still be elected and
-/// replace it. So it commits only together with the first entry of the leader's own term.
+/// An accepted entry disappears if a leader commits an earlier term's entry because a majority has
+/// it: a third keeper with an entry of a later term can still be elected and replace it. Such an
+/// entry must be committed only together with the first entry of the leader's own term.
 #[test]
-fn leader_commits_no_earlier_term_by_counting() {
+fn leader_does_not_commit_earlier_terms_by_counting() {
     let (mut node, now) = leader();
     let matched = |index| {
         from_b(AgreementMessage::AppendReply(AppendReply {
@@ -53,10 +53,11 @@
     assert_eq!(commits, [0, 0, 2]);
 }
 
-/// Callers over a bound are told at once that nothing was appended. All proposals of a tick, and
-/// those that come while a sync runs, share one persist order.
+/// Unbounded queues would exhaust memory, and one sync per proposal would limit the rate. Requests
+/// above a limit are refused at once; proposals of a tick, and those during a sync, share one
+/// persist request.
 #[test]
-fn bounds_refuse_and_proposals_share_a_sync() {
+fn requests_above_limits_are_refused_and_proposals_share_a_sync() {
     let (mut node, now) = leader();
     let inputs = vec![propose(1, 17), propose(2, 16), propose(3, 1), propose(4, 1)];
     let reads = [5, 6].map(|token| AgreementInput::Read {
@@ -67,10 +68,10 @@
         change: MembershipChange::Remove(keeper("b", 2)),
     };
     let inputs = inputs.into_iter().chain(reads).chain([early]).collect();
-    let mut told = outcomes(&node.tick(now, inputs));
+    let mut observed = outcomes(&node.tick(now, inputs));
     let synced = AgreementInput::Persisted(PersistSequence(2));
-    told.extend(outcomes(&node.tick(now, vec![synced])));
-    insta::assert_debug_snapshot!(told, @r#"
+    observed.extend(outcomes(&node.tick(now, vec![synced])));
+    insta::assert_debug_snapshot!(observed, @r#"
     [
         "1 NotAppended(TooLarge { size: 17, limit: 16 })",
         "4 NotAppended(Busy)",
@@ -81,10 +82,10 @@
     "#);
 }
 
-/// Operators are told why a change of the membership is not made; a learner that lacks entries and
-/// counted would turn the loss of one more host into a standstill.
+/// A learner that lacks entries and is promoted would turn the loss of one more host into an
+/// outage. Harmful membership changes are refused with a reason for the operator.
 #[test]
-fn membership_changes_that_would_do_harm_are_refused() {
+fn harmful_membership_changes_are_refused() {
     let (mut node, now) = leader();
     let matched = |index| {
         from_b(AgreementMessage::AppendReply(AppendReply {
@@ -124,9 +125,10 @@
     "#);
 }
 
-/// An empty disk waits to be added, and a disk with a gap takes no part: neither ever stands.
+/// A keeper with an empty disk or with a gap in its log may lack acknowledged entries. It must
+/// never start an election: the former waits to be added, the latter is retired.
 #[test]
-fn empty_and_broken_disks_never_stand() {
+fn empty_and_broken_disks_never_start_an_election() {
     let mut broken = RestoredState::founding(membership());
     broken.entries[0].index = LogIndex(2);
     let mut roles = Vec::new();
@@ -146,9 +148,10 @@
     "#);
 }
 
-/// A group of one leads itself, and accepts once its own disk has the command.
+/// A group of one gets no replies that could advance the commit. It must elect itself, and accept a
+/// command after its own sync.
 #[test]
-fn one_keeper_alone_accepts_after_its_own_sync() {
+fn single_keeper_accepts_after_its_own_sync() {
     let mut alone = membership();
     alone.voters = BTreeSet::from([keeper("a", 2)]);
     let restored = RestoredState::founding(alone);
@@ -156,16 +159,16 @@
     let mut node = AgreementNode::new(settings(), keeper("a", 2), restored, start, 7);
     let now = node.next_deadline();
     let synced = |sequence| AgreementInput::Persisted(PersistSequence(sequence));
-    let mut told = Vec::new();
+    let mut observed = Vec::new();
     for inputs in [
         vec![],
         vec![synced(1)],
         vec![propose(1, 4), synced(2)],
         vec![synced(3)],
     ] {
-        told.push(outcomes(&node.tick(now, inputs)).join(", "));
+        observed.push(outcomes(&node.tick(now, inputs)).join(", "));
     }
-    insta::assert_debug_snapshot!(told, @r#"
+    insta::assert_debug_snapshot!(observed, @r#"
     [
         "persist 0",
         "persist 1",
@@ -175,10 +178,10 @@
     "#);
 }
 
-/// Keepers with one seed and one incarnation would split their votes for ever if they drew the
-/// same timeouts.
+/// Keepers with the same seed and incarnation that drew the same timeouts would split their votes
+/// forever.
 #[test]
-fn keepers_with_the_same_seed_draw_other_timeouts() {
+fn keepers_with_the_same_seed_draw_different_timeouts() {
     let due = ["a", "b", "c"].map(|host| {
         let restored = RestoredState::founding(membership());
         let id = keeper(host, 2);
--- a/crates/coordination/tests/agreement_contract/support.rs
+++ b/crates/coordination/tests/agreement_contract/support.rs
@@ -1,4 +1,4 @@
-//! Nodes, messages and outcomes that the contract tests share.
+//! Nodes, messages and outcomes shared by the contract tests.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
     }))
 }
 
-/// A leader of three in term 2 whose election ends at the returned time.
+/// A leader of a group of three in term 2, and the time of its election.
 pub(crate) fn leader() -> (AgreementNode, MonotonicTime) {
     let mut node = follower();
     let now = node.next_deadline();
@@ -105,7 +105,7 @@
     })
 }
 
-/// Kinds of effects with their outcome, without messages and status.
+/// Describes effects with an outcome; leaves out other messages and status changes.
 pub(crate) fn outcomes(effects: &[AgreementEffect]) -> Vec<String> {
     let outcome = |effect: &AgreementEffect| match effect {
         AgreementEffect::Proposal { token, outcome } => Some(format!("{token} {outcome:?}")),
@@ -113,7 +113,7 @@
         AgreementEffect::MembershipChange { outcome, .. } => Some(format!("{outcome:?}")),
         AgreementEffect::HandOver { outcome, .. } => Some(format!("{outcome:?}")),
         AgreementEffect::MessageDropped { reason, .. } => Some(reason.to_string()),
-        AgreementEffect::Persist(order) => Some(format!("persist {}", order.entries.len())),
+        AgreementEffect::Persist(request) => Some(format!("persist {}", request.entries.len())),
         AgreementEffect::Send(envelope) => match &envelope.message {
             AgreementMessage::AppendReply(reply) => Some(format!("{:?}", reply.outcome)),
             _ => None,
--- a/crates/coordination/tests/agreement_faults/callers.rs
+++ b/crates/coordination/tests/agreement_faults/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the fake cluster: what they ask, and what they are told.
+//! Callers of the simulated cluster: their requests and the outcomes that they receive.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::cluster::{Cluster, Event, MILLISECOND};
 use super::host::host_name;
 
-/// What callers were told.
+/// Number of outcomes that callers received, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct CallerTally {
     pub(crate) accepted: u64,
@@ -22,25 +22,25 @@
 
 impl Cluster {
     pub(crate) fn propose(&mut self, host: usize) {
-        let token = self.take_token();
+        let token = self.new_token();
         let command: Arc<[u8]> = Arc::from(token.0.to_be_bytes().as_slice());
         self.tick(host, vec![AgreementInput::Propose { token, command }]);
     }
 
     pub(crate) fn read(&mut self, host: usize) {
-        let token = self.take_token();
-        self.reading.insert(token, self.check.told_index);
+        let token = self.new_token();
+        self.pending_reads.insert(token, self.check.answered_index);
         self.tick(host, vec![AgreementInput::Read { token }]);
     }
 
     pub(crate) fn hand_over(&mut self, from: usize, to: usize) {
-        let token = self.take_token();
+        let token = self.new_token();
         let target = host_name(to);
         self.tick(from, vec![AgreementInput::HandOver { token, target }]);
     }
 
     pub(crate) fn change(&mut self, host: usize, change: MembershipChange) -> RequestToken {
-        let token = self.take_token();
+        let token = self.new_token();
         self.tick(
             host,
             vec![AgreementInput::ChangeMembership { token, change }],
@@ -48,7 +48,7 @@
         token
     }
 
-    /// Repeats a change at whoever leads until it is in force; false after 20 s.
+    /// Repeats a change at the current leader until it is in effect; false after 20 s.
     pub(crate) fn change_until_done(&mut self, change: &MembershipChange) -> bool {
         for _ in 0..200 {
             if let Some(leader) = self.leader() {
@@ -62,28 +62,28 @@
             }
         }
         self.check
-            .violate(format!("{change:?} not in force after 20 s"));
+            .record_violation(format!("{change:?} not in force after 20 s"));
         false
     }
 
-    /// The whole replacement of a host whose disk was emptied.
+    /// Replaces a host whose disk was emptied: adds its new incarnation and promotes it.
     pub(crate) fn replace(&mut self, host: usize) {
         let id = self.id(host);
         self.change_until_done(&MembershipChange::AddLearner(id.clone()));
         self.change_until_done(&MembershipChange::Promote(id));
     }
 
-    fn take_token(&mut self) -> RequestToken {
+    fn new_token(&mut self) -> RequestToken {
         self.next_token += 1;
         RequestToken(self.next_token)
     }
 
-    /// One caller's request, mostly at a keeper that believes to lead, also a wrong one.
+    /// Sends one caller's request, mostly to a keeper that claims to lead, sometimes to another.
     pub(crate) fn run_client(&mut self) {
         self.schedule(self.now + self.client_interval, Event::Client);
         let random_host = self.random.random_range(0..self.hosts.len());
-        let asks_leader = self.random.random_range(0..10) < 8;
-        let leader = self.leader().filter(|_| asks_leader);
+        let uses_leader = self.random.random_range(0..10) < 8;
+        let leader = self.leader().filter(|_| uses_leader);
         let host = leader.unwrap_or(random_host);
         if self.hosts[host].is_paused || self.hosts[host].node.is_none() {
             return;
@@ -94,26 +94,26 @@
         }
     }
 
-    pub(crate) fn note_proposal(&mut self, token: RequestToken, outcome: ProposalOutcome) {
+    pub(crate) fn record_proposal(&mut self, token: RequestToken, outcome: ProposalOutcome) {
         match outcome {
             ProposalOutcome::Committed(index) => {
-                self.check.accepts(token, index);
+                self.check.check_accepted(token, index);
                 self.tally.accepted += 1;
                 self.last_accepted_at = self.now;
             }
             ProposalOutcome::NotAppended(_) => {
-                self.check.refuses(token);
+                self.check.record_refused(token);
                 self.tally.refused += 1;
             }
             ProposalOutcome::Unknown => self.tally.unknown += 1,
         }
     }
 
-    pub(crate) fn note_read(&mut self, host: usize, token: RequestToken, outcome: &ReadOutcome) {
-        let known = self.reading.remove(&token);
+    pub(crate) fn record_read(&mut self, host: usize, token: RequestToken, outcome: &ReadOutcome) {
+        let known = self.pending_reads.remove(&token);
         if let (Some(known), ReadOutcome::Ready(index)) = (known, outcome) {
             let applied = self.hosts[host].applied;
-            self.check.reads(known, *index, applied);
+            self.check.check_read(known, *index, applied);
             self.tally.reads += 1;
         }
     }
--- a/crates/coordination/tests/agreement_faults/checks.rs
+++ b/crates/coordination/tests/agreement_faults/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, whatever fails.
+//! Invariants that are checked after every step, whatever fails.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
     RequestToken, Term, VoteKind,
 };
 
-/// The history that all keepers must share, and what was found against it.
+/// The history that all keepers must share, and the violations found.
 #[derive(Debug, Default)]
 pub(crate) struct HistoryCheck {
     committed: Vec<LogEntry>,
     leaders: BTreeMap<Term, KeeperId>,
     votes: BTreeMap<(KeeperId, Term), KeeperId>,
     refused: BTreeMap<RequestToken, u64>,
-    /// Highest index that any caller was told of.
-    pub(crate) told_index: LogIndex,
+    /// Highest index that any caller received in an answer.
+    pub(crate) answered_index: LogIndex,
     pub(crate) violations: Vec<String>,
 }
 
 impl HistoryCheck {
-    pub(crate) fn violate(&mut self, text: String) {
+    pub(crate) fn record_violation(&mut self, text: String) {
         self.violations.push(text);
     }
 
@@ -28,20 +28,20 @@
         LogIndex(self.committed.len() as u64)
     }
 
-    /// One leader per term.
-    pub(crate) fn leads(&mut self, term: Term, keeper: &KeeperId) {
+    /// Checks that each term has one leader.
+    pub(crate) fn check_leader(&mut self, term: Term, keeper: &KeeperId) {
         let first = self
             .leaders
             .entry(term)
             .or_insert_with(|| keeper.clone())
             .clone();
         if first != *keeper {
-            self.violate(format!("{first} and {keeper} both lead term {term}"));
+            self.record_violation(format!("{first} and {keeper} both lead term {term}"));
         }
     }
 
-    /// One vote per keeper and term.
-    pub(crate) fn sends(&mut self, envelope: &AgreementEnvelope) {
+    /// Checks that each keeper grants one vote per term.
+    pub(crate) fn check_vote(&mut self, envelope: &AgreementEnvelope) {
         let AgreementMessage::VoteReply(reply) = &envelope.message else {
             return;
         };
@@ -55,19 +55,22 @@
             .or_insert_with(|| envelope.to.clone())
             .clone();
         if first != envelope.to {
-            self.violate(format!("{} votes twice in {}", envelope.from, reply.term));
+            self.record_violation(format!(
+                "{} votes twice in term {}",
+                envelope.from, reply.term
+            ));
         }
     }
 
-    /// Same entries in the same order everywhere. Returns whether the entry is the first of its
-    /// index to be delivered anywhere.
-    pub(crate) fn delivers(&mut self, keeper: &KeeperId, entry: &LogEntry) -> bool {
+    /// Checks that all keepers deliver the same entries in the same order. Returns whether the
+    /// entry is the first of its index to be delivered by any keeper.
+    pub(crate) fn check_delivery(&mut self, keeper: &KeeperId, entry: &LogEntry) -> bool {
         let position = entry.index.0 as usize - 1;
         match self.committed.get(position) {
             Some(first) if first == entry => false,
             Some(first) => {
                 let text = format!("{keeper} delivers {entry:?} after {first:?}");
-                self.violate(text);
+                self.record_violation(text);
                 false
             }
             None if position == self.committed.len() => {
@@ -75,44 +78,44 @@
                 true
             }
             None => {
-                self.violate(format!("{keeper} skips to {}", entry.index));
+                self.record_violation(format!("{keeper} skips to {}", entry.index));
                 false
             }
         }
     }
 
-    /// An accepted command stands where its caller was told.
-    pub(crate) fn accepts(&mut self, token: RequestToken, index: LogIndex) {
+    /// Checks that an accepted command is at the index that its caller received.
+    pub(crate) fn check_accepted(&mut self, token: RequestToken, index: LogIndex) {
         let entry = self.committed.get(index.0 as usize - 1);
         let is_there = entry.is_some_and(|entry| command_token(entry) == Some(token));
         if !is_there {
-            self.violate(format!("{token} is not at {index}: {entry:?}"));
+            self.record_violation(format!("{token} is not at {index}: {entry:?}"));
         }
-        self.told_index = self.told_index.max(index);
+        self.answered_index = self.answered_index.max(index);
     }
 
-    pub(crate) fn refuses(&mut self, token: RequestToken) {
+    pub(crate) fn record_refused(&mut self, token: RequestToken) {
         self.refused.insert(token, 0);
     }
 
-    /// A read never misses what any caller knew before it began.
-    pub(crate) fn reads(&mut self, known: LogIndex, index: LogIndex, applied: LogIndex) {
+    /// Checks that a read includes every index that any caller knew before the read began.
+    pub(crate) fn check_read(&mut self, known: LogIndex, index: LogIndex, applied: LogIndex) {
         if index < known || applied < index {
-            self.violate(format!(
-                "read at {index}, applied {applied}, but {known} was told before"
+            self.record_violation(format!(
+                "read at {index}, applied {applied}, but {known} was answered before"
             ));
         }
-        self.told_index = self.told_index.max(index);
+        self.answered_index = self.answered_index.max(index);
     }
 
-    /// Logs that agree on an entry agree on everything before it.
+    /// Checks that logs with a common entry are identical before it.
     pub(crate) fn compare_logs(&mut self, left: &AgreementNode, right: &AgreementNode) {
         let mut index = left.last_index().min(right.last_index());
         let mut is_matched = false;
         while let (Some(mine), Some(theirs)) = (left.entry_at(index), right.entry_at(index)) {
             if is_matched && mine != theirs {
                 let (left, right) = (left.id(), right.id());
-                self.violate(format!(
+                self.record_violation(format!(
                     "{left} and {right} differ below a match at {index}"
                 ));
                 return;
@@ -122,28 +125,28 @@
         }
     }
 
-    /// At the end: no refused command ran, and none ran twice.
+    /// Checks at the end that no refused command ran, and that none ran twice.
     pub(crate) fn finish(&mut self) {
         let mut seen = BTreeMap::new();
         let tokens: Vec<RequestToken> = self.committed.iter().filter_map(command_token).collect();
         for token in tokens {
             if self.refused.contains_key(&token) {
-                self.violate(format!("{token} was refused and runs"));
+                self.record_violation(format!("{token} was refused, but is committed"));
             }
             if seen.insert(token, ()).is_some() {
-                self.violate(format!("{token} runs twice"));
+                self.record_violation(format!("{token} is committed twice"));
             }
         }
     }
 
-    /// State after `index`, as every state machine must encode it.
+    /// State after `index`, which every state machine must encode.
     pub(crate) fn state_at(&self, index: LogIndex) -> u64 {
         let entries = self.committed.iter().take(index.0 as usize);
         entries.fold(0, fold_state)
     }
 }
 
-/// The token that a command carries.
+/// The token that a command contains.
 fn command_token(entry: &LogEntry) -> Option<RequestToken> {
     let EntryPayload::Command(command) = &entry.payload else {
         return None;
@@ -152,7 +155,7 @@
     Some(RequestToken(u64::from_be_bytes(bytes)))
 }
 
-/// A state in which order matters.
+/// Next state after `entry`; depends on the order of entries.
 pub(crate) fn fold_state(state: u64, entry: &LogEntry) -> u64 {
     let token = command_token(entry).map_or(entry.index.0, |token| token.0);
     state.wrapping_mul(0x0100_0000_01b3).wrapping_add(token)
--- a/crates/coordination/tests/agreement_faults/cluster.rs
+++ b/crates/coordination/tests/agreement_faults/cluster.rs
@@ -1,4 +1,4 @@
-//! Keepers on a fake network with fake disks, in virtual time, driven by one seed.
+//! Keepers with simulated network and disks, in virtual time, determined by one seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -25,32 +25,32 @@
 const CLIENT_INTERVAL: Micros = 7 * MILLISECOND;
 const LOG_CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 
-/// How badly messages fare.
+/// Delay, loss and duplication of messages.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NetworkFaults {
     pub(crate) max_delay: Micros,
     pub(crate) drop_percent: u32,
-    pub(crate) double_percent: u32,
+    pub(crate) duplicate_percent: u32,
 }
 
 impl NetworkFaults {
     pub(crate) const NONE: Self = Self {
         max_delay: 900,
         drop_percent: 0,
-        double_percent: 0,
+        duplicate_percent: 0,
     };
-    pub(crate) const ROUGH: Self = Self {
+    pub(crate) const UNRELIABLE: Self = Self {
         max_delay: 40 * MILLISECOND,
         drop_percent: 15,
-        double_percent: 15,
+        duplicate_percent: 15,
     };
 }
 
 #[derive(Debug)]
 pub(crate) enum Event {
     Deliver(AgreementEnvelope),
-    Synced { host: usize, life: u64 },
-    Wake { host: usize, life: u64 },
+    Synced { host: usize, generation: u64 },
+    Wake { host: usize, generation: u64 },
     Client,
 }
 
@@ -62,28 +62,28 @@
     pub(crate) faults: NetworkFaults,
     pub(crate) tally: CallerTally,
     pub(crate) last_accepted_at: Micros,
-    /// Disk faults break the rule that a majority of disks holds what was committed.
+    /// Whether no disk fault occurred; otherwise a majority of disks may lack committed entries.
     pub(crate) disks_are_kept: bool,
     pub(crate) changes: BTreeMap<RequestToken, ProposalOutcome>,
     pub(crate) hand_overs: Vec<HandOverOutcome>,
     pub(crate) settings: AgreementSettings,
     pub(crate) hosts: Vec<FakeHost>,
-    pub(crate) cut: BTreeSet<(usize, usize)>,
+    pub(crate) cut_links: BTreeSet<(usize, usize)>,
     pub(crate) events: BinaryHeap<Reverse<(Micros, u64)>>,
     pub(crate) event_bodies: BTreeMap<u64, Event>,
     pub(crate) next_event: u64,
     pub(crate) next_token: u64,
-    pub(crate) reading: BTreeMap<RequestToken, LogIndex>,
+    pub(crate) pending_reads: BTreeMap<RequestToken, LogIndex>,
     pub(crate) next_log_check: Micros,
     /// Time between two requests of callers.
     pub(crate) client_interval: Micros,
-    /// Longest time of a sync.
+    /// Maximum duration of a sync.
     pub(crate) max_sync: Micros,
     pub(crate) lost_identity: BTreeSet<usize>,
 }
 
 impl Cluster {
-    /// `keepers` voters of a new group, all started.
+    /// Starts a new group of `keepers` voters.
     pub(crate) fn new(seed: u64, keepers: usize, settings: AgreementSettings) -> Self {
         let mut cluster = Self {
             now: 0,
@@ -97,12 +97,12 @@
             hand_overs: Vec::new(),
             settings,
             hosts: Vec::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             events: BinaryHeap::new(),
             event_bodies: BTreeMap::new(),
             next_event: 0,
             next_token: 1,
-            reading: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
             next_log_check: 0,
             client_interval: CLIENT_INTERVAL,
             lost_identity: BTreeSet::new(),
@@ -117,7 +117,7 @@
             let founding = RestoredState::founding(membership.clone());
             cluster
                 .hosts
-                .push(FakeHost::new(FakeDisk::holding(founding)));
+                .push(FakeHost::new(FakeDisk::from_state(founding)));
             cluster.start(host);
         }
         cluster.schedule(CLIENT_INTERVAL, Event::Client);
@@ -139,13 +139,13 @@
         (0..self.hosts.len()).filter(leads).max_by_key(term_of)
     }
 
-    /// Whether a host believes to lead.
+    /// Whether a host claims to lead.
     pub(crate) fn leads(&self, host: usize) -> bool {
         let role = self.node(host).map(|node| node.status().role);
         role == Some(KeeperRole::Leader)
     }
 
-    /// A leader, waiting for one where there is none.
+    /// Returns the leader; waits up to 10 s for one.
     pub(crate) fn await_leader(&mut self) -> usize {
         for _ in 0..1_000 {
             if let Some(leader) = self.leader() {
@@ -153,7 +153,8 @@
             }
             self.run_for(10 * MILLISECOND);
         }
-        self.check.violate("no leader within 10 s".to_owned());
+        self.check
+            .record_violation("no leader within 10 s".to_owned());
         0
     }
 
@@ -170,16 +171,16 @@
         Some(leader.status().term)
     }
 
-    /// Notes a finding unless `is_met`.
+    /// Records a violation unless `is_met`.
     pub(crate) fn expect(&mut self, is_met: bool, finding: &str) {
         if !is_met {
-            self.check.violate(finding.to_owned());
+            self.check.record_violation(finding.to_owned());
         }
     }
 
-    /// Runs for a random time up to `longest`.
-    pub(crate) fn run_for_random(&mut self, longest: Micros) {
-        let duration = self.random.random_range(0..=longest);
+    /// Runs for a random time up to `max`.
+    pub(crate) fn run_for_random(&mut self, max: Micros) {
+        let duration = self.random.random_range(0..=max);
         self.run_for(duration);
     }
 
@@ -192,7 +193,7 @@
             self.events.pop();
             self.now = at;
             if let Some(event) = self.event_bodies.remove(&id) {
-                self.take_event(event);
+                self.handle_event(event);
             }
             self.check_logs();
         }
@@ -220,21 +221,21 @@
         self.event_bodies.insert(self.next_event, event);
     }
 
-    fn take_event(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver(envelope) => {
                 let host = host_index(&envelope.to);
-                if !self.cut.contains(&(host_index(&envelope.from), host)) {
+                if !self.cut_links.contains(&(host_index(&envelope.from), host)) {
                     self.input(host, AgreementInput::Message(envelope));
                 }
             }
-            Event::Synced { host, life } if self.hosts[host].life == life => {
-                if let Some(order) = self.hosts[host].writing.take() {
-                    self.hosts[host].disk.write(&order, usize::MAX);
-                    self.input(host, AgreementInput::Persisted(order.sequence));
+            Event::Synced { host, generation } if self.hosts[host].generation == generation => {
+                if let Some(request) = self.hosts[host].writing.take() {
+                    self.hosts[host].disk.write(&request, usize::MAX);
+                    self.input(host, AgreementInput::Persisted(request.sequence));
                 }
             }
-            Event::Wake { host, life } if self.hosts[host].life == life => {
+            Event::Wake { host, generation } if self.hosts[host].generation == generation => {
                 self.hosts[host].wake_at = None;
                 if !self.hosts[host].is_paused {
                     self.tick(host, Vec::new());
@@ -261,25 +262,34 @@
         };
         let effects = node.tick(now, inputs);
         let wake_at = host.clock.when(node.next_deadline().as_micros());
-        let life = host.life;
+        let generation = host.generation;
         if host.wake_at.is_none_or(|at| wake_at < at) && wake_at < Micros::MAX / 2 {
             host.wake_at = Some(wake_at);
-            self.schedule(wake_at.max(self.now + 1), Event::Wake { host: index, life });
+            self.schedule(
+                wake_at.max(self.now + 1),
+                Event::Wake {
+                    host: index,
+                    generation,
+                },
+            );
         }
         for effect in effects {
-            self.take_effect(index, effect);
+            self.handle_effect(index, effect);
         }
     }
 
-    fn take_effect(&mut self, host: usize, effect: AgreementEffect) {
+    fn handle_effect(&mut self, host: usize, effect: AgreementEffect) {
         match effect {
             AgreementEffect::Send(envelope) => self.transmit(envelope),
-            AgreementEffect::Persist(order) => {
-                let life = self.hosts[host].life;
+            AgreementEffect::Persist(request) => {
+                let generation = self.hosts[host].generation;
                 let latency = self.random.random_range(200..self.max_sync);
-                assert!(self.hosts[host].writing.is_none(), "two orders are out");
-                self.hosts[host].writing = Some(order);
-                self.schedule(self.now + latency, Event::Synced { host, life });
+                assert!(
+                    self.hosts[host].writing.is_none(),
+                    "two persist requests are outstanding"
+                );
+                self.hosts[host].writing = Some(request);
+                self.schedule(self.now + latency, Event::Synced { host, generation });
             }
             AgreementEffect::Committed(entries) => {
                 for entry in entries {
@@ -292,15 +302,15 @@
                 self.hosts[host].state = state;
             }
             AgreementEffect::SnapshotRequested { index } => self.take_snapshot(host, index),
-            AgreementEffect::Proposal { token, outcome } => self.note_proposal(token, outcome),
-            AgreementEffect::Read { token, outcome } => self.note_read(host, token, &outcome),
+            AgreementEffect::Proposal { token, outcome } => self.record_proposal(token, outcome),
+            AgreementEffect::Read { token, outcome } => self.record_read(host, token, &outcome),
             AgreementEffect::MembershipChange { token, outcome } => {
                 self.changes.insert(token, outcome);
             }
             AgreementEffect::HandOver { outcome, .. } => self.hand_overs.push(outcome),
             AgreementEffect::RoleChanged(status) if status.role == KeeperRole::Leader => {
                 let id = self.id(host);
-                self.check.leads(status.term, &id);
+                self.check.check_leader(status.term, &id);
             }
             AgreementEffect::IdentityLost { .. } => {
                 self.lost_identity.insert(host);
@@ -313,13 +323,13 @@
     }
 
     fn transmit(&mut self, envelope: AgreementEnvelope) {
-        self.check.sends(&envelope);
+        self.check.check_vote(&envelope);
         let faults = self.faults;
         if self.random.random_range(0..100) < faults.drop_percent {
             return;
         }
-        let is_doubled = self.random.random_range(0..100) < faults.double_percent;
-        if is_doubled {
+        let is_duplicated = self.random.random_range(0..100) < faults.duplicate_percent;
+        if is_duplicated {
             let delay = self.random.random_range(100..=faults.max_delay * 3);
             self.schedule(self.now + delay, Event::Deliver(envelope.clone()));
         }
@@ -332,16 +342,16 @@
         let host = &mut self.hosts[index];
         if entry.index != host.applied.next() {
             let text = format!("{id} applies {} after {}", entry.index, host.applied);
-            self.check.violate(text);
+            self.check.record_violation(text);
         }
         host.applied = entry.index;
         host.state = fold_state(host.state, entry);
-        if self.check.delivers(&id, entry) && self.disks_are_kept {
+        if self.check.check_delivery(&id, entry) && self.disks_are_kept {
             self.check_synced(index, entry);
         }
     }
 
-    /// What is committed was synced by a quorum before anyone was told.
+    /// Checks that a quorum synced a committed entry before any keeper delivered it.
     fn check_synced(&mut self, host: usize, entry: &LogEntry) {
         let Some(node) = self.hosts[host].node.as_ref() else {
             return;
@@ -351,12 +361,12 @@
         let held = membership.voters.iter().filter(holds).count();
         if held < membership.quorum() {
             let text = format!("{} committed, but only {held} disks hold it", entry.index);
-            self.check.violate(text);
+            self.check.record_violation(text);
         }
     }
 
     fn take_snapshot(&mut self, host: usize, index: LogIndex) {
-        // Padding makes the transfer take several chunks.
+        // Padding makes the snapshot larger than one chunk.
         const PADDING: [u8; 100] = [0; 100];
         let mut bytes = index.0.to_be_bytes().to_vec();
         bytes.extend_from_slice(&self.hosts[host].state.to_be_bytes());
--- a/crates/coordination/tests/agreement_faults/disk.rs
+++ b/crates/coordination/tests/agreement_faults/disk.rs
@@ -1,10 +1,10 @@
-//! A disk that keeps only what was synced.
+//! Simulated disk that keeps only synced state.
 
 use pollendrift_coordination::agreement::{
     HardState, LogEntry, LogIndex, PersistRequest, RestoredState, StoredSnapshot,
 };
 
-/// What is synced on one disk.
+/// Synced state of one disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FakeDisk {
     hard_state: HardState,
@@ -13,7 +13,7 @@
 }
 
 impl FakeDisk {
-    pub(crate) fn holding(state: RestoredState) -> Self {
+    pub(crate) fn from_state(state: RestoredState) -> Self {
         Self {
             hard_state: state.hard_state,
             snapshot: state.snapshot,
@@ -34,32 +34,32 @@
         in_snapshot || self.entries.iter().rev().any(|held| held == entry)
     }
 
-    /// Applies the first `steps` writes of an order; a crash may stop after any of them.
-    pub(crate) fn write(&mut self, order: &PersistRequest, steps: usize) {
-        let mut left = steps;
+    /// Applies the first `steps` writes of a request; a crash may interrupt after any of them.
+    pub(crate) fn write(&mut self, request: &PersistRequest, steps: usize) {
+        let mut remaining = steps;
         let mut may_write = || {
-            let may = left > 0;
-            left = left.saturating_sub(1);
-            may
+            let allowed = remaining > 0;
+            remaining = remaining.saturating_sub(1);
+            allowed
         };
-        if let Some(hard_state) = &order.hard_state
+        if let Some(hard_state) = &request.hard_state
             && may_write()
         {
             self.hard_state = hard_state.clone();
         }
-        if let Some(snapshot) = &order.snapshot
+        if let Some(snapshot) = &request.snapshot
             && may_write()
         {
             let index = snapshot.mark.index;
             self.snapshot = Some(snapshot.clone());
             self.entries.retain(|entry| entry.index > index);
         }
-        if let Some(from) = order.truncate_from
+        if let Some(from) = request.truncate_from
             && may_write()
         {
             self.entries.retain(|entry| entry.index < from);
         }
-        for entry in &order.entries {
+        for entry in &request.entries {
             if may_write() {
                 self.push(entry);
             }
@@ -69,7 +69,7 @@
     fn push(&mut self, entry: &LogEntry) {
         let last = self.entries.last().map(|held| held.index);
         let last = last.unwrap_or_else(|| self.snapshot_index());
-        assert_eq!(entry.index, last.next(), "the order leaves a gap");
+        assert_eq!(entry.index, last.next(), "the persist request leaves a gap");
         self.entries.push(entry.clone());
     }
 
--- a/crates/coordination/tests/agreement_faults/faults.rs
+++ b/crates/coordination/tests/agreement_faults/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to hosts, disks and the network, and the healing at the end.
+//! Faults of hosts, disks and the network, and their repair.
 
 use pollendrift_coordination::agreement::{AgreementNode, LogIndex};
 use pollendrift_coordination::base::MonotonicTime;
@@ -9,22 +9,22 @@
 use super::host::{FakeHost, HostClock, read_snapshot};
 
 impl Cluster {
-    /// Kills the process; `torn` leaves a part of the order that was being written.
+    /// Kills the process; with `torn`, a random part of the current write reaches the disk.
     pub(crate) fn crash(&mut self, host: usize, torn: bool) {
         let steps = self.random.random_range(0..6);
         let host = &mut self.hosts[host];
         host.node = None;
-        host.life += 1;
+        host.generation += 1;
         host.is_paused = false;
         host.backlog.clear();
-        if let Some(order) = host.writing.take()
+        if let Some(request) = host.writing.take()
             && torn
         {
-            host.disk.write(&order, steps);
+            host.disk.write(&request, steps);
         }
     }
 
-    /// Starts the process on what its disk holds.
+    /// Starts the process from the content of its disk.
     pub(crate) fn start(&mut self, index: usize) {
         let seed = self.random.random();
         let id = self.id(index);
@@ -37,22 +37,22 @@
         }
         host.clock = HostClock::starting(self.now);
         host.wake_at = None;
-        host.life += 1;
+        host.generation += 1;
         let settings = self.settings.clone();
         let node = AgreementNode::new(settings, id, restored, MonotonicTime::START, seed);
         host.node = Some(node);
         self.tick(index, Vec::new());
     }
 
-    /// Kills a host unless `most` are down or paused already.
-    pub(crate) fn crash_some(&mut self, host: usize, most: usize) {
+    /// Kills a host unless `max` hosts are down or paused already.
+    pub(crate) fn crash_some(&mut self, host: usize, max: usize) {
         let is_down = |host: &&FakeHost| host.node.is_none() || host.is_paused;
-        if self.hosts.iter().filter(is_down).count() < most {
+        if self.hosts.iter().filter(is_down).count() < max {
             self.crash(host, true);
         }
     }
 
-    /// Starts and resumes what is down or paused.
+    /// Starts stopped hosts and resumes paused ones.
     pub(crate) fn start_all(&mut self) {
         for host in 0..self.hosts.len() {
             if self.hosts[host].is_paused {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Empties the disk of a stopped host; it comes back under a new incarnation.
+    /// Empties the disk of a stopped host and gives the host a new incarnation.
     pub(crate) fn empty_disk(&mut self, host: usize) {
         self.disks_are_kept = false;
         self.hosts[host].disk = FakeDisk::default();
@@ -76,7 +76,7 @@
         self.hosts[host].disk.clone()
     }
 
-    /// Puts an old copy of the disk back, with its old identity.
+    /// Restores an old copy of the disk, with its old identity.
     pub(crate) fn put_disk_back(&mut self, host: usize, disk: FakeDisk) {
         self.disks_are_kept = false;
         self.hosts[host].disk = disk;
@@ -86,7 +86,7 @@
         self.hosts[host].is_paused = true;
     }
 
-    /// Lets a host's clock run at `percent` of the true rate.
+    /// Sets the rate of a host's clock to `percent` of the real rate.
     pub(crate) fn set_clock_rate(&mut self, host: usize, percent: u64) {
         let now = self.now;
         self.hosts[host].clock.set_rate(now, percent);
@@ -98,23 +98,23 @@
         self.tick(host, backlog);
     }
 
-    /// Cuts `side` off from all other hosts.
+    /// Cuts all links between the hosts of `side` and all other hosts.
     pub(crate) fn partition(&mut self, side: &[usize]) {
         for left in 0..self.hosts.len() {
             for right in 0..self.hosts.len() {
                 if side.contains(&left) != side.contains(&right) {
-                    self.cut.insert((left, right));
+                    self.cut_links.insert((left, right));
                 }
             }
         }
     }
 
-    /// Loses every message from one host to another.
+    /// Drops every message from one host to another.
     pub(crate) fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
-    /// Adds a host with an empty disk.
+    /// Adds and starts a host with an empty disk.
     pub(crate) fn add_host(&mut self) -> usize {
         let host = self.hosts.len();
         self.hosts.push(FakeHost::new(FakeDisk::default()));
@@ -122,7 +122,7 @@
         host
     }
 
-    /// Notes a finding unless a command is accepted within a second.
+    /// Records a violation unless a command is accepted within a second.
     pub(crate) fn expect_accepting(&mut self, finding: &str) {
         let accepted = self.tally.accepted;
         self.run_for(SECOND);
@@ -130,25 +130,26 @@
     }
 
     pub(crate) fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
         self.faults = NetworkFaults::NONE;
     }
 
-    /// Heals everything, restarts what is down, and checks that all reach the same state.
+    /// Repairs all faults, restarts stopped hosts, and checks that all reach the same state.
     pub(crate) fn converge(&mut self) {
         self.heal();
         self.start_all();
         let accepted = self.tally.accepted;
         self.run_for(3 * SECOND);
         if self.check.violations.is_empty() && self.tally.accepted == accepted {
-            self.check
-                .violate("nothing is accepted after healing".to_owned());
+            self.check.record_violation(
+                "no command is accepted after the repair of all faults".to_owned(),
+            );
         }
         self.check_same_state();
         self.check.finish();
     }
 
-    /// What a leader reports, in one line.
+    /// Describes a leader's redundancy report in one line.
     pub(crate) fn describe_redundancy(&self, leader: usize) -> String {
         let report = self.node(leader).and_then(AgreementNode::redundancy);
         let Some(report) = report else {
@@ -171,11 +172,12 @@
             }
             let lag = committed.0 - host.applied.0;
             if lag > 50 {
-                let text = format!("host {index} is {lag} entries behind after healing");
-                self.check.violate(text);
+                let text =
+                    format!("host {index} is {lag} entries behind after the repair of all faults");
+                self.check.record_violation(text);
             } else if host.state != self.check.state_at(host.applied) {
                 self.check
-                    .violate(format!("host {index} holds another state"));
+                    .record_violation(format!("host {index} has a different state"));
             }
         }
     }
--- a/crates/coordination/tests/agreement_faults/host.rs
+++ b/crates/coordination/tests/agreement_faults/host.rs
@@ -1,4 +1,4 @@
-//! One host of the fake cluster.
+//! One host of the simulated cluster.
 
 use pollendrift_coordination::agreement::{
     AgreementInput, AgreementNode, KeeperId, LogIndex, PersistRequest, StoredSnapshot,
@@ -29,11 +29,13 @@
         self.local + (now - self.since) * self.percent / 100
     }
 
-    /// The global time at which this clock shows `local`, or somewhat later.
+    /// Earliest global time, rounded up, at which this clock shows `local`.
     pub(crate) fn when(&self, local: Micros) -> Micros {
-        let left = local.saturating_sub(self.local);
-        let true_left = (left / self.percent).saturating_add(1).saturating_mul(100);
-        self.since.saturating_add(true_left)
+        let remaining = local.saturating_sub(self.local);
+        let real_remaining = (remaining / self.percent)
+            .saturating_add(1)
+            .saturating_mul(100);
+        self.since.saturating_add(real_remaining)
     }
 
     pub(crate) fn set_rate(&mut self, now: Micros, percent: u64) {
@@ -43,14 +45,14 @@
     }
 }
 
-/// One host: its process, its disk, and what its state machine applied.
+/// One host: its process, its disk, and the state of its state machine.
 #[derive(Debug)]
 pub(crate) struct FakeHost {
     pub(crate) incarnation: u64,
     pub(crate) disk: FakeDisk,
     pub(crate) node: Option<AgreementNode>,
-    /// Rises with each crash, so that what an earlier process left behind is recognised.
-    pub(crate) life: u64,
+    /// Increments with each crash and start, so that events of an earlier process are ignored.
+    pub(crate) generation: u64,
     pub(crate) clock: HostClock,
     pub(crate) wake_at: Option<Micros>,
     pub(crate) writing: Option<PersistRequest>,
@@ -66,7 +68,7 @@
             incarnation: 1,
             disk,
             node: None,
-            life: 0,
+            generation: 0,
             clock: HostClock::starting(0),
             wake_at: None,
             writing: None,
--- a/crates/coordination/tests/agreement_faults/lost_voters.rs
+++ b/crates/coordination/tests/agreement_faults/lost_voters.rs
@@ -1,4 +1,4 @@
-//! Voters that never come back, one after another, in a group that takes them out by itself.
+//! Automatic removal of voters that never return.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use super::cluster::{Cluster, SECOND};
 use super::seed_count;
 
-/// Silence after which a voter is taken out here.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Time without an answer after which the group removes a voter.
+const LOST_VOTER_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn retiring_settings() -> AgreementSettings {
     AgreementSettings {
-        lost_voter_timeout: Some(PATIENCE),
+        lost_voter_timeout: Some(LOST_VOTER_TIMEOUT),
         ..small_settings()
     }
 }
 
-/// Callers are served on, with two of five keepers left in the end of those that began; nothing
-/// that was accepted is lost. Each loss shrinks the group before the next comes. Were lost voters
-/// kept, the third loss would leave two of five, and no quorum ever again.
+/// If lost voters stayed in the membership, the third loss in a group of five would leave two
+/// voters and no quorum ever again. Each loss must shrink the group before the next one, so that
+/// the two remaining keepers of the original five still accept commands and lose none.
 #[test]
-fn a_group_outlives_the_losses_that_it_had_time_to_note() {
+fn group_survives_successive_losses_of_voters() {
     let mut findings = String::new();
     for seed in 0..seed_count() {
         let mut cluster = Cluster::new(seed, 5, retiring_settings());
         cluster.await_leader();
         for (loss, voters) in [4, 3, 3].into_iter().enumerate() {
-            // The leader is lost too.
+            // The first loss is the leader.
             let lost = if loss == 0 {
                 cluster.await_leader()
             } else {
@@ -43,18 +43,21 @@
             let counted = cluster
                 .node(leader)
                 .map(|node| node.membership().voters.len());
-            cluster.expect(counted == Some(voters), "the group has another size");
+            cluster.expect(
+                counted == Some(voters),
+                "the group has an unexpected number of voters",
+            );
         }
-        note(&cluster, seed, &mut findings);
+        record_findings(&cluster, seed, &mut findings);
     }
     insta::assert_snapshot!(findings, @"");
 }
 
-/// Callers of a keeper that was cut off get no answer from it; those of the others are served. Both
-/// sides wait longer than the patience: the side without a quorum must take nobody out, or there
-/// would be two groups once the cut heals.
+/// A partition lasts longer than the timeout for lost voters. If the side without a quorum removed
+/// voters, there would be two groups after the partition heals. Its callers get no answer; those
+/// of the other side are served.
 #[test]
-fn a_side_without_a_quorum_takes_nobody_out() {
+fn side_without_a_quorum_removes_no_voter() {
     let mut findings = String::new();
     for seed in 0..seed_count() {
         let mut cluster = Cluster::new(seed, 5, retiring_settings());
@@ -62,23 +65,23 @@
         let other = (leader + 1) % 5;
         cluster.partition(&[leader, other]);
         cluster.run_for(10 * SECOND);
-        cluster.expect_accepting("the side with a quorum does not serve");
+        cluster.expect_accepting("the side with a quorum accepts no command");
         for host in [leader, other] {
             let voters = cluster
                 .node(host)
                 .map(|node| node.membership().voters.len());
             cluster.expect(
                 voters == Some(5),
-                "a side without a quorum changed the group",
+                "a side without a quorum changed the membership",
             );
             cluster.expect(!cluster.leads(host), "a side without a quorum has a leader");
         }
-        note(&cluster, seed, &mut findings);
+        record_findings(&cluster, seed, &mut findings);
     }
     insta::assert_snapshot!(findings, @"");
 }
 
-fn note(cluster: &Cluster, seed: u64, findings: &mut String) {
+fn record_findings(cluster: &Cluster, seed: u64, findings: &mut String) {
     for violation in &cluster.check.violations {
         writeln!(findings, "seed {seed}: {violation}").unwrap();
     }
--- a/crates/coordination/tests/agreement_faults/main.rs
+++ b/crates/coordination/tests/agreement_faults/main.rs
@@ -1,5 +1,5 @@
-//! Agreement under faults, in virtual time. `POLLENDRIFT_SEEDS=1000` runs that many seeds a case,
-//! `POLLENDRIFT_CASE=disk` only the cases whose name contains the word.
+//! Agreement under faults, in virtual time. `POLLENDRIFT_SEEDS=1000` runs 1,000 seeds per case;
+//! `POLLENDRIFT_CASE=disk` runs only the cases whose name contains `disk`.
 #![allow(clippy::unwrap_used)]
 
 mod callers;
@@ -20,25 +20,27 @@
 use cluster::{Cluster, MILLISECOND, SECOND};
 use recovery::{ELECTION_TIMEOUTS, LeaderEnd, measure_recovery};
 
-/// Seeds that run by default; every one that ever showed a fault is added to `FOUND_SEEDS`.
+/// Seeds that run by default; each seed that shows a fault is added to `FOUND_SEEDS`.
 const FIXED_SEEDS: u64 = 4;
 
-/// Seeds that showed a fault once: case and seed.
-const FOUND_SEEDS: [(&str, u64); 1] = [("disk put back from an old copy", 2)];
+/// Case and seed of each fault that was found.
+const FOUND_SEEDS: [(&str, u64); 1] = [("disk restored from an old copy", 2)];
 
 fn seed_count() -> u64 {
-    let wanted = std::env::var("POLLENDRIFT_SEEDS").ok();
-    wanted
+    let requested = std::env::var("POLLENDRIFT_SEEDS").ok();
+    requested
         .and_then(|text| text.parse().ok())
         .unwrap_or(FIXED_SEEDS)
 }
 
-/// One line per case: seeds that held all invariants, and the first findings against them.
+/// A fault would violate an invariant of agreement, such as two leaders in one term or a lost
+/// accepted command. Prints one line per case and reports the first violation of each seed.
+/// Regressions of faults that were found with these seeds.
 #[test]
 fn all_invariants_hold_under_every_fault() {
     let mut findings = String::new();
-    let wanted = std::env::var("POLLENDRIFT_CASE").unwrap_or_default();
-    for case in CASES.iter().filter(|case| case.name.contains(&wanted)) {
+    let requested = std::env::var("POLLENDRIFT_CASE").unwrap_or_default();
+    for case in CASES.iter().filter(|case| case.name.contains(&requested)) {
         let summary = run_seeds(case, &mut findings);
         println!("{summary}");
     }
@@ -46,17 +48,17 @@
 }
 
 #[test]
-fn seeds_that_once_failed_hold() {
+fn found_seeds_keep_all_invariants() {
     let mut findings = String::new();
     for (name, seed) in FOUND_SEEDS {
         let case = CASES.iter().find(|case| case.name == name).unwrap();
-        note_findings(case, seed, &mut findings);
+        record_findings(case, seed, &mut findings);
     }
     insta::assert_snapshot!(findings, @"");
 }
 
-/// Callers wait for one election when the leader is lost, a second one where two stand at once:
-/// the longest of all seeds stays under four election timeouts, and every seed recovers.
+/// Callers wait for one election when the leader is lost, and for a second one when two keepers
+/// start one at the same time: the longest wait of all seeds must be below four election timeouts.
 #[test]
 fn next_command_is_accepted_within_four_election_timeouts() {
     let setups = [3, 5].map(|keepers| ELECTION_TIMEOUTS.map(|timeout| (keepers, timeout)));
@@ -68,7 +70,8 @@
     }
 }
 
-/// Callers are refused for a moment at a planned stop: the order to stand spares the timeout.
+/// A planned stop must not cost an election timeout: the leader requests the election of its
+/// successor, and callers are refused only meanwhile.
 #[test]
 fn hand_over_takes_less_than_an_election_timeout() {
     let timeout = 300 * MILLISECOND;
@@ -77,28 +80,29 @@
     assert!(median > 0 && longest < timeout, "{median} {longest}");
 }
 
-/// The operator sees what the group can still lose: one of three, none while a disk is lost and
-/// until its replacement votes, then one again.
+/// A wrong redundancy report would let an operator stop a host that the group needs. The group
+/// tolerates one loss of three, none from the loss of a disk until its replacement votes, then one
+/// again.
 #[test]
-fn redundancy_is_whole_again_after_a_replacement() {
+fn redundancy_is_complete_again_after_a_replacement() {
     let mut cluster = Cluster::new(3, 3, small_settings());
-    let mut told = String::new();
+    let mut report = String::new();
     let leader = cluster.await_leader();
     let host = (leader + 1) % 3;
     cluster.run_for(SECOND);
-    told.push_str(&cluster.describe_redundancy(leader));
+    report.push_str(&cluster.describe_redundancy(leader));
     cluster.crash(host, false);
     cluster.run_for(SECOND);
-    told.push_str(&cluster.describe_redundancy(leader));
+    report.push_str(&cluster.describe_redundancy(leader));
     cluster.empty_disk(host);
     cluster.start(host);
     let id = cluster.id(host);
     cluster.change_until_done(&MembershipChange::AddLearner(id));
-    told.push_str(&cluster.describe_redundancy(leader));
+    report.push_str(&cluster.describe_redundancy(leader));
     cluster.replace(host);
     cluster.run_for(SECOND);
-    told.push_str(&cluster.describe_redundancy(leader));
-    insta::assert_snapshot!(told, @"
+    report.push_str(&cluster.describe_redundancy(leader));
+    insta::assert_snapshot!(report, @"
     3 of 3 voters current, can lose 1; gaps: []
     2 of 3 voters current, can lose 0; gaps: [keeper-0#1 does not answer]
     2 of 3 voters current, can lose 0; gaps: [keeper-0#1 does not answer, keeper-0#2 is being brought up to date]
@@ -125,7 +129,7 @@
     format!("{name}: seeds {count}, failed {failed}, accepted {accepted}, unknown {unknown}")
 }
 
-fn note_findings(case: &FaultCase, seed: u64, findings: &mut String) {
+fn record_findings(case: &FaultCase, seed: u64, findings: &mut String) {
     for violation in case.run(seed).check.violations {
         writeln!(findings, "{} seed {seed}: {violation}", case.name).unwrap();
     }
--- a/crates/coordination/tests/agreement_faults/recovery.rs
+++ b/crates/coordination/tests/agreement_faults/recovery.rs
@@ -6,7 +6,7 @@
 
 use super::cluster::{Cluster, MILLISECOND, Micros, SECOND};
 
-/// Election timeouts that are compared, with a heartbeat every sixth of them.
+/// Compared election timeouts; the heartbeat interval is a sixth of each.
 pub(crate) const ELECTION_TIMEOUTS: [Micros; 4] = [
     150 * MILLISECOND,
     300 * MILLISECOND,
@@ -14,14 +14,14 @@
     1_000 * MILLISECOND,
 ];
 
-/// What ends a leadership.
+/// Cause of the end of a leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaderEnd {
     Crash,
     HandOver,
 }
 
-/// Median and longest time over `seeds` runs under steady load.
+/// Median and longest recovery time over `seeds` runs under steady load.
 pub(crate) fn measure_recovery(
     end: LeaderEnd,
     keepers: usize,
@@ -40,7 +40,7 @@
     (times[times.len() / 2], times[times.len() - 1])
 }
 
-/// Time to the first command that the next leader accepts.
+/// Time until the next leader accepts its first command.
 fn recover_once(end: LeaderEnd, seed: u64, keepers: usize, settings: AgreementSettings) -> Micros {
     let mut cluster = Cluster::new(seed, keepers, settings);
     cluster.client_interval = MILLISECOND;
--- a/crates/coordination/tests/replicated_evidence.rs
+++ b/crates/coordination/tests/replicated_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence in the replicated state: how much of it is kept, and in which formats it is read.
+//! Evidence in the replicated state: retention and readable formats.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 mod replicated_support;
@@ -11,11 +11,11 @@
 
 use replicated_support::{batch, stamped};
 
-// Operators and callers wait for keepers that start again for as long as those read their snapshot.
-// Hosts record what they serve by, twenty of them each second, and keepers have copied it to their
-// files long before. Kept by number and bytes alone, all of a quiet day lay in each snapshot.
+// Operators and callers wait for a restarting keeper while it reads its snapshot. Hosts record
+// twenty pieces of evidence each second, which keepers have long copied to their files. With limits
+// by number and bytes alone, each snapshot contained all evidence of a quiet day.
 #[test]
-fn a_snapshot_holds_the_evidence_of_the_last_moments() {
+fn snapshot_contains_only_recent_evidence() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     let mut seen = Vec::new();
     for second in 0..=600 {
@@ -39,10 +39,10 @@
     ");
 }
 
-// Operators see: a keeper of this version starts from the snapshot that the version before it left, in
-// which records were lists of numbers without a time of arrival, and drops them in time.
+// A keeper of this version starts from a snapshot of the previous version, in which records are
+// lists of numbers without a time of arrival. It must read them, and drop them when they expire.
 #[test]
-fn a_snapshot_of_the_format_before_is_read() {
+fn snapshot_of_the_previous_format_is_read() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     let command = ReplicatedCommand::RecordEvidence(batch(1, 1, 0, 3));
     state.apply_command(LogIndex(1), &stamped(0, command));
@@ -92,10 +92,10 @@
     entries.retain(|(key, _)| key.as_text() != Some(name));
 }
 
-// Operators see: keepers' memory and snapshots grow with the batches of a busy minute. Writers send again
-// what was recorded, or more than the bounds keep; what is kept of them is bounded all the same.
+// Writers resend recorded batches, or send more than the limits keep. If each batch left an arrival
+// mark, the memory and snapshots of keepers would grow with the number of batches.
 #[test]
-fn marks_of_arrival_are_bounded_by_the_records() {
+fn arrival_marks_are_limited_by_the_number_of_records() {
     let retention = EvidenceRetention {
         records: 10,
         ..EvidenceRetention::default()
--- a/crates/coordination/tests/replicated_state.rs
+++ b/crates/coordination/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: snapshots, the agreed clock, evidence and order rights.
+//! The replicated state: snapshots, the replicated clock, evidence and order rights.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 mod replicated_support;
@@ -121,10 +121,11 @@
         ..Config::default()
     })]
 
-    /// A keeper is restored from a snapshot taken at any point. From there on it gives the same
-    /// answers as one that never stopped, and ends in the same state byte for byte.
+    /// A keeper that restarts from a snapshot could answer resent commands differently. Restored
+    /// from a snapshot taken at any point, it must give the same answers as a keeper that never
+    /// stopped, and end in the same state byte for byte.
     #[test]
-    fn a_restored_keeper_answers_as_if_it_had_never_stopped(
+    fn restored_keeper_answers_like_one_that_never_stopped(
         commands in proptest::collection::vec((any_command(), 0..50_000_u64), 1..80),
         cut in 0..80_usize,
     ) {
@@ -153,10 +154,11 @@
     }
 }
 
-/// All keepers restart after hundreds of changes. The configuration is the last accepted one, and
-/// operators who resend any of the changes get its first answer.
+/// A restart could lose changes or the answers to them. After a restart following hundreds of
+/// changes, the configuration must be the last accepted one, and a resent change must get its
+/// first answer.
 #[test]
-fn restart_after_hundreds_of_changes() {
+fn restart_keeps_hundreds_of_changes_and_their_answers() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     let commands: Vec<StampedCommand> = (0..600_u64)
         .map(|number| stamped(number, change(&format!("c{number}"), number, number as u32)))
@@ -187,9 +189,9 @@
     ));
 }
 
-/// Bytes that are no command or no snapshot are an error and change nothing.
+/// A command or snapshot that can't be decoded must cause an error and leave the state unchanged.
 #[test]
-fn what_is_not_readable_changes_nothing() {
+fn undecodable_input_changes_nothing() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     state.apply_command(LogIndex(1), &stamped(1, change("c", 0, 1)));
     let before = state.snapshot().unwrap();
@@ -200,14 +202,14 @@
     assert_eq!(state.snapshot().unwrap(), before);
 }
 
-/// Leader, life, uptime and wall clock in seconds.
+/// Leader host, incarnation, uptime and wall clock in seconds.
 type Stamp = (&'static str, u64, u64, u64);
 
-/// Wall clocks jump, leaders alternate, stamps of one leader come twice: between any two entries
-/// the agreed clock gains no more than real time did, and never runs backwards. With one offset
-/// kept for each leader, the third line of the second case would have jumped by 6 s within 1 s.
+/// Claims would expire early if the replicated clock gained more between two entries than real
+/// time, or ran backwards, when wall clocks jump, leaders alternate or one leader's stamps repeat.
+/// With one offset per leader, the third step of the second case would jump by 6 s within 1 s.
 #[test]
-fn the_agreed_clock_goes_by_uptime() {
+fn replicated_clock_follows_uptime() {
     let cases: [(&str, &[Stamp], &[u64]); 3] = [
         (
             "wall clock a year ahead and back, then a restart",
@@ -259,8 +261,8 @@
     }
 }
 
-/// Evidence is resent after lost answers, overlaps, and comes out of order: each record is
-/// recorded once, and a writer that left records out is told which.
+/// Writers resend evidence after lost answers, with overlaps and out of order. Each record must be
+/// recorded once, and a writer that skipped records must receive the number of the first one.
 #[test]
 fn each_evidence_record_is_recorded_once() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -339,10 +341,11 @@
     "#);
 }
 
-/// Two hosts want to order one backend server about. Only one holds the right at a time, each new
-/// holder's number is higher, and a renewal keeps its number.
+/// Two hosts that gave orders to one backend server at the same time would contradict each other.
+/// Only one holds the right at a time, each new holder's number is higher, and a renewal keeps its
+/// number.
 #[test]
-fn order_rights_have_one_holder_and_rising_numbers() {
+fn order_rights_have_one_holder_and_increasing_numbers() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     let calls = [
         (0, 1),
@@ -384,10 +387,10 @@
     "#);
 }
 
-/// A host without a disk restarts: it gets a higher incarnation, and a lost answer does not cost
-/// another one.
+/// A host without a disk that restarts must get a higher incarnation; a request that is resent
+/// after a lost answer must not increase it again.
 #[test]
-fn each_start_takes_a_higher_incarnation() {
+fn each_process_start_gets_a_higher_incarnation() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     let given: Vec<u64> = [7, 7, 8, 8, 9]
         .into_iter()
