--- a/crates/coordination/src/agreement/follower.rs
+++ b/crates/coordination/src/agreement/follower.rs
@@ -11,8 +11,8 @@
     /// Accepts `from` as the leader of `term`, or replies that its term is stale.
     pub(super) fn accept_leader(&mut self, from: &KeeperId, term: Term) -> bool {
         if term < self.term() {
-            // A leader ignores vote requests of its term, so only this reply tells a leader of an
-            // earlier term about the later one.
+            // A leader ignores vote requests of later terms, so only this reply tells the leader of
+            // an earlier term about the current one.
             let reply = AppendReply {
                 term: self.term(),
                 outcome: AppendOutcome::StaleTerm,
--- a/crates/coordination/src/agreement/log/tests.rs
+++ b/crates/coordination/src/agreement/log/tests.rs
@@ -4,7 +4,7 @@
 
 use super::{EntryPayload, LogEntry, LogIndex, ReplicatedLog, StoredSnapshot, Term};
 
-/// Retained entries; high enough that the byte limit always applies first.
+/// Limit on retained entries; the logs of these tests are shorter, so it never applies.
 const RETAINED: u64 = 1_000;
 
 fn log_of(entries: u64, entry_bytes: usize) -> ReplicatedLog {
--- a/crates/coordination/src/agreement/membership_change.rs
+++ b/crates/coordination/src/agreement/membership_change.rs
@@ -67,7 +67,8 @@
     }
 
     /// Whether a membership change is allowed: the previous one and an entry of the current term
-    /// must be committed, since memberships that differ by two voters could elect two leaders.
+    /// must be committed, since two memberships that differ by more than one voter could elect two
+    /// leaders.
     pub(super) fn may_change_membership(&self) -> bool {
         self.has_committed_in_term() && self.log.membership_index() <= self.commit
     }
