--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,7 +1,8 @@
-//! Limits: which request runs now, which waits, and which is refused at once.
+//! Admission control: decides whether a request runs now, waits in a queue or is refused.
 //!
-//! Customers share an entry's capacity by weight, requests go by priority within it, queues are
-//! bounded, and a request that cannot meet its deadline is told so instead of waiting for nothing.
+//! Customers share an entry's capacity by weight, each customer's requests run in order of
+//! priority, and queues are bounded. A request that cannot meet its deadline is refused at once
+//! instead of waiting in vain.
 
 mod admission;
 mod bucket;
--- a/crates/coordination/src/limits/admission.rs
+++ b/crates/coordination/src/limits/admission.rs
@@ -1,4 +1,4 @@
-//! The admission table: offers in, verdicts out, in the order of weighted shares.
+//! Admission table: admits, queues or refuses requests by weighted fair queueing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use super::settings::{CustomerLimits, LimitSettings};
 use crate::base::{CustomerName, MonotonicTime};
 
-/// Part that a new measurement has in the served rate.
+/// Smoothing factor of the served rate: the weight of a new measurement.
 const RATE_GAIN: f64 = 0.3;
 
-/// Shortest time over which the served rate is measured.
+/// Minimum time over which the served rate is measured.
 const RATE_WINDOW: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     is_running: bool,
 }
 
-/// Tokens a second that end here, smoothed; unknown until some have.
+/// Smoothed rate of tokens of finished requests, per second; unknown until the first measurement.
 #[derive(Clone, Copy, Debug, Default)]
 struct ServedRate {
     per_second: Option<f64>,
@@ -37,11 +37,11 @@
 impl ServedRate {
     fn count(&mut self, now: MonotonicTime, tokens: u64) {
         self.tokens = self.tokens.saturating_add(tokens);
-        let passed = now.since(self.since);
-        if passed < RATE_WINDOW {
+        let elapsed = now.since(self.since);
+        if elapsed < RATE_WINDOW {
             return;
         }
-        let measured = self.tokens as f64 / passed.as_secs_f64();
+        let measured = self.tokens as f64 / elapsed.as_secs_f64();
         let smoothed = self
             .per_second
             .map_or(measured, |old| old + RATE_GAIN * (measured - old));
@@ -51,11 +51,12 @@
     }
 }
 
-/// Customers, their waiting and running requests, and what the entry can run.
+/// Waiting and running requests of each customer, and the capacity of the entry.
 ///
-/// Invariants: running requests and their tokens never exceed the capacity in force when the last
-/// one was admitted; every ticket that waits is in exactly one queue; `ready` holds exactly the
-/// customers that have a request of that priority waiting and may run one more.
+/// Invariants: running requests and their tokens never exceed the capacity in force at the last
+/// admission; every waiting ticket is in exactly one queue; `ready` holds, for each priority,
+/// exactly the customers that have a waiting request of that priority and are below their limit of
+/// running requests.
 #[derive(Clone, Debug)]
 pub struct AdmissionTable {
     settings: LimitSettings,
@@ -64,24 +65,24 @@
     by_name: BTreeMap<CustomerName, CustomerKey>,
     tickets: SlotMap<TicketKey, AdmissionTicket>,
     ready: [BTreeSet<(ServiceTag, CustomerKey)>; 3],
-    /// Waiting requests that have a deadline, by the latest start that still meets it.
+    /// Waiting requests with a deadline, by the latest start that still meets the deadline.
     latest_starts: BTreeSet<(MonotonicTime, TicketKey)>,
     /// Sum of the weights of the customers in `ready`, each counted once.
     ready_weight: u64,
-    /// Requests that run since, and that no verdict or tick has told of.
+    /// Admitted requests that no verdict or tick has reported yet.
     admitted: Vec<TicketKey>,
     in_flight: u32,
     in_flight_tokens: u64,
     queued: u32,
     queued_tokens: u64,
-    /// Tag of the customer served last; a customer that comes back starts from here.
+    /// Highest tag of a served customer; a customer that was idle starts from this tag.
     served_tag: ServiceTag,
     admissions: u32,
     rate: ServedRate,
 }
 
 impl AdmissionTable {
-    /// A table without requests.
+    /// Starts without customers and requests.
     pub fn new(settings: LimitSettings, capacity: AdmissionCapacity) -> Self {
         Self {
             settings,
@@ -103,12 +104,12 @@
         }
     }
 
-    /// Sets what the entry can run; what runs already is not touched.
+    /// Sets the capacity of the entry; running requests are not affected.
     pub fn set_capacity(&mut self, capacity: AdmissionCapacity) {
         self.capacity = capacity;
     }
 
-    /// Sets a customer's limits; they hold for what is offered or admitted from now on.
+    /// Sets a customer's limits, which apply to later offers and admissions.
     pub fn set_limits(&mut self, now: MonotonicTime, name: &CustomerName, limits: CustomerLimits) {
         let Some(key) = self.find_customer(now, name) else {
             return;
@@ -120,7 +121,7 @@
         self.insert_ready(key);
     }
 
-    /// Decides on a request at once. What is refused here or in a tick has not run.
+    /// Admits, queues or refuses a request. A request refused here or in a tick has not run.
     pub fn offer(&mut self, now: MonotonicTime, offer: AdmissionOffer) -> AdmissionVerdict {
         let Some(key) = self.find_customer(now, &offer.customer) else {
             let wait = self.settings.max_retry_after;
@@ -134,7 +135,10 @@
             return AdmissionVerdict::Refuse(refusal);
         }
         if let Err(wait) = self.take_rate(now, key) {
-            return refuse(RefusalReason::RateLimited, Some(self.advise(wait)));
+            return refuse(
+                RefusalReason::RateLimited,
+                Some(self.clamp_retry_after(wait)),
+            );
         }
         let ticket = self.enqueue(key, offer);
         self.admit_ready();
@@ -145,9 +149,10 @@
         AdmissionVerdict::Queue { ticket, wait }
     }
 
-    /// Refuses what can no longer meet its deadline, and admits what there is room for.
+    /// Refuses waiting requests that can no longer meet their deadline, then admits requests as
+    /// far as the capacity allows.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<AdmissionChange> {
-        let mut changes = self.refuse_late(now);
+        let mut changes = self.refuse_overdue(now);
         self.admit_ready();
         for ticket in std::mem::take(&mut self.admitted) {
             if let Some(record) = self.tickets.get(ticket) {
@@ -158,7 +163,7 @@
         changes
     }
 
-    /// A request ended or its caller went away; running or waiting, it is forgotten.
+    /// Removes a running or waiting request that ended or whose caller disconnected.
     pub fn finish(&mut self, now: MonotonicTime, ticket: TicketKey) {
         let Some(record) = self.tickets.get(ticket) else {
             return;
@@ -180,12 +185,12 @@
         self.insert_ready(key);
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn queued(&self) -> u32 {
         self.queued
     }
@@ -195,7 +200,7 @@
             return Some(*key);
         }
         if self.customers.len() >= self.settings.max_customers as usize {
-            self.forget_idle()?;
+            self.remove_idle()?;
         }
         let mut customer = CustomerRecord::new(now, name.clone(), self.settings.default_limits);
         customer.tag = self.served_tag;
@@ -204,8 +209,8 @@
         Some(key)
     }
 
-    /// Forgets one idle customer without limits of its own.
-    fn forget_idle(&mut self) -> Option<()> {
+    /// Removes one idle customer that has the default limits; `None` if there is none.
+    fn remove_idle(&mut self) -> Option<()> {
         let default = self.settings.default_limits;
         let idle = |c: &CustomerRecord| c.is_idle() && c.limits == default;
         let (key, _) = self.customers.iter().find(|(_, customer)| idle(customer))?;
@@ -219,8 +224,8 @@
         customer.map_or(Ok(()), |customer| customer.take_rate(now))
     }
 
-    /// Whether and why the offer is refused, apart from the rate, which must be taken last: what is
-    /// refused for another reason does not use it up.
+    /// Checks the offer against queue limits and its deadline. The rate limit is checked last and
+    /// elsewhere, so that an offer refused for another reason does not consume the rate.
     fn find_refusal(
         &self,
         now: MonotonicTime,
@@ -231,8 +236,8 @@
         let customer = self.customers.get(key)?;
         let is_full = self.queued >= self.settings.max_queued
             || customer.queued() >= customer.limits.max_queued as usize;
-        let must_wait = !self.has_room(customer, offer);
-        let retry_after = Some(self.advise(wait));
+        let must_wait = !self.has_capacity(customer, offer);
+        let retry_after = Some(self.clamp_retry_after(wait));
         if is_full && must_wait {
             let reason = RefusalReason::QueueFull;
             return Some(RequestRefusal {
@@ -251,8 +256,8 @@
         None
     }
 
-    /// Predicted time until the offer starts: the customer's own queue at its share of the served
-    /// rate, or everything at the whole rate, whichever is shorter.
+    /// Predicts the time until the offer starts: the shorter of the time to serve the customer's
+    /// own queue at its share of the served rate and the time to serve all queues at the full rate.
     fn predict_wait(&self, key: CustomerKey, offer: &AdmissionOffer) -> Duration {
         let Some(customer) = self.customers.get(key) else {
             return Duration::ZERO;
@@ -260,7 +265,7 @@
         let Some(rate) = self
             .rate
             .per_second
-            .filter(|_| !self.has_room(customer, offer))
+            .filter(|_| !self.has_capacity(customer, offer))
         else {
             return Duration::ZERO;
         };
@@ -273,7 +278,7 @@
     }
 
     /// Whether the offer would run at once.
-    fn has_room(&self, customer: &CustomerRecord, offer: &AdmissionOffer) -> bool {
+    fn has_capacity(&self, customer: &CustomerRecord, offer: &AdmissionOffer) -> bool {
         self.in_flight < self.capacity.max_in_flight
             && self.in_flight_tokens + offer.tokens <= self.capacity.kv_tokens
             && self.ready_weight == 0
@@ -281,7 +286,7 @@
             && customer.in_flight < customer.limits.max_in_flight
     }
 
-    /// Tokens of the customer's own requests that go first.
+    /// Tokens of the customer's own waiting requests that run before one of `priority`.
     fn tokens_ahead(&self, customer: &CustomerRecord, priority: RequestPriority) -> f64 {
         if priority == RequestPriority::Batch {
             return customer.queued_tokens as f64;
@@ -293,7 +298,7 @@
         ahead as f64 * mean
     }
 
-    fn advise(&self, wait: Duration) -> Duration {
+    fn clamp_retry_after(&self, wait: Duration) -> Duration {
         wait.clamp(Duration::from_secs(1), self.settings.max_retry_after)
     }
 
@@ -314,7 +319,7 @@
         self.queued_tokens += tokens;
         self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
-            // A customer that was away must not be owed the time in which it asked for nothing.
+            // An idle customer earns no credit for the time in which it had no waiting requests.
             if customer.queued() == 0 {
                 customer.tag = customer.tag.max(self.served_tag);
             }
@@ -324,7 +329,7 @@
         ticket
     }
 
-    /// Takes a ticket out of its queue.
+    /// Removes a ticket from its queue.
     fn dequeue(&mut self, ticket: TicketKey) {
         let Some(record) = self.tickets.get(ticket) else {
             return;
@@ -338,7 +343,7 @@
         self.queued_tokens = self.queued_tokens.saturating_sub(tokens);
         self.remove_ready(key);
         if let Some(customer) = self.customers.get_mut(key) {
-            customer.drop_ticket(priority, ticket, tokens);
+            customer.remove_ticket(priority, ticket, tokens);
         }
         self.insert_ready(key);
     }
@@ -350,8 +355,8 @@
         }
     }
 
-    /// The request that runs next, if there is room for it. One that does not fit in the KV cache
-    /// holds up those behind it: passing it over again and again would starve large requests.
+    /// Returns the request that runs next, if the capacity allows it. A request that does not fit
+    /// in the KV cache blocks the requests behind it: skipping it would starve large requests.
     fn find_next(&self) -> Option<TicketKey> {
         if self.in_flight >= self.capacity.max_in_flight {
             return None;
@@ -391,7 +396,7 @@
         self.insert_ready(key);
     }
 
-    fn refuse_late(&mut self, now: MonotonicTime) -> Vec<AdmissionChange> {
+    fn refuse_overdue(&mut self, now: MonotonicTime) -> Vec<AdmissionChange> {
         let mut changes = Vec::new();
         while let Some((latest, ticket)) = self.latest_starts.first().copied() {
             if latest >= now {
@@ -404,7 +409,7 @@
                     request: record.offer.request,
                     refusal: RequestRefusal {
                         reason: RefusalReason::DeadlineUnreachable,
-                        retry_after: Some(self.advise(Duration::ZERO)),
+                        retry_after: Some(self.clamp_retry_after(Duration::ZERO)),
                     },
                 });
             }
@@ -412,7 +417,7 @@
         changes
     }
 
-    /// Takes a customer out of `ready`; its tag, queues and count may change then.
+    /// Removes a customer from `ready`. Required before its tag, queues or counts change.
     fn remove_ready(&mut self, key: CustomerKey) {
         let Some(customer) = self.customers.get_mut(key).filter(|c| c.is_ready) else {
             return;
--- a/crates/coordination/src/limits/bucket.rs
+++ b/crates/coordination/src/limits/bucket.rs
@@ -1,10 +1,10 @@
-//! Token bucket in virtual time.
+//! Token bucket on a caller-supplied clock.
 
 use std::time::Duration;
 
 use crate::base::MonotonicTime;
 
-/// Tokens that come back at a steady rate, up to a burst.
+/// Token bucket that refills at a steady rate, up to a burst.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     per_second: f64,
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Starts with a full bucket.
     pub(crate) fn new(now: MonotonicTime, per_second: f64, burst: f64) -> Self {
         Self {
             per_second,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Changes rate and burst; the level stays, within the burst.
+    /// Changes rate and burst; keeps the level, capped at the new burst.
     pub(crate) fn configure(&mut self, now: MonotonicTime, per_second: f64, burst: f64) {
         self.refill(now);
         self.per_second = per_second;
@@ -33,12 +33,12 @@
         self.level = self.level.min(burst);
     }
 
-    /// Adds tokens beside the steady rate.
+    /// Adds tokens in addition to the steady rate, up to the burst.
     pub(crate) fn deposit(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.burst);
     }
 
-    /// Takes a token, or says how long until there is one.
+    /// Takes a token, or returns the time until one is available.
     pub(crate) fn take(&mut self, now: MonotonicTime) -> Result<(), Duration> {
         self.refill(now);
         if self.level >= 1.0 {
@@ -49,15 +49,15 @@
         Err(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
-    /// Whether there is a token; takes none.
+    /// Whether a token is available, without taking it.
     pub(crate) fn has_token(&mut self, now: MonotonicTime) -> bool {
         self.refill(now);
         self.level >= 1.0
     }
 
     fn refill(&mut self, now: MonotonicTime) {
-        let passed = now.since(self.updated).as_secs_f64();
+        let elapsed = now.since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
-        self.deposit(passed * self.per_second);
+        self.deposit(elapsed * self.per_second);
     }
 }
--- a/crates/coordination/src/limits/customer.rs
+++ b/crates/coordination/src/limits/customer.rs
@@ -1,4 +1,4 @@
-//! One customer's share, queues and limits.
+//! Queues, limits and fair-queueing tag of one customer.
 
 use std::collections::VecDeque;
 
@@ -14,26 +14,26 @@
     pub(crate) struct CustomerKey;
 }
 
-/// Thousandths, so that small costs over large weights do not round to nothing.
+/// Tags count thousandths, so that a small cost divided by a large weight does not round to zero.
 const TAG_SCALE: u128 = 1_000;
 
-/// Tokens served, divided by the weight; the customer with the lowest tag is served next.
+/// Served tokens divided by the customer's weight; the customer with the lowest tag runs next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServiceTag(u128);
 
-/// A customer that has requests here, or had some lately.
+/// A customer with current or recent requests.
 #[derive(Clone, Debug)]
 pub(crate) struct CustomerRecord {
     pub(crate) name: CustomerName,
     pub(crate) limits: CustomerLimits,
-    /// Never falls.
+    /// Never decreases.
     pub(crate) tag: ServiceTag,
     pub(crate) in_flight: u32,
     pub(crate) queued_tokens: u64,
-    /// Whether the table lists it as ready, with the weight that its limits give.
+    /// Whether the admission table lists the customer as ready and counts its weight.
     pub(crate) is_ready: bool,
     bucket: Option<TokenBucket>,
-    /// Waiting requests by priority, first come first.
+    /// Waiting requests by priority, in order of arrival.
     queues: [VecDeque<TicketKey>; 3],
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes one request from the rate, or says how long until there is one.
+    /// Takes one request from the rate limit, or returns the time until one is allowed.
     pub(crate) fn take_rate(&mut self, now: MonotonicTime) -> Result<(), std::time::Duration> {
         self.bucket
             .as_mut()
@@ -90,7 +90,7 @@
         self.queued_tokens += tokens;
     }
 
-    pub(crate) fn drop_ticket(
+    pub(crate) fn remove_ticket(
         &mut self,
         priority: RequestPriority,
         ticket: TicketKey,
@@ -100,7 +100,7 @@
         self.queued_tokens = self.queued_tokens.saturating_sub(tokens);
     }
 
-    /// Charges for a request that starts.
+    /// Advances the tag by the cost of a request that starts.
     pub(crate) fn charge(&mut self, tokens: u64) {
         let cost = u128::from(tokens.max(1)) * TAG_SCALE / u128::from(self.weight());
         self.tag = ServiceTag(self.tag.0.saturating_add(cost.max(1)));
--- a/crates/coordination/src/limits/offer.rs
+++ b/crates/coordination/src/limits/offer.rs
@@ -1,4 +1,4 @@
-//! What is offered for admission, and what is decided.
+//! Requests offered for admission, and the decisions about them.
 
 use std::time::Duration;
 
@@ -9,89 +9,89 @@
 use crate::base::{CustomerName, MonotonicTime, RequestId};
 
 new_key_type! {
-    /// Key of a request that was admitted or waits.
+    /// Key of a running or waiting request in its admission table.
     pub struct TicketKey;
 }
 
-/// How a request ranks among those that wait.
+/// Priority of a request among the waiting requests.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestPriority {
-    /// Goes last, such as a draft in a batch.
+    /// Runs last, such as a draft in a batch.
     Batch,
-    /// The usual.
+    /// Default priority.
     #[default]
     Normal,
-    /// Goes first.
+    /// Runs first.
     Urgent,
 }
 
 impl RequestPriority {
-    /// All priorities, the highest first.
+    /// All priorities, highest first.
     pub const DESCENDING: [Self; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 }
 
-/// A request that asks to run.
+/// A request offered for admission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AdmissionOffer {
-    /// Its identity.
+    /// Identity of the request.
     pub request: RequestId,
-    /// Who pays for it.
+    /// Customer that sent it.
     pub customer: CustomerName,
-    /// How it ranks.
+    /// Its priority.
     pub priority: RequestPriority,
-    /// Tokens of the prompt and of the expected answer: its cost, and its KV cache.
+    /// Tokens of the prompt and of the expected answer: its cost and its KV cache, in tokens.
     pub tokens: u64,
-    /// Predicted time from its start to its end.
+    /// Predicted run time, from start to end.
     pub run: Duration,
-    /// Time by which it must have ended.
+    /// Time by which it must end.
     pub deadline: Option<MonotonicTime>,
 }
 
-/// What the entry can run at a time.
+/// Limits on the requests that an entry runs concurrently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct AdmissionCapacity {
-    /// Requests.
+    /// Running requests.
     pub max_in_flight: u32,
-    /// KV cache, in tokens, over whole pipelines.
+    /// KV cache of complete pipelines, in tokens.
     pub kv_tokens: u64,
 }
 
-/// What was decided about an offer.
+/// Decision about an offer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdmissionVerdict {
-    /// It runs now.
+    /// The request runs now.
     Admit(TicketKey),
-    /// It waits; a later tick admits or refuses it.
+    /// The request waits; a later tick admits or refuses it.
     Queue {
         /// Its ticket.
         ticket: TicketKey,
         /// Predicted time until it starts.
         wait: Duration,
     },
-    /// It does not run, and never will.
+    /// The request does not run, now or later.
     Refuse(RequestRefusal),
 }
 
-/// What became of a request that waited.
+/// Decision about a request that waited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AdmissionChange {
-    /// It runs now.
+    /// The request runs now.
     Admitted {
         /// Its ticket.
         ticket: TicketKey,
-        /// Its identity.
+        /// Identity of the request.
         request: RequestId,
     },
-    /// It does not run, and never will.
+    /// The request does not run, now or later.
     Refused {
-        /// Its identity.
+        /// Identity of the request.
         request: RequestId,
-        /// Why.
+        /// Reason, and when to retry.
         refusal: RequestRefusal,
     },
 }
@@ -100,29 +100,29 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[display("{reason}")]
 pub struct RequestRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When it is worth trying again; none where it never is.
+    /// Time after which a retry may succeed; `None` if no retry can.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request was refused.
+/// Reason why a request was refused.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The customer sends more than its rate.
+    /// The customer exceeds its request rate.
     #[display("rate of the customer exceeded")]
     RateLimited,
-    /// The customer's queue, or that of all, is full.
+    /// The customer's queue or the total queue is full.
     #[display("queue full")]
     QueueFull,
-    /// It could not end by its deadline.
+    /// The request cannot end by its deadline.
     #[display("deadline cannot be met")]
     DeadlineUnreachable,
-    /// It is larger than all KV cache.
+    /// The request needs more than the total KV cache.
     #[display("larger than the KV cache")]
     TooLarge,
-    /// Too many customers at once.
+    /// The table holds its maximum of customers, and none of them can be removed.
     #[display("too many customers")]
     TooManyCustomers,
 }
--- a/crates/coordination/src/limits/settings.rs
+++ b/crates/coordination/src/limits/settings.rs
@@ -1,23 +1,23 @@
-//! Settings of admission, and the limits that labels set for a customer.
+//! Settings of admission control, and the limits that labels set for a customer.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Limits of one customer at one entry. Labels give them for all entries together; the caller
-/// divides the counts and rates by the entries that take requests.
+/// Limits of one customer at one entry. Labels set them for all entries together; the caller
+/// divides the counts and rates by the number of entries that accept requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct CustomerLimits {
     /// Share of the capacity relative to other customers; at least 1.
     pub weight: u32,
-    /// Requests that run at a time.
+    /// Limit of concurrently running requests.
     pub max_in_flight: u32,
-    /// Requests that wait at a time.
+    /// Limit of waiting requests.
     pub max_queued: u32,
-    /// Requests a second, on the long run; 0 for no limit.
+    /// Long-term limit of requests per second; 0 for no limit.
     pub requests_per_second: u32,
-    /// Requests above that rate that may come at once.
+    /// Requests accepted at once in excess of that rate.
     pub burst: u32,
 }
 
@@ -37,15 +37,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct LimitSettings {
-    /// Limits of customers for whom no label sets any.
+    /// Limits of customers without limits from labels.
     pub default_limits: CustomerLimits,
-    /// Customers remembered; a new one beyond them is refused unless an idle one can be forgotten.
+    /// Limit of customers in the table; a new customer in excess of it is refused unless an idle
+    /// one can be removed.
     pub max_customers: u32,
-    /// Requests that wait at a time, of all customers.
+    /// Limit of waiting requests of all customers.
     pub max_queued: u32,
-    /// Of so many admissions one goes to the lowest priority that waits; keeps it from starving.
+    /// Every n-th admission goes to the lowest waiting priority, so that it does not starve.
     pub low_priority_every: u32,
-    /// Longest advice to try again later.
+    /// Maximum of the advised time until a retry.
     pub max_retry_after: Duration,
 }
 
--- a/crates/coordination/src/limits/wait.rs
+++ b/crates/coordination/src/limits/wait.rs
@@ -1,9 +1,9 @@
-//! How long a request waits for room that a host does not see.
+//! Time for which a request waits while no known backend server has free capacity.
 //!
-//! Pattern: thundering herd after a restart. All hosts start at the same moment, and the callers whose
-//! streams were cut come back at once. A host that has just started knows no server, or some of them:
-//! what it does not know isn't full, and servers announce themselves within seconds. Refused meanwhile,
-//! a caller has used up the one retry that it may have.
+//! After a restart of all hosts, callers whose streams were cut retry at the same moment
+//! (thundering herd). A host that has just started knows few or none of the backend servers; the
+//! servers that it does not know may have free capacity, and they announce themselves within
+//! seconds. A caller that is refused in the meantime has used up the only retry that it may have.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 
 use crate::base::MonotonicTime;
 
-/// How long requests wait.
+/// Times for which requests wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct WaitSettings {
-    /// Time after its arrival for which a request waits where all servers are full.
+    /// Time from its arrival for which a request waits while all backend servers are full.
     pub full: Duration,
-    /// The same at a host that is still learning which servers there are.
+    /// The same at a host that is still discovering the backend servers.
     pub learning: Duration,
-    /// Time after its start for which a host is learning: servers announce themselves about once a second,
-    /// to keepers that may have to elect a leader first.
+    /// Time from its start for which a host is discovering backend servers. They announce
+    /// themselves about once a second to the keepers, which may have to elect a leader first.
     pub learning_time: Duration,
 }
 
@@ -28,7 +28,8 @@
     fn default() -> Self {
         Self {
             full: Duration::from_millis(1_200),
-            // Callers leave after two seconds without an event, and the first takes up to a quarter of one.
+            // Callers disconnect after 2 s without an event, and the first event takes up to 250
+            // ms.
             learning: Duration::from_millis(1_700),
             learning_time: Duration::from_secs(5),
         }
@@ -36,8 +37,8 @@
 }
 
 impl WaitSettings {
-    /// Until when a request that arrived at `arrived` waits, as far as can be said at `now`. `started` is
-    /// when the host's process started.
+    /// Returns the time until which a request that arrived at `arrived` waits, according to the
+    /// state at `now`. `started` is the start time of the host's process.
     pub fn wait_until(
         &self,
         now: MonotonicTime,
@@ -51,7 +52,7 @@
         })
     }
 
-    /// Whether the host may not know all servers yet.
+    /// Whether the host may not know all backend servers yet.
     pub fn is_learning(&self, now: MonotonicTime, started: MonotonicTime) -> bool {
         now.since(started) < self.learning_time
     }
--- a/crates/coordination/tests/limits_fairness.rs
+++ b/crates/coordination/tests/limits_fairness.rs
@@ -1,4 +1,4 @@
-//! Admission: fault cases in tables, and what a flood by one customer does to the others.
+//! Admission control: refusals, queue order, and fairness while one customer floods the entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -61,10 +61,10 @@
     }
 }
 
-// The caller is refused at once and with the reason, before anything of its request ran.
-// One slot is taken; then come requests over each limit in turn. None of them waits first.
+// Guards against requests that wait before they are refused, or are refused with the wrong reason.
+// One slot is occupied; the following requests exceed each limit in turn.
 #[test]
-fn what_cannot_run_is_refused_at_once() {
+fn requests_over_a_limit_are_refused_at_once() {
     let mut table = table(1, 1_000);
     let limits = CustomerLimits {
         max_queued: 1,
@@ -74,25 +74,25 @@
     };
     table.set_limits(at(0), &CustomerName::from("small"), limits);
     let mut lines = Vec::new();
-    let mut note = |name: &str, verdict: &AdmissionVerdict| {
+    let mut record = |name: &str, verdict: &AdmissionVerdict| {
         lines.push(format!("{name}: {}", describe(verdict)));
     };
-    note("first", &table.offer(at(0), offer("small", "r1")));
-    note("waits", &table.offer(at(0), offer("small", "r2")));
-    note("queue full", &table.offer(at(0), offer("small", "r3")));
+    record("first", &table.offer(at(0), offer("small", "r1")));
+    record("waits", &table.offer(at(0), offer("small", "r2")));
+    record("queue full", &table.offer(at(0), offer("small", "r3")));
     let mut large = offer("other", "r4");
     large.tokens = 1_001;
-    note("too large", &table.offer(at(0), large));
+    record("too large", &table.offer(at(0), large));
     let mut late = offer("other", "r5");
     late.deadline = Some(at(99));
-    note("deadline too near", &table.offer(at(0), late));
+    record("deadline too near", &table.offer(at(0), late));
     let limits = CustomerLimits {
         max_queued: 9,
         ..limits
     };
     table.set_limits(at(0), &CustomerName::from("small"), limits);
-    note("rate", &table.offer(at(0), offer("small", "r6")));
-    note("rate later", &table.offer(at(1_000), offer("small", "r7")));
+    record("rate", &table.offer(at(0), offer("small", "r6")));
+    record("rate later", &table.offer(at(1_000), offer("small", "r7")));
     assert_eq!((table.in_flight(), table.queued()), (1, 2));
     insta::assert_snapshot!(lines.join("\n"), @r"
     first: admit
@@ -105,10 +105,11 @@
     ");
 }
 
-// The caller whose deadline passes while it waits is told with the next tick, not at the end.
-// r2 and r3 wait behind r1; r2 can only start until 50 ms. r1 ends at 60 ms and r3 runs.
+// Guards against a queued request that is refused only when a slot becomes free, although its
+// deadline was out of reach before. r2 and r3 wait behind r1; r2 must start by 50 ms; r1 ends at
+// 60 ms, and r3 runs.
 #[test]
-fn a_deadline_that_passes_in_the_queue_is_told_promptly() {
+fn a_queued_request_past_its_latest_start_is_refused_at_the_next_tick() {
     let mut table = table(1, 1_000);
     let first = table.offer(at(0), offer("c", "r1"));
     let mut second = offer("c", "r2");
@@ -124,10 +125,10 @@
     assert_eq!(admitted(&table.tick(at(60))), ["r3"]);
 }
 
-// No caller is forgotten: r2, which waited, is told that it runs though an offer came in between.
-// r1 ends without a tick; r3 is offered and takes the tick's place. r2 has the slot, r3 waits.
+// Guards against an admission that is never reported. r1 ends; before the next tick, the offer of
+// r3 admits the waiting r2. The tick must report r2, and r3 waits.
 #[test]
-fn an_offer_between_end_and_tick_loses_nobody() {
+fn an_admission_during_an_offer_is_reported_by_the_next_tick() {
     let mut table = table(1, 1_000);
     let first = table.offer(at(0), offer("a", "r1"));
     table.offer(at(0), offer("b", "r2"));
@@ -138,10 +139,10 @@
     assert_eq!((table.in_flight(), table.queued()), (1, 1));
 }
 
-// The caller of a large request is not passed over for ever by small ones, and a caller that goes
-// away frees its place whether it ran or waited.
+// Guards against small requests that starve a large one, and against finished requests that keep
+// their slot.
 #[test]
-fn large_requests_and_cancels_keep_the_order() {
+fn a_large_request_runs_before_later_small_ones() {
     let mut table = table(10, 1_000);
     let first = table.offer(at(0), offer("a", "r1"));
     let mut large = offer("a", "large");
@@ -155,9 +156,10 @@
     assert_eq!(admitted(&table.tick(at(2))), ["small"]);
 }
 
-// Urgent goes before normal before batch, but batch is not starved: one in sixteen is its own.
+// Guards against a wrong order of priorities and against starvation: urgent requests run before
+// batch requests, but every sixteenth admission goes to the lowest priority.
 #[test]
-fn priorities_order_what_waits() {
+fn requests_run_by_priority_without_starving_the_lowest() {
     let mut table = table(1, 10_000);
     let mut running = ticket(&table.offer(at(0), offer("c", "r0")));
     for index in 0..20 {
@@ -180,7 +182,7 @@
     assert_eq!(order, "UUUUUUUUUUUUUUBUUUUUUBBBBBBBBBBBBBBBBBBB");
 }
 
-/// Requests of one run, and what their customers saw.
+/// Waiting times and refusals by customer in one simulated run.
 #[derive(Default)]
 struct FloodRun {
     starts: BTreeMap<String, Vec<u64>>,
@@ -195,8 +197,9 @@
     }
 }
 
-/// Ten quiet customers offer a request each 100 ms; `flood` offers so many every millisecond.
-/// Twenty run at a time, for 100 ms each, or for 50 to 150 ms where `is_spread`.
+/// Simulates 20 s: each of ten quiet customers offers one request per 100 ms, and one customer
+/// offers `flood` requests per millisecond. Twenty requests run concurrently, for 100 ms each or,
+/// with `is_spread`, for 50 to 150 ms.
 fn run_flood(flood: u32, weight: u32, is_spread: bool) -> FloodRun {
     let mut table = table(20, 1_000_000);
     let limits = CustomerLimits {
@@ -261,13 +264,14 @@
     }
 }
 
-// The quiet customers' p95 stays within 1.3 of their own alone while one customer floods, or within
-// 2 where all running requests end in step, since then no slot comes free for one whole run.
-// The flood offers 25 times what the entry can run, with the weight of the others or four times it; the others
-// ask for 56 or 70 in 100 of their shares. One that asks for its whole share must expect a queue.
-// Shares are by weight and a customer below its share goes next, so it waits for one free slot.
+// Guards against one customer's flood that delays the others. The flood offers 25 times the entry's
+// capacity, with the weight of the others or four times it; the others use 56 % or 70 % of their
+// shares, because a customer that uses its full share must expect to queue. Shares follow the
+// weights, and a customer below its share runs next, so it waits for one free slot: its p95 stays
+// within a factor of 1.3 of the p95 without the flood, or of 2 if all running requests end
+// simultaneously, since then no slot becomes free for one full run.
 #[test]
-fn a_flood_leaves_the_others_within_a_stated_factor() {
+fn a_flood_delays_other_customers_by_a_bounded_factor() {
     for (is_spread, tenths) in [(true, 13), (false, 20)] {
         let alone = run_flood(0, 1, is_spread);
         for weight in [1, 4] {
@@ -287,7 +291,8 @@
     }
 }
 
-// Two customers that both ask for more than there is get it by weight, three to one.
+// Guards against shares that ignore the weights. Two customers with weights 3 and 1 both offer more
+// than the capacity.
 #[test]
 fn shares_follow_the_weights() {
     let mut table = table(4, 1_000_000);
