--- a/crates/coordination/src/retries.rs
+++ b/crates/coordination/src/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: when a call may be sent again, how often, and which backend servers are left out.
+//! Retry decisions and budgets, outlier ejection and slow start of backend servers.
 
 mod budget;
 mod deadline;
--- a/crates/coordination/src/retries/budget.rs
+++ b/crates/coordination/src/retries/budget.rs
@@ -1,4 +1,5 @@
-//! Retry budgets: retries of a customer, or at a service, stay a small share of its calls.
+//! Retry budgets, which bound the retries of a customer or at a service to a small share of its
+//! calls.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +13,10 @@
     last_call: MonotonicTime,
 }
 
-/// Budgets by customer, or by whatever else `K` names.
+/// Retry budgets by customer, or by another key `K`.
 ///
-/// Without them every caller of a failing service would send each call as often as it may, and the
-/// service would meet a multiple of its load just when it can take least. A budget bounds the sum.
+/// Without budgets, each call to a failing service is sent up to the limit of attempts, which
+/// multiplies the load of the service when it can handle the least. A budget bounds the total.
 #[derive(Clone, Debug)]
 pub struct BudgetTable<K = CustomerName> {
     settings: RetrySettings,
@@ -26,7 +27,7 @@
 where
     K: Ord + Clone,
 {
-    /// A table in which everybody starts with a full budget.
+    /// Starts without budgets; each key begins with a full budget.
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Notes the first attempt of a call, which earns a part of a retry.
+    /// Records the first attempt of a call, which adds `budget_ratio` retries to the budget.
     pub fn record_call(&mut self, now: MonotonicTime, key: &K) {
         let ratio = self.settings.budget_ratio;
         let budget = self.find(now, key);
@@ -42,17 +43,17 @@
         budget.bucket.deposit(ratio);
     }
 
-    /// Takes a retry from the budget; false if there is none.
+    /// Takes a retry from the budget; returns false if the budget is used up.
     pub fn take(&mut self, now: MonotonicTime, key: &K) -> bool {
         self.find(now, key).bucket.take(now).is_ok()
     }
 
-    /// Whether the budget allows a retry; takes none.
+    /// Whether the budget allows a retry, without taking it.
     pub fn has_budget(&mut self, now: MonotonicTime, key: &K) -> bool {
         self.find(now, key).bucket.has_token(now)
     }
 
-    /// Takes other settings into force; what is saved up stays, within the new burst.
+    /// Applies new settings; saved retries are kept, capped at the new burst.
     pub fn configure(&mut self, now: MonotonicTime, settings: RetrySettings) {
         self.settings = settings;
         for budget in self.budgets.values_mut() {
@@ -66,12 +67,12 @@
         &self.settings
     }
 
-    /// Keys whose budgets are kept.
+    /// Number of keys with a budget.
     pub fn len(&self) -> usize {
         self.budgets.len()
     }
 
-    /// Whether no budget is kept.
+    /// Whether no key has a budget.
     pub fn is_empty(&self) -> bool {
         self.budgets.is_empty()
     }
@@ -79,7 +80,7 @@
     fn find(&mut self, now: MonotonicTime, key: &K) -> &mut RetryBudget {
         let is_full = self.budgets.len() >= self.settings.max_customers.max(1) as usize;
         if is_full && !self.budgets.contains_key(key) {
-            self.forget_quietest();
+            self.remove_least_recent();
         }
         let settings = self.settings;
         self.budgets
@@ -90,12 +91,12 @@
             })
     }
 
-    fn forget_quietest(&mut self) {
-        let quietest = self
+    fn remove_least_recent(&mut self) {
+        let least_recent = self
             .budgets
             .iter()
             .min_by_key(|(_, budget)| budget.last_call);
-        if let Some(key) = quietest.map(|(key, _)| key.clone()) {
+        if let Some(key) = least_recent.map(|(key, _)| key.clone()) {
             self.budgets.remove(&key);
         }
     }
--- a/crates/coordination/src/retries/deadline.rs
+++ b/crates/coordination/src/retries/deadline.rs
@@ -1,4 +1,4 @@
-//! Deadline that travels with a call, as the time that is left.
+//! Deadline of a call, propagated between processes as the remaining time.
 
 use std::time::Duration;
 
@@ -6,25 +6,26 @@
 
 use crate::base::MonotonicTime;
 
-/// Time by which a call must have ended, on this process's clock.
+/// Time by which a call must end, on the clock of this process.
 ///
-/// Between processes it travels as the time left, since no two clocks agree.
+/// Processes pass on the remaining time, because their clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(transparent)]
 pub struct CallDeadline(pub MonotonicTime);
 
 impl CallDeadline {
-    /// The deadline of a call that arrived at `now` with so much time left.
+    /// Returns the deadline of a call that arrived at `now` with `remaining` time.
     pub fn from_remaining(now: MonotonicTime, remaining: Duration) -> Self {
         Self(now.after(remaining))
     }
 
-    /// The time left, zero once it has passed.
+    /// Remaining time; zero after the deadline.
     pub fn remaining(self, now: MonotonicTime) -> Duration {
         self.0.since(now)
     }
 
-    /// The time left for the next hop: less `margin`, in which its answer must come back.
+    /// Remaining time for the next hop: the remaining time minus `margin`, which is reserved for
+    /// the return of the answer. `None` if nothing remains.
     pub fn remaining_for_hop(self, now: MonotonicTime, margin: Duration) -> Option<Duration> {
         let left = self.remaining(now).saturating_sub(margin);
         (!left.is_zero()).then_some(left)
--- a/crates/coordination/src/retries/decision.rs
+++ b/crates/coordination/src/retries/decision.rs
@@ -1,4 +1,4 @@
-//! Whether and when a failed attempt is followed by another.
+//! Decides whether and when a failed attempt is retried.
 
 use std::time::Duration;
 
@@ -11,53 +11,53 @@
 use super::settings::RetrySettings;
 use crate::base::{CustomerName, MonotonicTime};
 
-/// Longest exponent of the backoff.
+/// Maximum exponent of the backoff.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// An attempt that did not give an answer.
+/// An attempt to send a call, with the state that the retry decision needs.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt<'a> {
-    /// Whose call it was.
+    /// Customer that sent the call.
     pub customer: &'a CustomerName,
-    /// What sending it twice would do.
+    /// Whether the call is idempotent.
     pub kind: CallKind,
     /// How the attempt ended.
     pub outcome: SendOutcome,
-    /// Attempts so far, this one included.
+    /// Number of attempts, including this one.
     pub attempts: u32,
-    /// Time by which the call must have ended.
+    /// Time by which the call must end.
     pub deadline: Option<CallDeadline>,
 }
 
-/// What follows a failed attempt.
+/// Decision about a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryVerdict {
-    /// It is sent again after the wait.
+    /// The call is sent again after `wait`.
     Retry {
-        /// The wait.
+        /// Backoff before the retry.
         wait: Duration,
     },
-    /// It is not sent again, and the caller is told what is proved.
+    /// The call is not sent again; the caller's response depends on the proof.
     Stop {
-        /// Why not.
+        /// Reason why it is not retried.
         reason: StopReason,
-        /// What is proved of this attempt; the caller weighs it with earlier ones.
+        /// Whether this attempt ran, as far as is proved; to be combined with earlier attempts.
         proof: RunProof,
     },
 }
 
-/// Why a call is not sent again.
+/// Reason why a call is not sent again.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StopReason {
-    /// It was answered.
+    /// The call was answered.
     #[display("answered")]
     Answered,
-    /// It may have run, and may not run twice.
+    /// The call may have run, and is not idempotent.
     #[display("may not run twice")]
     NotRepeatable,
-    /// It was sent as often as it may be.
+    /// The call reached the limit of attempts.
     #[display("too many attempts")]
     TooManyAttempts,
     /// The deadline leaves no time for another attempt.
@@ -68,9 +68,10 @@
     BudgetUsedUp,
 }
 
-/// Decides on a failed attempt. `jitter`, from 0 to 1, spreads the waits of many callers.
+/// Decides whether a failed attempt is retried. `jitter`, from 0 to 1, scales the backoff, so that
+/// many callers do not retry at the same moment.
 ///
-/// The budget is asked last, so that only a retry that is really sent uses it up.
+/// The budget is checked last, so that only a retry that is sent consumes it.
 pub fn decide_retry(
     now: MonotonicTime,
     budgets: &mut BudgetTable,
--- a/crates/coordination/src/retries/outlier.rs
+++ b/crates/coordination/src/retries/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection with a floor: servers that keep failing are left out, but never all of them.
+//! Outlier ejection: excludes backend servers that keep failing, but never all servers of a class.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use super::settings::OutlierSettings;
 use crate::base::MonotonicTime;
 
-/// One ejection in force.
+/// An ejection in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Ejection<C> {
-    /// Peers that the floor is counted over.
+    /// Class of peers among which the share of ejected servers is limited.
     pub class: C,
     /// End of the ejection.
     pub until: MonotonicTime,
@@ -21,17 +21,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct FailureCount {
     /// Failures since the last success.
-    in_a_row: u32,
-    /// Ejections since the last long quiet; doubles the next one.
+    consecutive: u32,
+    /// Ejections since the last period of `max_ejection` without one; each doubles the next.
     ejections: u32,
     /// End of the last ejection.
     last_until: MonotonicTime,
 }
 
-/// Failures of backend servers with keys `K`, and who is ejected among peers of class `C`.
+/// Failures and ejections of backend servers with keys `K`, grouped in classes `C` of peers.
 ///
-/// Invariant: within a class, ejections in force never exceed the share that the settings allow of
-/// the peers counted when the last one began, so at least one peer always stays.
+/// Invariant: when an ejection begins, the ejections in force within its class do not exceed the
+/// share of its peers that the settings allow, so at least one peer always remains.
 #[derive(Clone, Debug)]
 pub struct OutlierTable<K, C>
 where
@@ -47,7 +47,7 @@
     K: Key,
     C: Eq + Clone,
 {
-    /// A table without failures.
+    /// Starts without failures and ejections.
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
@@ -56,21 +56,22 @@
         }
     }
 
-    /// Whether `key` is left out at `now`.
+    /// Whether `key` is ejected at `now`.
     pub fn is_ejected(&self, now: MonotonicTime, key: K) -> bool {
         self.ejected
             .get(&key)
             .is_some_and(|ejection| ejection.until > now)
     }
 
-    /// Notes a success; the count in a row starts anew.
+    /// Records a success, which resets the count of consecutive failures.
     pub fn succeeded(&mut self, key: K) {
         if let Some(count) = self.counts.get_mut(key) {
-            count.in_a_row = 0;
+            count.consecutive = 0;
         }
     }
 
-    /// Notes a failure of `key`, one of `peers` servers of `class`; says if it is ejected for it.
+    /// Records a failure of `key`, one of `peers` servers of `class`; returns the ejection that it
+    /// causes, if any.
     pub fn failed(
         &mut self,
         now: MonotonicTime,
@@ -78,13 +79,13 @@
         class: C,
         peers: usize,
     ) -> Option<Ejection<C>> {
-        // Work that was under way when the ejection began still fails; counted, it would eject the
-        // server again with its first failure after it is back.
+        // Requests that were running when the ejection began still fail. If these failures counted,
+        // the first failure after the ejection would eject the server again.
         if self.is_ejected(now, key) {
             return None;
         }
         let count = *self.count_failure(key)?;
-        if count.in_a_row < self.settings.consecutive_failures {
+        if count.consecutive < self.settings.consecutive_failures {
             return None;
         }
         if self.ejected_peers(now, &class) >= self.allowed_ejections(peers) {
@@ -96,7 +97,7 @@
         self.counts.insert(
             key,
             FailureCount {
-                in_a_row: 0,
+                consecutive: 0,
                 ejections: count.ejections.saturating_add(1),
                 last_until: until,
             },
@@ -104,34 +105,34 @@
         Some(ejection)
     }
 
-    /// Ends ejections that are over; returns the servers that are back.
+    /// Removes expired ejections; returns the servers that are no longer ejected.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<K> {
-        let back: Vec<K> = self
+        let expired: Vec<K> = self
             .ejected
             .iter()
             .filter(|(_, ejection)| ejection.until <= now)
             .map(|(key, _)| *key)
             .collect();
-        for key in &back {
+        for key in &expired {
             self.ejected.remove(key);
         }
-        back
+        expired
     }
 
-    /// Forgets a server.
+    /// Removes the failures and the ejection of a server.
     pub fn remove(&mut self, key: K) {
         self.counts.remove(key);
         self.ejected.remove(&key);
     }
 
-    /// Ejections in force or not yet ended by a tick.
+    /// Ejections that are in force, or expired and not yet removed by a tick.
     pub fn ejections(&self) -> impl Iterator<Item = (K, &Ejection<C>)> {
         self.ejected.iter().map(|(key, ejection)| (*key, ejection))
     }
 
     fn count_failure(&mut self, key: K) -> Option<&FailureCount> {
         let count = self.counts.entry(key)?.or_default();
-        count.in_a_row = count.in_a_row.saturating_add(1);
+        count.consecutive = count.consecutive.saturating_add(1);
         Some(count)
     }
 
--- a/crates/coordination/src/retries/proof.rs
+++ b/crates/coordination/src/retries/proof.rs
@@ -1,4 +1,4 @@
-//! What is proved about a call when its attempt failed.
+//! Classifies how an attempt ended, and whether that proves that the call did or did not run.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -10,54 +10,54 @@
     /// The backend server's host refused the connection.
     #[display("connection refused")]
     ConnectionRefused,
-    /// No connection came about in time, and no byte was written.
+    /// No connection was established in time, and no byte was written.
     #[display("no connection")]
     NotConnected,
-    /// The backend server itself says that it did not start the call.
+    /// The backend server reports that it did not start the call.
     #[display("declined")]
     Declined,
     /// The connection broke after the first byte was written.
     #[display("reset after the send")]
     ResetAfterSend,
-    /// No answer came in time after the first byte was written.
+    /// No answer arrived in time after the first byte was written.
     #[display("timed out")]
     TimedOut,
-    /// An error status without the backend server's word that it did not start; a proxy on the way
-    /// may have made it.
+    /// An error status, without a report of the backend server that it did not start the call; an
+    /// intermediate proxy may have generated it.
     #[display("error status")]
     ErrorStatus,
-    /// The answer began and did not end.
+    /// The answer began and was cut off.
     #[display("incomplete answer")]
     IncompleteAnswer,
-    /// The whole answer came.
+    /// The complete answer arrived.
     #[display("answered")]
     Answered,
 }
 
-/// What is proved about whether a call ran.
+/// Proof whether a call ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunProof {
-    /// No byte of it left this process.
+    /// No byte of the call left this process.
     #[display("not sent")]
     NotSent,
-    /// It was sent, and the backend server says that it did not start.
+    /// The call was sent, and the backend server reports that it did not start it.
     #[display("not run")]
     NotRun,
-    /// It may or may not have run.
+    /// The call may or may not have run.
     #[display("unknown")]
     Unknown,
-    /// It ran.
+    /// The call ran.
     #[display("ran")]
     Ran,
 }
 
 impl SendOutcome {
-    /// What the outcome proves.
+    /// Returns what the outcome proves.
     ///
-    /// Only a connection that never was, or the backend server's own word, proves that a call did
-    /// not run. A reset, a time-out or an error status after the send may hide a call that ran and
-    /// whose answer was lost; taking them for proof would run an attestation twice.
+    /// Only a connection that was never established, or a report of the backend server itself,
+    /// proves that a call did not run. After a reset, a timeout or an error status the call may
+    /// have run and its answer may be lost; treating them as proof would run an attestation twice.
     pub fn proof(self) -> RunProof {
         match self {
             Self::ConnectionRefused | Self::NotConnected => RunProof::NotSent,
@@ -69,29 +69,30 @@
 }
 
 impl RunProof {
-    /// Whether the caller may be told that the call did not run.
+    /// Whether it is proved that the call did not run.
     pub fn is_not_run(self) -> bool {
         matches!(self, Self::NotSent | Self::NotRun)
     }
 }
 
-/// What sending a call twice would do.
+/// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallKind {
-    /// Nothing more than sending it once.
+    /// Running the call twice has the same effect as running it once.
     #[display("idempotent")]
     Idempotent,
-    /// It may run at most once, with or without a claim.
+    /// The call may run at most once, with or without a claim.
     #[display("non-idempotent")]
     NonIdempotent,
 }
 
 impl CallKind {
-    /// Whether a call may be sent again after an attempt of which `proof` is known.
+    /// Whether a call may be sent again after an attempt with `proof`.
     ///
-    /// A non-idempotent call is never sent again once a byte of it has left, not even on a backend
-    /// server's word: the claim says "sent", and no one else can tell this word from a wrong one.
+    /// A non-idempotent call is never sent again after a byte of it was sent, even if the backend
+    /// server reports that it did not start the call: the claim records it as sent, and nothing
+    /// else can verify the report.
     pub fn may_resend(self, proof: RunProof) -> bool {
         match self {
             Self::Idempotent => true,
--- a/crates/coordination/src/retries/settings.rs
+++ b/crates/coordination/src/retries/settings.rs
@@ -4,17 +4,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// When a backend server is left out for its failures.
+/// Settings of outlier ejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct OutlierSettings {
-    /// Failures in a row that eject a backend server.
+    /// Number of consecutive failures that ejects a backend server.
     pub consecutive_failures: u32,
-    /// Length of the first ejection; doubles with each one that follows.
+    /// Duration of the first ejection; doubles with each subsequent ejection.
     pub base_ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// Share of the peers that may be ejected at a time, in percent; one of two or more always may.
+    /// Limit of simultaneously ejected peers in percent; one of two or more may always be ejected.
     pub max_ejected_percent: u32,
 }
 
@@ -29,13 +29,13 @@
     }
 }
 
-/// How a new or returned backend server is brought up to its full share.
+/// Settings of the slow start of new or returned backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct SlowStartSettings {
-    /// Time over which the share rises to the full one; zero gives the full share at once.
+    /// Time over which the share of work rises to the full share; zero disables slow start.
     pub window: Duration,
-    /// Share at the start, in percent of the full one.
+    /// Initial share, in percent of the full share.
     pub first_percent: u32,
 }
 
@@ -48,25 +48,27 @@
     }
 }
 
-/// How often and how soon a call is sent again.
+/// Settings of retries and retry budgets.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct RetrySettings {
-    /// Attempts at one call, the first included.
+    /// Limit of attempts for one call, including the first.
     pub max_attempts: u32,
-    /// Retries that each first attempt of a customer earns.
+    /// Retries that each first attempt adds to the customer's budget.
     pub budget_ratio: f64,
-    /// Retries a second that a customer has without earning them, so that few calls can be retried.
+    /// Retries per second that the budget gains regardless of calls, so that a customer with few
+    /// calls can retry them.
     pub budget_floor: f64,
-    /// Most retries that a customer can have saved up.
+    /// Maximum of saved retries of a customer.
     pub budget_burst: f64,
-    /// Customers whose budgets are kept; beyond them the one that was quiet longest is forgotten.
+    /// Limit of customers with a budget; in excess of it, the budget of the customer with the least
+    /// recent call is removed.
     pub max_customers: u32,
-    /// Longest wait before the first retry; doubles with each one that follows.
+    /// Maximum backoff before the first retry; doubles with each subsequent retry.
     pub base_backoff: Duration,
-    /// Longest wait before any retry.
+    /// Maximum backoff before any retry.
     pub max_backoff: Duration,
-    /// Time that must be left until the deadline when a retry is sent.
+    /// Minimum time until the deadline when a retry is sent.
     pub min_remaining: Duration,
 }
 
--- a/crates/coordination/src/retries/slow_start.rs
+++ b/crates/coordination/src/retries/slow_start.rs
@@ -1,13 +1,13 @@
-//! Slow start: a new or returned backend server takes a growing share of the work.
+//! Slow start: a new or returned backend server receives a growing share of the work.
 
 use super::settings::SlowStartSettings;
 use crate::base::MonotonicTime;
 
-/// Share of its full work, above 0 and at most 1, that a backend server that joined at `joined`
-/// takes at `now`.
+/// Returns the share of its full work, above 0 and at most 1, that a backend server which joined at
+/// `joined` receives at `now`. The share rises linearly.
 ///
-/// Without it the least loaded server, the one that has just come back with cold caches, would be
-/// sent every new request at once. A share that rises linearly keeps the rest in use meanwhile.
+/// Without slow start, a server that has just returned with cold caches is the least loaded one and
+/// receives every new request. With it, the other servers stay in use meanwhile.
 pub fn slow_start_share(
     now: MonotonicTime,
     joined: MonotonicTime,
@@ -18,6 +18,6 @@
         return 1.0;
     }
     let first = f64::from(settings.first_percent.clamp(1, 100)) / 100.0;
-    let passed = age.as_secs_f64() / settings.window.as_secs_f64();
-    first + (1.0 - first) * passed
+    let elapsed = age.as_secs_f64() / settings.window.as_secs_f64();
+    first + (1.0 - first) * elapsed
 }
--- a/crates/coordination/tests/retries_failures.rs
+++ b/crates/coordination/tests/retries_failures.rs
@@ -1,4 +1,4 @@
-//! Retries: proof tables, budgets under a storm, ejection and slow start.
+//! Retry decisions, retry budgets, outlier ejection and slow start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -34,11 +34,11 @@
     }
 }
 
-// The caller is told `not run` only where that is proved, and a non-idempotent call is sent again
-// only if no byte of it has left. Every way in which a send can end meets both kinds of calls.
-// A reset or an error status can hide a run whose answer was lost.
+// Guards against a non-idempotent call that runs twice, and against a `not run` without proof:
+// after a reset or an error status the call may have run and its answer may be lost. Covers each
+// outcome of a send for both kinds of calls.
 #[test]
-fn only_proved_calls_are_sent_again() {
+fn non_idempotent_calls_are_retried_only_if_not_sent() {
     let customer = CustomerName::from("c");
     let mut lines = Vec::new();
     for kind in [CallKind::NonIdempotent, CallKind::Idempotent] {
@@ -75,10 +75,11 @@
     ");
 }
 
-// The caller does not wait for a retry that comes too late, comes too often, or was not earned.
-// The deadline travels as time left: 300 ms at arrival, of which 280 ms have passed.
+// Guards against retries after the deadline, in excess of the attempts or without budget. The
+// deadline arrives as remaining time: 300 ms at arrival, of which 280 ms have elapsed at the second
+// case.
 #[test]
-fn retries_end_with_deadline_attempts_and_budget() {
+fn deadline_attempts_and_budget_stop_retries() {
     let customer = CustomerName::from("c");
     let settings = RetrySettings {
         budget_burst: 2.0,
@@ -118,8 +119,9 @@
     ");
 }
 
-/// Sends per call while every send fails: ten customers, 100 calls a second each, for 30 s.
-fn run_storm(settings: RetrySettings) -> f64 {
+/// Returns the sends per call while every send fails: ten customers, 100 calls per second each, 30
+/// s.
+fn simulate_outage(settings: RetrySettings) -> f64 {
     let mut budgets = BudgetTable::new(settings);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut retries: BTreeMap<u64, Vec<(CustomerName, u32)>> = BTreeMap::new();
@@ -154,12 +156,13 @@
     f64::from(sends) / f64::from(calls)
 }
 
-// The failing service meets at most 1.25 times the calls, where retries alone would make it 4.
-// Every send fails for 30 s. A call earns a fifth of a retry, and each customer has one a second.
+// Guards against retries that overload a failing service. Every send fails for 30 s; each call
+// earns 0.2 retries, and each customer gains one per second. The budget limits the load to 1.25
+// times the calls; without it the load is four times the calls.
 #[test]
-fn a_storm_stays_under_a_stated_factor() {
-    let bounded = run_storm(RetrySettings::default());
-    let unbounded = run_storm(RetrySettings {
+fn budgets_bound_the_load_of_a_failing_service() {
+    let bounded = simulate_outage(RetrySettings::default());
+    let unbounded = simulate_outage(RetrySettings {
         budget_burst: 1e9,
         ..RetrySettings::default()
     });
@@ -167,9 +170,10 @@
     assert!(unbounded > 3.9, "{unbounded}");
 }
 
-// Strangers cannot fill the table: beyond its bound the customer that was quiet longest goes.
+// Guards against unbounded memory for the budgets of many customers: a full table removes the
+// budget with the least recent call.
 #[test]
-fn budgets_are_bounded() {
+fn the_number_of_budgets_is_bounded() {
     let mut budgets = BudgetTable::new(RetrySettings {
         max_customers: 3,
         ..RetrySettings::default()
@@ -180,10 +184,11 @@
     assert_eq!(budgets.len(), 3);
 }
 
-// Callers are never left without a peer: of ten that all fail, three are ejected, and longer each
-// time. The count in a row starts anew with a success, so single failures eject nobody.
+// Guards against the ejection of all peers: of ten failing servers, three are ejected, for a longer
+// time at each ejection. A success resets the count of consecutive failures, so single failures
+// eject none.
 #[test]
-fn ejection_keeps_a_floor_and_backs_off() {
+fn ejections_are_limited_in_number_and_grow_in_length() {
     let mut servers: SlotMap<DefaultKey, ()> = SlotMap::new();
     let keys: Vec<DefaultKey> = (0..10).map(|_| servers.insert(())).collect();
     let mut table: OutlierTable<DefaultKey, &str> = OutlierTable::new(OutlierSettings::default());
@@ -203,25 +208,26 @@
             .unwrap();
         lengths.push(until.since(now).as_secs());
         now = until;
-        let back = table.tick(now);
-        assert!(!back.is_empty() && !table.is_ejected(now, back[0]));
+        let expired = table.tick(now);
+        assert!(!expired.is_empty() && !table.is_ejected(now, expired[0]));
         for _ in 0..2 {
-            assert_eq!(table.failed(now, back[0], "peers", 10), None);
+            assert_eq!(table.failed(now, expired[0], "peers", 10), None);
         }
-        table.succeeded(back[0]);
+        table.succeeded(expired[0]);
         for _ in 0..3 {
-            table.failed(now, back[0], "peers", 10);
+            table.failed(now, expired[0], "peers", 10);
         }
-        assert!(table.is_ejected(now, back[0]));
+        assert!(table.is_ejected(now, expired[0]));
     }
     assert_eq!(lengths, [5, 10, 20, 40, 80, 120]);
     let alone = table.failed(now, keys[9], "alone", 1);
     assert_eq!(alone, None);
 }
 
-// A server that has just come back takes a tenth of its share, and the whole one after the window.
+// Guards against a returned server that receives its full share at once: the share starts at a
+// tenth and is complete after the window.
 #[test]
-fn the_share_rises_through_the_window() {
+fn the_share_rises_linearly_during_slow_start() {
     let settings = SlowStartSettings::default();
     let shares = [1_000, 3_500, 6_000, 11_000, 90_000]
         .map(|now| slow_start_share(at(now), at(1_000), &settings));
@@ -233,11 +239,12 @@
     );
 }
 
-// Drafts that look for room many times a second must not pay for looking: running drafts that
-// broke were then cut for want of budget. And a host that learns that it shares the budget with
-// more others must not keep what it had saved up for fewer.
+// Guards against budget checks that consume the budget: drafts check it many times a second while
+// they look for capacity, and broken running drafts then had no budget left for a retry. Also
+// guards against a host that keeps more saved retries than its share after it learns of more hosts
+// with which it shares the budget.
 #[test]
-fn looking_at_the_budget_costs_nothing_and_a_smaller_share_holds_at_once() {
+fn budget_checks_are_free_and_a_smaller_burst_applies_at_once() {
     let settings = RetrySettings {
         budget_ratio: 0.0,
         budget_floor: 0.1,
--- a/crates/coordination/tests/retries_places.rs
+++ b/crates/coordination/tests/retries_places.rs
@@ -1,16 +1,16 @@
-//! At how many backend servers one request may run.
+//! Limit of the backend servers that one request may run on.
 
 use pollendrift_coordination::base::ServerName;
 use pollendrift_coordination::retries::TriedServers;
 
 /// Engines that a route allows.
-const MOST: u32 = 2;
+const LIMIT: u32 = 2;
 
-// Callers and operators see: a draft runs on more engines than its route allows. Its chain breaks in
-// the middle, another goes on and breaks as well; the first engine of each is well. A third chain may
-// begin with one of those two again, or with any engine once one of them is lost itself.
+// Guards against a draft that runs on more engines than its route allows. Two chains break in the
+// middle, and the first engine of each still answers. A third chain may begin only with one of
+// these two engines, or with any engine after one of the two is lost.
 #[test]
-fn a_draft_begins_anew_with_engines_that_it_ran_on() {
+fn a_draft_at_its_limit_restarts_only_on_engines_that_ran_it() {
     let cases: [(&str, &[&str], &[&str]); 6] = [
         ("first chain", &[], &[]),
         ("one broke", &["a"], &[]),
@@ -29,12 +29,12 @@
     ];
     let mut seen = Vec::new();
     for (name, ran, lost) in cases {
-        let mut places = TriedServers::default();
+        let mut tried = TriedServers::default();
         for server in ran {
-            places.record(&ServerName::from(*server));
+            tried.record(&ServerName::from(*server));
         }
         let is_lost = |server: &ServerName| lost.contains(&server.as_str());
-        let allowed = places.allowed(MOST, is_lost);
+        let allowed = tried.allowed(LIMIT, is_lost);
         let names = |servers: Vec<&ServerName>| {
             let names: Vec<&str> = servers.into_iter().map(ServerName::as_str).collect();
             names.join(" ")
