--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,7 +1,8 @@
-//! Claims: what makes a call that may not be repeated run at most once.
+//! Claims, which make a non-idempotent call run at most once.
 //!
-//! [`ClaimTable`] is replicated: an entry takes a claim there before the first byte goes out.
-//! [`ClaimedCall`] is the entry's side: what it does next and what the caller is told.
+//! An entry takes a claim in the replicated [`ClaimTable`] before it sends the first byte of a
+//! call. [`ClaimedCall`] is the state machine of one call at its entry: it decides the entry's next
+//! step and the response to the caller.
 
 mod call;
 mod claim;
--- a/crates/coordination/src/claims/call.rs
+++ b/crates/coordination/src/claims/call.rs
@@ -1,4 +1,4 @@
-//! One arrival of a call that may not be repeated, at its entry.
+//! State machine of one arrival of a non-idempotent call at its entry.
 
 use derive_more::Display;
 
@@ -8,94 +8,95 @@
 };
 use crate::base::RequestId;
 
-/// What happened to the call.
+/// Input of [`ClaimedCall`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEvent {
     /// The keepers answered the take.
     TakeAnswered(TakeAnswer),
-    /// The keepers did not answer the take in time; it may still be applied later.
+    /// The keepers did not answer the take in time; they may still apply it later.
     TakeUnanswered,
-    /// The connection was refused before a byte went out.
+    /// The connection was refused before a byte was sent.
     ConnectionRefused,
-    /// The backend server proved by its own word that it did not start the call.
+    /// The backend server reported that it did not start the call.
     ProvedNotStarted,
-    /// The whole answer arrived.
+    /// The complete answer arrived.
     Answered(StoredAnswer),
-    /// The link failed, the answer ended early or the deadline passed, after a byte went out.
+    /// The link failed, the answer was cut off or the deadline passed, after a byte was sent.
     AnswerLost,
-    /// The keepers recorded the outcome, or refused it for good.
+    /// The keepers recorded the outcome, or rejected it permanently.
     SettleAnswered,
-    /// The keepers did not answer in time whether the outcome is recorded.
+    /// The keepers did not confirm the outcome in time.
     SettleUnanswered,
 }
 
-/// What the entry does next.
+/// Next step of the entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEffect {
     /// Propose this claim to the keepers.
     Take(TakeClaim),
     /// Send the call to a backend server, once.
     Send,
-    /// Propose this outcome to the keepers, until they answer.
+    /// Propose this outcome to the keepers; repeated until they answer.
     Settle(SettleClaim),
-    /// Tell the caller.
+    /// Send this response to the caller.
     Respond(CallerResponse),
 }
 
-/// Why a call did not run.
+/// Reason why a call did not run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum NotRunReason {
     /// The keepers did not answer, so nothing was sent.
     #[display("the claim could not be taken in time")]
     KeepersUnreachable,
-    /// The claim table has no room.
+    /// The claim table is full.
     #[display("there is no room for another claim")]
     ClaimsFull,
     /// The backend server refused the connection.
     #[display("the backend server refused the connection")]
     ConnectionRefused,
-    /// The backend server said that it did not start.
+    /// The backend server reported that it did not start the call.
     #[display("the backend server did not start the call")]
     ProvedNotStarted,
-    /// This entry's process was replaced.
+    /// A newer incarnation of this entry has started, or the ticket gave the claim back.
     #[display("this entry has been replaced")]
     EntryReplaced,
 }
 
-/// What the caller is told.
+/// Response to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerResponse {
-    /// The answer of the run that this arrival made.
+    /// The answer to the call, which this arrival sent.
     Answer(StoredAnswer),
-    /// The answer of the run that an earlier arrival made.
+    /// The answer to the call, which an earlier arrival sent.
     StoredAnswer {
         /// Request of that arrival.
         request: RequestId,
-        /// Its answer.
+        /// Stored answer.
         answer: StoredAnswer,
     },
-    /// An earlier arrival may be running.
+    /// An earlier arrival may still run the call.
     InProgress {
         /// Request of that arrival.
         request: RequestId,
     },
-    /// The call may have run; it will not be run again under this key.
+    /// The call may have run; it never runs again under this key.
     Unknown {
         /// Request under which it may have run.
         request: RequestId,
     },
-    /// The key stands for another call; this one did not run.
+    /// The key belongs to a call with another digest; this call did not run.
     BodyDiffers {
         /// Request that took the key.
         request: RequestId,
     },
-    /// This arrival did not run, and no later event makes it run.
+    /// This arrival did not run, and no later event can run it.
     NotRun(NotRunReason),
 }
 
-/// The entry's side of one arrival.
+/// State machine of one arrival at its entry.
 ///
-/// Invariant: `Send` comes out at most once, and only after the take was answered `Taken`.
+/// Invariant: [`CallEffect::Send`] is returned at most once, and only after the keepers answered
+/// the take with [`TakeAnswer::Taken`].
 #[derive(Clone, Debug)]
 pub struct ClaimedCall {
     take: TakeClaim,
@@ -111,33 +112,33 @@
 }
 
 impl ClaimedCall {
-    /// Begins a call by proposing its claim.
+    /// Starts a call; the first effect proposes its claim.
     pub fn begin(take: TakeClaim) -> (Self, Vec<CallEffect>) {
         let effects = vec![CallEffect::Take(take.clone())];
         let step = CallStep::Taking;
         (Self { take, step }, effects)
     }
 
-    /// What the key is unique in.
+    /// Scope within which the key is unique.
     pub fn scope(&self) -> &ClaimScope {
         &self.take.scope
     }
 
-    /// The arrival's ticket.
+    /// Ticket of the arrival.
     pub fn ticket(&self) -> &ClaimTicket {
         &self.take.ticket
     }
 
-    /// Whether nothing is left to do.
+    /// Whether no further event changes the state.
     pub fn is_ended(&self) -> bool {
         self.step == CallStep::Ended
     }
 
-    /// Decides what follows from an event; one that fits no step, such as a late copy of an
-    /// answer, changes nothing.
+    /// Handles an event and returns the effects to carry out. An event that does not apply to the
+    /// current step, such as a late duplicate of an answer, has no effect.
     pub fn handle(&mut self, event: CallEvent) -> Vec<CallEffect> {
         match (&self.step, event) {
-            (CallStep::Taking, CallEvent::TakeAnswered(answer)) => self.taken(answer),
+            (CallStep::Taking, CallEvent::TakeAnswered(answer)) => self.handle_take_answer(answer),
             (CallStep::Taking, CallEvent::TakeUnanswered) => {
                 self.not_run(NotRunReason::KeepersUnreachable)
             }
@@ -148,8 +149,8 @@
                 self.not_run(NotRunReason::ProvedNotStarted)
             }
             (CallStep::Sending, CallEvent::Answered(answer)) => {
-                let verdict = CallerResponse::Answer(answer.clone());
-                self.settle(ClaimOutcome::Finished(answer), verdict)
+                let response = CallerResponse::Answer(answer.clone());
+                self.settle(ClaimOutcome::Finished(answer), response)
             }
             (CallStep::Sending, CallEvent::AnswerLost) => {
                 let request = self.take.request.clone();
@@ -166,8 +167,8 @@
         }
     }
 
-    fn taken(&mut self, answer: TakeAnswer) -> Vec<CallEffect> {
-        let verdict = match answer {
+    fn handle_take_answer(&mut self, answer: TakeAnswer) -> Vec<CallEffect> {
+        let response = match answer {
             TakeAnswer::Taken => {
                 self.step = CallStep::Sending;
                 return vec![CallEffect::Send];
@@ -182,21 +183,21 @@
             TakeAnswer::TicketSpent => CallerResponse::NotRun(NotRunReason::EntryReplaced),
         };
         self.step = CallStep::Ended;
-        vec![CallEffect::Respond(verdict)]
+        vec![CallEffect::Respond(response)]
     }
 
-    /// Gives the key back, so that the caller's next try is not held up by a run that never was.
+    /// Releases the key, so that a call that did not run does not block the caller's retry.
     fn not_run(&mut self, reason: NotRunReason) -> Vec<CallEffect> {
         self.settle(ClaimOutcome::NotSent, CallerResponse::NotRun(reason))
     }
 
-    fn settle(&mut self, outcome: ClaimOutcome, verdict: CallerResponse) -> Vec<CallEffect> {
+    fn settle(&mut self, outcome: ClaimOutcome, response: CallerResponse) -> Vec<CallEffect> {
         let settle = SettleClaim {
             scope: self.take.scope.clone(),
             ticket: self.take.ticket.clone(),
             outcome,
         };
         self.step = CallStep::Settling(settle.clone());
-        vec![CallEffect::Respond(verdict), CallEffect::Settle(settle)]
+        vec![CallEffect::Respond(response), CallEffect::Settle(settle)]
     }
 }
--- a/crates/coordination/src/claims/claim.rs
+++ b/crates/coordination/src/claims/claim.rs
@@ -1,4 +1,4 @@
-//! Claims, who holds them, and what they came to.
+//! Commands of the claim table, their answers, and the states of claims.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,30 +10,30 @@
     ClaimKey, CustomerName, HostName, Incarnation, RequestId, SequenceNumber, ServiceName,
 };
 
-/// What a key is unique in.
+/// Scope of a claim: the key is unique per customer and service.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{customer}/{service}/{key}")]
 pub struct ClaimScope {
-    /// Customer that chose the key.
+    /// Customer that sent the key.
     pub customer: CustomerName,
-    /// Service that is called.
+    /// Called service.
     pub service: ServiceName,
-    /// The key.
+    /// Key that the caller chose.
     pub key: ClaimKey,
 }
 
-/// One arrival of a call at one entry.
+/// Identity of one arrival of a call at one entry.
 ///
-/// Each arrival takes a ticket of its own, also where callers resend one request id: a ticket that
-/// two arrivals shared would let both of them send.
+/// Each arrival has its own ticket, even if callers reuse a request id: if two arrivals shared a
+/// ticket, both would send the call.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{host}#{incarnation}/{sequence}")]
 pub struct ClaimTicket {
     /// Host of the entry.
     pub host: HostName,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Number of the arrival within that life.
+    /// Number of the arrival within that incarnation.
     pub sequence: SequenceNumber,
 }
 
@@ -52,20 +52,20 @@
 /// A header of a stored answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHeader {
-    /// Name in lower case.
+    /// Header name in lower case.
     pub name: Arc<str>,
-    /// Value.
+    /// Header value.
     pub value: Arc<str>,
 }
 
 /// Body of a stored answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerBody {
-    /// The whole body.
+    /// The complete body.
     Whole(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The body was too long to keep.
+    /// The body exceeded a limit and is not stored.
     TooLong {
-        /// Its length in bytes.
+        /// Length in bytes.
         bytes: u64,
     },
 }
@@ -75,14 +75,14 @@
 pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Headers that matter to the caller.
+    /// Headers that are repeated to the caller.
     pub headers: Vec<AnswerHeader>,
-    /// Body.
+    /// Response body.
     pub body: AnswerBody,
 }
 
 impl StoredAnswer {
-    /// Bytes that the answer takes in the table.
+    /// Size of body and headers in bytes, as counted by the table.
     pub(super) fn stored_bytes(&self) -> usize {
         let body = match &self.body {
             AnswerBody::Whole(bytes) => bytes.len(),
@@ -95,7 +95,7 @@
         self.headers.iter().map(AnswerHeader::bytes).sum()
     }
 
-    /// The answer without its body.
+    /// Drops the body and keeps its length.
     pub(super) fn without_body(mut self) -> Self {
         if let AnswerBody::Whole(bytes) = &self.body {
             let bytes = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
@@ -104,16 +104,21 @@
         self
     }
 
-    /// The answer cut to bounds.
+    /// Limits the answer to `max_body` and `max_headers` bytes: drops headers that do not fit and a
+    /// body that is too long.
     pub(super) fn bounded(mut self, max_body: usize, max_headers: usize) -> Self {
-        let mut room = max_headers;
+        let mut remaining = max_headers;
         self.headers.retain(|header| {
-            let fits = header.bytes() <= room;
-            room -= if fits { header.bytes() } else { 0 };
+            let fits = header.bytes() <= remaining;
+            remaining -= if fits { header.bytes() } else { 0 };
             fits
         });
-        let long = matches!(&self.body, AnswerBody::Whole(bytes) if bytes.len() > max_body);
-        if long { self.without_body() } else { self }
+        let is_too_long = matches!(&self.body, AnswerBody::Whole(bytes) if bytes.len() > max_body);
+        if is_too_long {
+            self.without_body()
+        } else {
+            self
+        }
     }
 }
 
@@ -123,27 +128,28 @@
     }
 }
 
-/// Asks for a claim.
+/// Command that takes a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeClaim {
-    /// What the key is unique in.
+    /// Scope of the claim.
     pub scope: ClaimScope,
-    /// Digest of the call; the same key with another digest is refused.
+    /// Digest of the call; a take of the same key with another digest is refused.
     pub digest: RequestDigest,
-    /// Request that the call belongs to; look-ups name it.
+    /// Request that the call belongs to; look-ups return it.
     pub request: RequestId,
-    /// The arrival that would send the call.
+    /// Arrival that sends the call if the claim is taken.
     pub ticket: ClaimTicket,
 }
 
-/// How a claim stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// Its holder may be sending.
+    /// The holder may be sending the call.
     InProgress,
-    /// The call ran and this is its answer.
+    /// The call ran and was answered.
     Finished(StoredAnswer),
-    /// It may have run; nobody will ever know more, and it is never run again.
+    /// The call may have run; this remains unknown unless its holder settles it, and it never runs
+    /// again.
     Unknown,
 }
 
@@ -152,44 +158,44 @@
 pub enum TakeAnswer {
     /// The ticket holds the claim and may send once.
     Taken,
-    /// Another arrival came first; this one must not send.
+    /// Another arrival took the claim first; this one must not send.
     AlreadyTaken {
         /// Request of that arrival.
         request: RequestId,
-        /// How its claim stands.
+        /// State of its claim.
         state: ClaimState,
     },
-    /// The key stands for another call; this one must not send.
+    /// The key belongs to a call with another digest; this arrival must not send.
     BodyDiffers {
         /// Request that took the key.
         request: RequestId,
     },
-    /// No room for another claim; this one must not send.
+    /// The table or the customer's share of it is full; this arrival must not send.
     Full,
-    /// The ticket was given back, or its entry's process was replaced; it must not send.
+    /// The ticket was released, or a newer incarnation of its entry exists; it must not send.
     TicketSpent,
 }
 
-/// What a call came to.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// It ran and was answered whole.
+    /// The call ran, and its complete answer arrived.
     Finished(StoredAnswer),
-    /// Bytes went out and no whole answer came back.
+    /// Bytes of the call were sent, and no complete answer arrived.
     Unknown,
-    /// Proved not to have run: nothing was sent, or the backend server proved that it did not
-    /// start. The key is free again.
+    /// The call provably did not run: nothing was sent, or the backend server reported that it did
+    /// not start the call. The key becomes free.
     NotSent,
 }
 
-/// Settles a claim.
+/// Command that records the outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettleClaim {
-    /// The claim.
+    /// Scope of the claim.
     pub scope: ClaimScope,
-    /// Its holder.
+    /// Ticket of its holder.
     pub ticket: ClaimTicket,
-    /// What the call came to.
+    /// Outcome of the call.
     pub outcome: ClaimOutcome,
 }
 
@@ -198,8 +204,8 @@
 pub enum SettleAnswer {
     /// The outcome is recorded.
     Settled,
-    /// An outcome was recorded before; it stays.
+    /// An earlier outcome is recorded and stays.
     AlreadySettled,
-    /// The ticket holds no such claim; nothing changed.
+    /// The ticket does not hold the claim; nothing changed.
     NotHeld,
 }
--- a/crates/coordination/src/claims/settings.rs
+++ b/crates/coordination/src/claims/settings.rs
@@ -1,24 +1,24 @@
-//! Bounds and horizon of claims.
+//! Limits and retention of claims.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Bounds of the claim table. They must be the same on all keepers, as they are part of the
+/// Limits of the claim table. They must be equal on all keepers, because they are part of the
 /// replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSettings {
-    /// How long a settled claim is kept; a key that is resent later runs again.
+    /// Time for which a settled claim is kept; a call that is resent with its key later runs again.
     pub horizon: Duration,
-    /// Most claims kept; above it new calls are refused, truthfully not run.
+    /// Limit of claims; in excess of it, new calls are refused as not run.
     pub max_claims: usize,
-    /// Most claims of one customer, so that a flood of one leaves room for the others.
+    /// Limit of claims of one customer, so that one customer's flood does not fill the table.
     pub max_customer_claims: usize,
-    /// Most bytes of one stored answer's body; a longer one is kept without its body.
+    /// Limit of the body of a stored answer in bytes; a longer body is dropped.
     pub max_body_bytes: usize,
-    /// Most bytes of one stored answer's headers; those beyond are left out.
+    /// Limit of the headers of a stored answer in bytes; headers that do not fit are dropped.
     pub max_header_bytes: usize,
-    /// Most bytes of all stored answers; above it answers are kept without body.
+    /// Limit of all stored answers in bytes; in excess of it, answers are stored without body.
     pub max_stored_bytes: usize,
 }
 
--- a/crates/coordination/src/claims/table.rs
+++ b/crates/coordination/src/claims/table.rs
@@ -1,4 +1,4 @@
-//! The replicated table of claims.
+//! Replicated table of claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,54 +12,55 @@
 use crate::base::{CustomerName, HostName, Incarnation, RequestId};
 use crate::replicated::ReplicatedTime;
 
-/// Most spent tickets that one key remembers.
+/// Limit of released tickets recorded per key.
 const MAX_SPENT_TICKETS: usize = 16;
 
-/// One key's record.
+/// Claim state of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClaimRecord {
     ticket: ClaimTicket,
     state: RecordState,
-    /// Tickets that gave the key back, at most [`MAX_SPENT_TICKETS`], newest last.
+    /// Tickets that released the key, at most [`MAX_SPENT_TICKETS`], newest last. Takes with these
+    /// tickets are refused.
     ///
-    /// Failure: an entry gives up on a take that was not answered and tells its caller `not-run`;
-    /// the delayed take would then hold the key for nobody. A ticket listed here takes nothing.
+    /// An entry that gives up on an unanswered take reports `not-run` to its caller. Without this
+    /// list, a delayed take would then claim the key although no entry sends the call.
     spent: Vec<ClaimTicket>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum RecordState {
-    /// A call took the key.
+    /// A call claimed the key.
     Claimed {
         digest: RequestDigest,
         request: RequestId,
         state: ClaimState,
         settled_at: Option<ReplicatedTime>,
     },
-    /// The ticket gave the key back; the record stays for its spent tickets.
+    /// The ticket released the key; the record is kept for its spent tickets.
     Released { at: ReplicatedTime },
 }
 
-/// Number of claims by state.
+/// Number of claims by state, and the bytes of stored answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimCounts {
     /// Calls that may be running.
     pub in_progress: usize,
-    /// Calls with a known answer.
+    /// Calls that finished with an answer.
     pub finished: usize,
     /// Calls that may have run.
     pub unknown: usize,
-    /// Keys that were given back.
+    /// Keys that were released.
     pub released: usize,
-    /// Bytes of stored answers.
+    /// Size of stored answers in bytes.
     pub stored_bytes: usize,
 }
 
-/// All claims.
+/// Claims of all calls, by scope.
 ///
-/// Invariants: `held` lists exactly the claims in progress by holder; `expiry` lists exactly the
-/// others by the time from which their horizon runs; `customers` counts records; a ticket whose
-/// incarnation is below that of `hosts` takes nothing.
+/// Invariants: `held` lists exactly the claims in progress, by host; `expiry` lists exactly the
+/// other records, by the time from which their retention runs; `customers` counts the records of
+/// each customer; a take with an incarnation below that of its host in `hosts` is refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     settings: ClaimSettings,
@@ -73,7 +74,7 @@
 }
 
 impl ClaimTable {
-    /// An empty table.
+    /// Starts without claims.
     pub fn new(settings: ClaimSettings) -> Self {
         Self {
             settings,
@@ -81,14 +82,15 @@
         }
     }
 
-    /// Takes a claim; the same ticket gets the same answer while it holds the claim.
+    /// Takes a claim. A repeated take with the same ticket returns the same answer while the ticket
+    /// holds the claim.
     pub fn take(&mut self, take: &TakeClaim, now: ReplicatedTime) -> TakeAnswer {
         self.expire(now);
         if self.is_replaced(&take.ticket) {
             return TakeAnswer::TicketSpent;
         }
         let known = self.records.get(&take.scope);
-        if let Some(answer) = known.and_then(|record| answer_of(record, take)) {
+        if let Some(answer) = known.and_then(|record| existing_answer(record, take)) {
             return answer;
         }
         let spent = self.remove(&take.scope);
@@ -105,8 +107,8 @@
         TakeAnswer::Taken
     }
 
-    /// Settles a claim. A recorded outcome stays, but for `Unknown`, which its holder may still
-    /// replace by what it knows.
+    /// Settles a claim. A recorded outcome stays, except `Unknown`, which the holder may still
+    /// replace with a known outcome.
     pub fn settle(&mut self, settle: &SettleClaim, now: ReplicatedTime) -> SettleAnswer {
         self.expire(now);
         let Some(record) = self.records.get(&settle.scope) else {
@@ -124,18 +126,18 @@
         else {
             return SettleAnswer::AlreadySettled;
         };
-        let open = match state {
+        let is_open = match state {
             ClaimState::InProgress => true,
             ClaimState::Unknown => settle.outcome != ClaimOutcome::Unknown,
             ClaimState::Finished(_) => false,
         };
-        if !open {
+        if !is_open {
             return SettleAnswer::AlreadySettled;
         }
         let (digest, request) = (*digest, request.clone());
         let mut spent = self.remove(&settle.scope);
         if settle.outcome == ClaimOutcome::NotSent {
-            spend(&mut spent, &settle.ticket);
+            record_spent(&mut spent, &settle.ticket);
         }
         let state = match &settle.outcome {
             ClaimOutcome::NotSent => RecordState::Released { at: now },
@@ -150,8 +152,8 @@
         SettleAnswer::Settled
     }
 
-    /// The entry's process of this and any earlier incarnation has ended: what it held is unknown
-    /// from now on and never runs again. Gives the number of such claims.
+    /// Records that incarnation `ended` of a host and all earlier ones have ended: their claims in
+    /// progress become unknown, and these calls never run again. Returns the number of such claims.
     pub fn end_incarnation(
         &mut self,
         host: &HostName,
@@ -163,12 +165,12 @@
         let held = self.held.get(host).cloned().unwrap_or_default();
         let mut count = 0;
         for scope in held {
-            count += usize::from(self.forget_holder(&scope, ended, now));
+            count += usize::from(self.mark_unknown(&scope, ended, now));
         }
         count
     }
 
-    /// How a key stands, for look-ups; `None` if nothing is known of it.
+    /// Returns the request and the state of a claim; `None` if the key is not claimed.
     pub fn look_up(&self, scope: &ClaimScope) -> Option<(&RequestId, &ClaimState)> {
         match &self.records.get(scope)?.state {
             RecordState::Claimed { request, state, .. } => Some((request, state)),
@@ -176,12 +178,12 @@
         }
     }
 
-    /// Claims that are held, whatever their state.
+    /// Number of records in any state, including released keys.
     pub fn held(&self) -> usize {
         self.records.len()
     }
 
-    /// Counts by state.
+    /// Counts the claims by state.
     pub fn counts(&self) -> ClaimCounts {
         let mut counts = ClaimCounts {
             stored_bytes: self.stored_bytes,
@@ -200,8 +202,8 @@
         counts
     }
 
-    /// Drops settled claims whose horizon has passed. A claim in progress never expires: its
-    /// holder may still send.
+    /// Removes settled claims and released keys older than the horizon. A claim in progress never
+    /// expires, because its holder may still send the call.
     pub fn expire(&mut self, now: ReplicatedTime) {
         while let Some((since, scope)) = self.expiry.first() {
             if now.since(*since) <= self.settings.horizon {
@@ -222,24 +224,24 @@
         self.records.len() >= self.settings.max_claims || own >= self.settings.max_customer_claims
     }
 
-    /// Marks a ticket that gives back a key which another ticket took.
+    /// Records a ticket that releases a key which another ticket claimed.
     fn settle_other(&mut self, settle: &SettleClaim) -> SettleAnswer {
-        let gives_back = settle.outcome == ClaimOutcome::NotSent;
+        let is_release = settle.outcome == ClaimOutcome::NotSent;
         match self.records.get_mut(&settle.scope) {
-            Some(record) if gives_back => {
-                spend(&mut record.spent, &settle.ticket);
+            Some(record) if is_release => {
+                record_spent(&mut record.spent, &settle.ticket);
                 SettleAnswer::Settled
             }
             _ => SettleAnswer::NotHeld,
         }
     }
 
-    /// Marks a ticket that gives back a key whose take has not arrived.
+    /// Records a ticket that releases a key before its take is applied.
     fn settle_absent(&mut self, settle: &SettleClaim, now: ReplicatedTime) -> SettleAnswer {
-        let marks = settle.outcome == ClaimOutcome::NotSent
+        let is_recorded = settle.outcome == ClaimOutcome::NotSent
             && !self.is_replaced(&settle.ticket)
             && !self.is_full(&settle.scope.customer);
-        if !marks {
+        if !is_recorded {
             return SettleAnswer::NotHeld;
         }
         let state = RecordState::Released { at: now };
@@ -253,16 +255,16 @@
             return ClaimState::Unknown;
         };
         let settings = &self.settings;
-        let room = settings.max_stored_bytes.saturating_sub(self.stored_bytes);
-        let max_headers = settings.max_header_bytes.min(room);
+        let remaining = settings.max_stored_bytes.saturating_sub(self.stored_bytes);
+        let max_headers = settings.max_header_bytes.min(remaining);
         let answer = answer.clone().bounded(settings.max_body_bytes, max_headers);
-        if answer.stored_bytes() > room {
+        if answer.stored_bytes() > remaining {
             return ClaimState::Finished(answer.without_body());
         }
         ClaimState::Finished(answer)
     }
 
-    fn forget_holder(
+    fn mark_unknown(
         &mut self,
         scope: &ClaimScope,
         ended: Incarnation,
@@ -318,7 +320,7 @@
         self.records.insert(scope.clone(), record);
     }
 
-    /// Removes a record and gives its spent tickets.
+    /// Removes a record and returns its spent tickets.
     fn remove(&mut self, scope: &ClaimScope) -> Vec<ClaimTicket> {
         let Some(record) = self.records.remove(scope) else {
             return Vec::new();
@@ -362,7 +364,7 @@
     }
 }
 
-fn spend(spent: &mut Vec<ClaimTicket>, ticket: &ClaimTicket) {
+fn record_spent(spent: &mut Vec<ClaimTicket>, ticket: &ClaimTicket) {
     if spent.contains(ticket) {
         return;
     }
@@ -371,8 +373,8 @@
     spent.drain(..surplus);
 }
 
-/// What an existing record answers to a take; `None` if the key is free for it.
-fn answer_of(record: &ClaimRecord, take: &TakeClaim) -> Option<TakeAnswer> {
+/// Returns the answer of an existing record to a take; `None` if the key is free.
+fn existing_answer(record: &ClaimRecord, take: &TakeClaim) -> Option<TakeAnswer> {
     if record.spent.contains(&take.ticket) {
         return Some(TakeAnswer::TicketSpent);
     }
--- a/crates/coordination/tests/claims_at_most_once.rs
+++ b/crates/coordination/tests/claims_at_most_once.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated, through several entries, while everything around them fails.
+//! Simulation of non-idempotent calls through several entries with failures at every step.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use std::collections::{BTreeMap, VecDeque};
@@ -15,30 +15,33 @@
 
 const NOW: ReplicatedTime = ReplicatedTime::from_micros(0);
 
-/// How the next step of a call goes.
+/// Simulated result of the next step of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// It works.
-    Works,
-    /// Keepers: applied, the reply is lost. Backend server: it ran, the answer is lost.
+enum StepResult {
+    /// The step succeeds.
+    Succeeds,
+    /// Keepers: the command is applied, the reply is lost. Backend server: the call ran, the answer
+    /// is lost.
     ReplyLost,
-    /// Keepers: never applied. Backend server: bytes went out, it never ran, nobody knows.
+    /// Keepers: the command is never applied. Backend server: bytes were sent, the call did not
+    /// run, and the entry cannot know.
     Lost,
-    /// Keepers: applied later, long after the entry gave up. Backend server: connection refused.
+    /// Keepers: the command is applied long after the entry gave up. Backend server: the connection
+    /// is refused.
     Delayed,
-    /// Keepers: applied twice. Backend server: it says that it did not start.
+    /// Keepers: the command is applied twice. Backend server: it reports that it did not start.
     Twice,
-    /// It works, and the entry dies before it hears of it.
-    EntryDies,
+    /// The step succeeds, and the entry crashes before it receives the result.
+    EntryCrashes,
 }
 
-const FATES: [Fate; 6] = [
-    Fate::Works,
-    Fate::ReplyLost,
-    Fate::Lost,
-    Fate::Delayed,
-    Fate::Twice,
-    Fate::EntryDies,
+const STEP_RESULTS: [StepResult; 6] = [
+    StepResult::Succeeds,
+    StepResult::ReplyLost,
+    StepResult::Lost,
+    StepResult::Delayed,
+    StepResult::Twice,
+    StepResult::EntryCrashes,
 ];
 
 #[derive(Clone, Debug)]
@@ -50,15 +53,15 @@
 struct Arrival {
     call: ClaimedCall,
     scope: ClaimScope,
-    /// Incarnation of the entry; the arrival ends when the entry dies.
+    /// Whether the entry process that received the arrival still runs.
     alive: bool,
     effects: VecDeque<CallEffect>,
-    told: Option<CallerResponse>,
+    response: Option<CallerResponse>,
     ran: bool,
 }
 
-/// Entries, keepers and one service, all in memory.
-struct World {
+/// In-memory simulation of three entries, the keepers and one service.
+struct Simulation {
     table: ClaimTable,
     incarnations: [u64; 3],
     arrivals: Vec<Arrival>,
@@ -70,7 +73,7 @@
     format!("entry{entry}").into()
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             table: ClaimTable::new(ClaimSettings::default()),
@@ -103,14 +106,14 @@
             scope,
             alive: true,
             effects: effects.into(),
-            told: None,
+            response: None,
             ran: false,
         });
         number
     }
 
-    /// Carries out the next effect of an arrival; tells come without a step of their own.
-    fn step(&mut self, number: usize, fate: Fate) {
+    /// Carries out the next effect of an arrival and the responses that follow it.
+    fn step(&mut self, number: usize, result: StepResult) {
         let Some(arrival) = self.arrivals.get_mut(number) else {
             return;
         };
@@ -121,23 +124,26 @@
             return;
         };
         let event = match effect {
-            CallEffect::Respond(verdict) => {
-                assert!(arrival.told.replace(verdict).is_none(), "told twice");
+            CallEffect::Respond(response) => {
+                assert!(
+                    arrival.response.replace(response).is_none(),
+                    "two responses to one caller"
+                );
                 return;
             }
-            CallEffect::Send => self.send(number, fate),
-            CallEffect::Take(take) => match self.commit(LateCommand::Take(take.clone()), fate) {
+            CallEffect::Send => self.send(number, result),
+            CallEffect::Take(take) => match self.commit(LateCommand::Take(take.clone()), result) {
                 true => CallEvent::TakeAnswered(self.table.take(&take, NOW)),
                 false => CallEvent::TakeUnanswered,
             },
-            CallEffect::Settle(settle) => match self.commit(LateCommand::Settle(settle), fate) {
+            CallEffect::Settle(settle) => match self.commit(LateCommand::Settle(settle), result) {
                 true => CallEvent::SettleAnswered,
                 false => CallEvent::SettleUnanswered,
             },
         };
-        if fate == Fate::EntryDies {
+        if result == StepResult::EntryCrashes {
             let entry = self.arrivals[number].call.ticket().host.clone();
-            self.kill(
+            self.restart_entry(
                 (0..3)
                     .find(|entry_number| host(*entry_number) == entry)
                     .unwrap(),
@@ -148,45 +154,49 @@
         let effects = arrival.call.handle(event);
         arrival.effects.extend(effects);
         while let Some(CallEffect::Respond(_)) = self.arrivals[number].effects.front() {
-            self.step(number, Fate::Works);
+            self.step(number, StepResult::Succeeds);
         }
     }
 
-    fn send(&mut self, number: usize, fate: Fate) -> CallEvent {
+    fn send(&mut self, number: usize, result: StepResult) -> CallEvent {
         let arrival = &mut self.arrivals[number];
         let answer = StoredAnswer {
             status: 201,
             headers: Vec::new(),
             body: AnswerBody::Whole(format!("run by {number}").into_bytes()),
         };
-        match fate {
-            Fate::Lost => return CallEvent::AnswerLost,
-            Fate::Delayed => return CallEvent::ConnectionRefused,
-            Fate::Twice => return CallEvent::ProvedNotStarted,
-            Fate::Works | Fate::ReplyLost | Fate::EntryDies => arrival.ran = true,
+        match result {
+            StepResult::Lost => return CallEvent::AnswerLost,
+            StepResult::Delayed => return CallEvent::ConnectionRefused,
+            StepResult::Twice => return CallEvent::ProvedNotStarted,
+            StepResult::Succeeds | StepResult::ReplyLost | StepResult::EntryCrashes => {
+                arrival.ran = true
+            }
         }
         *self.runs.entry(arrival.scope.clone()).or_default() += 1;
-        match fate {
-            Fate::ReplyLost => CallEvent::AnswerLost,
+        match result {
+            StepResult::ReplyLost => CallEvent::AnswerLost,
             _ => CallEvent::Answered(answer),
         }
     }
 
-    /// Brings a command to the keepers; tells whether a reply comes back.
-    fn commit(&mut self, command: LateCommand, fate: Fate) -> bool {
-        match fate {
-            Fate::Lost => return false,
-            Fate::Delayed => {
+    /// Sends a command to the keepers; returns whether a reply arrives.
+    fn commit(&mut self, command: LateCommand, result: StepResult) -> bool {
+        match result {
+            StepResult::Lost => return false,
+            StepResult::Delayed => {
                 self.late.push(command);
                 return false;
             }
-            Fate::Works | Fate::ReplyLost | Fate::EntryDies => self.apply(command),
-            Fate::Twice => {
+            StepResult::Succeeds | StepResult::ReplyLost | StepResult::EntryCrashes => {
+                self.apply(command)
+            }
+            StepResult::Twice => {
                 self.apply(command.clone());
                 self.apply(command);
             }
         }
-        fate != Fate::ReplyLost
+        result != StepResult::ReplyLost
     }
 
     fn apply(&mut self, command: LateCommand) {
@@ -200,8 +210,8 @@
         }
     }
 
-    /// The entry's process ends and starts anew; the keepers hear of it later.
-    fn kill(&mut self, entry: usize) {
+    /// Restarts the entry's process; the keepers do not know of it yet.
+    fn restart_entry(&mut self, entry: usize) {
         self.incarnations[entry] += 1;
         for arrival in &mut self.arrivals {
             if arrival.call.ticket().host == host(entry) {
@@ -210,7 +220,7 @@
         }
     }
 
-    /// The keepers hold the entry for dead, rightly or not.
+    /// The keepers declare the entry's current incarnation ended, correctly or not.
     fn declare_dead(&mut self, entry: usize) {
         let ended = Incarnation(self.incarnations[entry]);
         self.table.end_incarnation(&host(entry), ended, NOW);
@@ -232,7 +242,7 @@
 
     fn run_to_end(&mut self, number: usize) {
         for _ in 0..8 {
-            self.step(number, Fate::Works);
+            self.step(number, StepResult::Succeeds);
         }
     }
 
@@ -241,10 +251,12 @@
             assert!(*runs <= 1, "{scope} ran {runs} times");
         }
         for arrival in &self.arrivals {
-            let Some(told) = &arrival.told else { continue };
-            match told {
+            let Some(response) = &arrival.response else {
+                continue;
+            };
+            match response {
                 CallerResponse::NotRun(_) | CallerResponse::BodyDiffers { .. } => {
-                    assert!(!arrival.ran, "told {told:?}, but it ran");
+                    assert!(!arrival.ran, "response {response:?}, but the call ran");
                 }
                 CallerResponse::Answer(_) => assert!(arrival.ran),
                 CallerResponse::StoredAnswer { answer, .. } => {
@@ -261,9 +273,9 @@
     }
 }
 
-impl World {
-    /// After all has come to an end, only dead entries hold keys.
-    fn check_nothing_is_held_for_nobody(&self) {
+impl Simulation {
+    /// Checks that only crashed entries hold claims after all calls have ended.
+    fn check_no_orphaned_claims(&self) {
         for arrival in &self.arrivals {
             let Some((request, ClaimState::InProgress)) = self.table.look_up(&arrival.scope) else {
                 continue;
@@ -282,8 +294,8 @@
     }
 }
 
-fn words(told: Option<&CallerResponse>) -> String {
-    match told {
+fn describe(response: Option<&CallerResponse>) -> String {
+    match response {
         None => "nothing".to_owned(),
         Some(CallerResponse::Answer(_)) => "the answer".to_owned(),
         Some(CallerResponse::StoredAnswer { .. }) => "the stored answer".to_owned(),
@@ -294,86 +306,93 @@
     }
 }
 
-/// One caller files through entry 0, one step fails, and the caller resends through entry 1, first
-/// at once and then after the keepers have heard of a dead entry. The table says what ran and what
-/// the caller was told each time; nothing ever runs twice, and every `not run` is true.
+/// Guards against a call that runs twice, or that runs although its caller received `not run`. A
+/// caller sends a call through entry 0, one step fails, and the caller resends through entry 1 at
+/// once and through entry 2 after the keepers declared entry 0 dead. Columns: case, the responses
+/// to these three, the response to another body with the same key, and the number of runs.
 #[test]
-fn one_failure_at_each_step() {
-    use Fate::{Delayed, EntryDies, Lost, ReplyLost, Twice, Works};
-    let cases: [(&str, &[Fate]); 17] = [
-        ("nothing fails", &[Works, Works, Works]),
-        ("take: not committed", &[Lost, Works, Works]),
+fn a_call_runs_at_most_once_with_one_failure_at_each_step() {
+    use StepResult::{Delayed, EntryCrashes, Lost, ReplyLost, Succeeds, Twice};
+    let cases: [(&str, &[StepResult]); 17] = [
+        ("nothing fails", &[Succeeds, Succeeds, Succeeds]),
+        ("take: not committed", &[Lost, Succeeds, Succeeds]),
         (
             "take: committed, leader dies before its reply",
-            &[ReplyLost, Works, Works],
+            &[ReplyLost, Succeeds, Succeeds],
         ),
         (
             "take: committed late, after the entry gave up",
-            &[Delayed, Works, Works],
+            &[Delayed, Succeeds, Succeeds],
         ),
         (
             "take: committed late, before the resend",
-            &[Delayed, Works, Works],
+            &[Delayed, Succeeds, Succeeds],
         ),
-        ("take: committed twice", &[Twice, Works, Works]),
-        ("entry dies after the take", &[EntryDies]),
-        ("send: connection refused", &[Works, Delayed, Works]),
+        ("take: committed twice", &[Twice, Succeeds, Succeeds]),
+        ("entry dies after the take", &[EntryCrashes]),
+        ("send: connection refused", &[Succeeds, Delayed, Succeeds]),
         (
             "send: backend server did not start it",
-            &[Works, Twice, Works],
+            &[Succeeds, Twice, Succeeds],
         ),
         (
             "send: link fails, backend server never got it",
-            &[Works, Lost, Works],
+            &[Succeeds, Lost, Succeeds],
         ),
         (
             "send: backend server dies after running it",
-            &[Works, ReplyLost, Works],
+            &[Succeeds, ReplyLost, Succeeds],
         ),
-        ("entry dies during the send", &[Works, EntryDies]),
+        ("entry dies during the send", &[Succeeds, EntryCrashes]),
         (
             "settle: not committed at first",
-            &[Works, Works, Lost, Works],
+            &[Succeeds, Succeeds, Lost, Succeeds],
         ),
         (
             "settle: committed, leader dies before its reply",
-            &[Works, Works, ReplyLost, Works],
+            &[Succeeds, Succeeds, ReplyLost, Succeeds],
+        ),
+        (
+            "settle: committed late",
+            &[Succeeds, Succeeds, Delayed, Succeeds],
+        ),
+        (
+            "entry dies after the settle",
+            &[Succeeds, Succeeds, EntryCrashes],
         ),
-        ("settle: committed late", &[Works, Works, Delayed, Works]),
-        ("entry dies after the settle", &[Works, Works, EntryDies]),
-        ("entry dies before the settle", &[Works, Works]),
+        ("entry dies before the settle", &[Succeeds, Succeeds]),
     ];
     let mut report = String::new();
-    for (name, fates) in cases {
-        let mut world = World::new();
-        let first = world.arrive(0, 0, 0);
-        for fate in fates {
-            world.step(first, *fate);
+    for (name, results) in cases {
+        let mut simulation = Simulation::new();
+        let first = simulation.arrive(0, 0, 0);
+        for result in results {
+            simulation.step(first, *result);
         }
         if name.starts_with("entry dies") {
-            world.kill(0);
+            simulation.restart_entry(0);
         }
         if name.contains("before the resend") {
-            world.apply_late();
+            simulation.apply_late();
         }
-        let resend = world.arrive(1, 0, 0);
-        world.run_to_end(resend);
-        world.apply_late();
-        world.declare_dead(0);
-        let last = world.arrive(2, 0, 0);
-        world.run_to_end(last);
-        let other = world.arrive(2, 0, 1);
-        world.run_to_end(other);
-        world.check();
-        let told = |number: usize| words(world.arrivals[number].told.as_ref());
+        let resend = simulation.arrive(1, 0, 0);
+        simulation.run_to_end(resend);
+        simulation.apply_late();
+        simulation.declare_dead(0);
+        let last = simulation.arrive(2, 0, 0);
+        simulation.run_to_end(last);
+        let other = simulation.arrive(2, 0, 1);
+        simulation.run_to_end(other);
+        simulation.check();
+        let response = |number: usize| describe(simulation.arrivals[number].response.as_ref());
         let _ = writeln!(
             report,
             "{name} | {} | {} | {} | {} | {}",
-            told(first),
-            told(resend),
-            told(last),
-            told(other),
-            world.runs.values().sum::<u32>(),
+            response(first),
+            response(resend),
+            response(last),
+            response(other),
+            simulation.runs.values().sum::<u32>(),
         );
     }
     insta::assert_snapshot!(report, @r#"
@@ -397,79 +416,82 @@
     "#);
 }
 
-/// Two arrivals of one key at one entry both come to nothing: the first is refused by the backend
-/// server, the second gives up on its take. The second's take is applied last. It used to hold the
-/// key for nobody, and the caller was told `in progress` until the entry ended, because giving back
-/// a key that another ticket had taken left no mark.
+/// Guards against a late take that claims a released key although no entry sends the call. Two
+/// arrivals of one key at one entry fail: the backend server refuses the connection of the first,
+/// the second gives up on its take, and that take is applied last. Releasing a key that another
+/// ticket had claimed was not recorded, so callers received `in progress` until the entry ended.
 #[test]
-fn a_late_take_does_not_hold_a_key_given_back() {
-    let mut world = World::new();
-    let first = world.arrive(0, 0, 0);
-    let second = world.arrive(0, 0, 0);
-    world.step(first, Fate::Works);
-    world.step(first, Fate::Delayed);
-    world.step(second, Fate::Delayed);
-    world.run_to_end(first);
-    world.run_to_end(second);
-    world.apply_late();
-    world.check_nothing_is_held_for_nobody();
-    let resend = world.arrive(1, 0, 0);
-    world.run_to_end(resend);
-    assert_eq!(words(world.arrivals[resend].told.as_ref()), "the answer");
+fn a_late_take_does_not_claim_a_released_key() {
+    let mut simulation = Simulation::new();
+    let first = simulation.arrive(0, 0, 0);
+    let second = simulation.arrive(0, 0, 0);
+    simulation.step(first, StepResult::Succeeds);
+    simulation.step(first, StepResult::Delayed);
+    simulation.step(second, StepResult::Delayed);
+    simulation.run_to_end(first);
+    simulation.run_to_end(second);
+    simulation.apply_late();
+    simulation.check_no_orphaned_claims();
+    let resend = simulation.arrive(1, 0, 0);
+    simulation.run_to_end(resend);
+    assert_eq!(
+        describe(simulation.arrivals[resend].response.as_ref()),
+        "the answer"
+    );
 }
 
 #[derive(Clone, Debug)]
-enum Move {
+enum Action {
     Arrive { entry: usize, key: u8, body: u8 },
-    Step { arrival: usize, fate: Fate },
-    Kill { entry: usize },
+    Step { arrival: usize, result: StepResult },
+    RestartEntry { entry: usize },
     DeclareDead { entry: usize },
     ApplyLate { index: usize },
     RestartKeepers,
 }
 
-fn any_move() -> impl Strategy<Value = Move> {
+fn any_action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        3 => (0..3_usize, 0..2_u8, 0..8_u8).prop_map(|(entry, key, body)| Move::Arrive {
+        3 => (0..3_usize, 0..2_u8, 0..8_u8).prop_map(|(entry, key, body)| Action::Arrive {
             entry,
             key,
             body: body / 7,
         }),
-        12 => (0..40_usize, 0..12_usize).prop_map(|(arrival, fate)| Move::Step {
+        12 => (0..40_usize, 0..12_usize).prop_map(|(arrival, result)| Action::Step {
             arrival,
-            fate: FATES.get(fate).copied().unwrap_or(Fate::Works),
+            result: STEP_RESULTS.get(result).copied().unwrap_or(StepResult::Succeeds),
         }),
-        1 => (0..3_usize).prop_map(|entry| Move::Kill { entry }),
-        1 => (0..3_usize).prop_map(|entry| Move::DeclareDead { entry }),
-        2 => (0..8_usize).prop_map(|index| Move::ApplyLate { index }),
-        1 => proptest::strategy::Just(Move::RestartKeepers),
+        1 => (0..3_usize).prop_map(|entry| Action::RestartEntry { entry }),
+        1 => (0..3_usize).prop_map(|entry| Action::DeclareDead { entry }),
+        2 => (0..8_usize).prop_map(|index| Action::ApplyLate { index }),
+        1 => proptest::strategy::Just(Action::RestartKeepers),
     ]
 }
 
-fn play(moves: Vec<Move>) -> World {
-    let mut world = World::new();
-    for next in moves {
-        match next {
-            Move::Arrive { entry, key, body } => {
-                world.arrive(entry, key, body);
+fn simulate(actions: Vec<Action>) -> Simulation {
+    let mut simulation = Simulation::new();
+    for action in actions {
+        match action {
+            Action::Arrive { entry, key, body } => {
+                simulation.arrive(entry, key, body);
             }
-            Move::Step { arrival, fate } => {
-                let recent = world.arrivals.len().saturating_sub(1 + arrival % 8);
-                world.step(recent, fate);
+            Action::Step { arrival, result } => {
+                let recent = simulation.arrivals.len().saturating_sub(1 + arrival % 8);
+                simulation.step(recent, result);
             }
-            Move::Kill { entry } => world.kill(entry),
-            Move::DeclareDead { entry } => world.declare_dead(entry),
-            Move::ApplyLate { index } => {
-                if index < world.late.len() {
-                    let command = world.late.swap_remove(index);
-                    world.apply(command);
+            Action::RestartEntry { entry } => simulation.restart_entry(entry),
+            Action::DeclareDead { entry } => simulation.declare_dead(entry),
+            Action::ApplyLate { index } => {
+                if index < simulation.late.len() {
+                    let command = simulation.late.swap_remove(index);
+                    simulation.apply(command);
                 }
             }
-            Move::RestartKeepers => world.restart_keepers(),
+            Action::RestartKeepers => simulation.restart_keepers(),
         }
-        world.check();
+        simulation.check();
     }
-    world
+    simulation
 }
 
 proptest! {
@@ -481,19 +503,20 @@
         ..Config::default()
     })]
 
-    /// Callers resend through any entry while entries die, are held for dead wrongly, keepers
-    /// restart, and commands are lost, doubled and late. No key runs twice, every `not run` is
-    /// true, and a stored answer is that of the one run.
+    /// Guards against interleavings that run a call twice, report `not run` for a call that ran, or
+    /// return the stored answer of another run. Callers resend through any entry while entries
+    /// crash or are wrongly declared dead, keepers restart, and commands are lost, duplicated and
+    /// delayed.
     #[test]
-    fn no_interleaving_runs_a_key_twice(
-        moves in proptest::collection::vec(any_move(), 1..150),
+    fn no_interleaving_runs_a_call_twice(
+        actions in proptest::collection::vec(any_action(), 1..150),
     ) {
-        let mut world = play(moves);
-        for number in 0..world.arrivals.len() {
-            world.run_to_end(number);
+        let mut simulation = simulate(actions);
+        for number in 0..simulation.arrivals.len() {
+            simulation.run_to_end(number);
         }
-        world.apply_late();
-        world.check();
-        world.check_nothing_is_held_for_nobody();
+        simulation.apply_late();
+        simulation.check();
+        simulation.check_no_orphaned_claims();
     }
 }
--- a/crates/coordination/tests/claims_bounds.rs
+++ b/crates/coordination/tests/claims_bounds.rs
@@ -1,4 +1,4 @@
-//! Horizon and bounds of the claim table.
+//! Retention and limits of the claim table.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use std::time::Duration;
@@ -56,10 +56,10 @@
     }
 }
 
-/// A full table refuses truly, before anything is sent; one customer's flood leaves room for the
-/// others; nothing that is held is evicted.
+/// Guards against a full table that evicts claims in progress, and against one customer that fills
+/// the table. Takes over the limit are refused before anything is sent.
 #[test]
-fn a_full_table_refuses_and_evicts_nothing() {
+fn a_full_table_refuses_takes_and_keeps_its_claims() {
     let mut table = table();
     let outcomes: Vec<TakeAnswer> = [("a", 1), ("a", 2), ("a", 3), ("b", 4), ("c", 5), ("d", 6)]
         .into_iter()
@@ -78,9 +78,10 @@
     assert_eq!(table.counts().in_progress, 4);
 }
 
-/// A settled claim is kept for the horizon; one in progress is kept for as long as it is held.
+/// Guards against claims that expire too early: a settled claim is kept for the horizon after it
+/// was settled, and a claim in progress does not expire.
 #[test]
-fn the_horizon_runs_from_the_settling() {
+fn the_horizon_starts_when_a_claim_is_settled() {
     let mut table = table();
     let settled = take("a", 1);
     let held = take("b", 2);
@@ -101,9 +102,10 @@
     ));
 }
 
-/// An answer over a bound is known to have finished, though it can't be repeated whole.
+/// Guards against unbounded memory for stored answers: an answer over a limit is stored as
+/// finished, without its body or headers.
 #[test]
-fn stored_answers_are_bounded() {
+fn the_size_of_stored_answers_is_limited() {
     let mut table = table();
     let cases = [
         ("a", 1, "12345678", "1"),
