--- a/crates/coordination/benches/evidence.rs
+++ b/crates/coordination/benches/evidence.rs
@@ -1,5 +1,8 @@
-//! Cost of one evidence record: at the entry, at a keeper and at an inspector.
-#![allow(missing_docs, reason = "the macros of the harness make public items")]
+//! Cost of an evidence record at the entry, at a keeper and in offline verification.
+#![allow(
+    missing_docs,
+    reason = "the macros of the harness generate public items"
+)]
 #![allow(
     clippy::unwrap_used,
     reason = "a bench that can't build its input has no result"
@@ -39,13 +42,13 @@
     })
 }
 
-/// A thousand records in one batch, as a keeper gets them.
+/// Returns a batch of [`RECORDS`] records, as a keeper receives it.
 fn batch() -> EvidenceBatch {
-    let bounds = BufferSettings {
+    let settings = BufferSettings {
         max_batch_records: usize::MAX,
         ..BufferSettings::default()
     };
-    let mut buffer = EvidenceBuffer::new(writer(), bounds, ["k1".into()]);
+    let mut buffer = EvidenceBuffer::new(writer(), settings, ["k1".into()]);
     for _ in 0..RECORDS {
         buffer
             .begin(MonotonicTime::START, WallTime(0), event())
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -1,8 +1,9 @@
 //! Evidence: one record per request, refusal and configuration change, chained by hashes.
 //!
-//! Each process writes a chain of its own, so no agreement is needed to append: the writer is
-//! alone, and keepers only store. [`EvidenceBuffer`] runs on every entry, [`HeadTable`] on every
-//! keeper, [`verify`] needs neither. Prompts and answers are not stored; lengths and digests are.
+//! Each process writes its own chain, so appending needs no agreement between processes; keepers
+//! only store records. [`EvidenceBuffer`] runs on every entry and [`HeadTable`] on every keeper;
+//! [`verify()`] works offline on an export. Records hold the lengths and digests of prompts and
+//! answers, not their text.
 
 mod buffer;
 mod chain;
--- a/crates/coordination/src/evidence/buffer.rs
+++ b/crates/coordination/src/evidence/buffer.rs
@@ -1,4 +1,4 @@
-//! The writer's side: a bounded buffer that holds records until enough keepers have stored them.
+//! Bounded buffer of a chain's writer: holds records until enough keepers have stored them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,27 +11,27 @@
 use super::record::{EvidenceEvent, RefusalsOmitted};
 use crate::base::{HostName, MonotonicTime, SequenceNumber, WallTime};
 
-/// Slots beyond the bound for records that no caller causes, such as a revision put in force.
+/// Slots in excess of the limit for records that no caller causes, such as a revision put in force.
 const SPARE_RECORDS: usize = 64;
 
-/// Bounds and delays of a buffer.
+/// Limits and delays of a buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BufferSettings {
-    /// Most records, reservations included.
+    /// Limit of records, including reservations.
     pub max_records: usize,
-    /// Bytes above which no new work is accepted. Records of work that is already running still
-    /// fit, so the true bound is this plus one record for each running request.
+    /// Bytes above which new requests are refused. Records of running requests are still accepted,
+    /// so the effective limit is this value plus one record per running request.
     pub max_bytes: usize,
-    /// Most records of one batch.
+    /// Limit of records per batch.
     pub max_batch_records: usize,
-    /// Longest time that a record of a request waits for others.
+    /// Maximum time that a record of a request waits for a batch to fill.
     pub batch_delay: Duration,
-    /// Longest time that a record waits which no caller waits for.
+    /// Maximum time that a record without a waiting caller waits for a batch to fill.
     pub note_delay: Duration,
-    /// Time without an acknowledgement after which a batch is sent again.
+    /// Time after which an unacknowledged batch is sent again.
     pub resend_delay: Duration,
-    /// Keepers that must have stored a record before it counts as durable; all keepers where
-    /// there are fewer, so that a deployment with one keeper works, with the loss that it risks.
+    /// Number of keepers that must store a record before it is durable. With fewer keepers, all of
+    /// them must store it: a deployment with one keeper works, but loses records with that keeper.
     pub copies: usize,
 }
 
@@ -49,89 +49,90 @@
     }
 }
 
-/// Why a record was not taken.
+/// Reason why a record was not added.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum BufferError {
-    /// Keepers have not acknowledged enough of what is waiting: new work must be refused, and the
-    /// refusal is true, since nothing has run.
+    /// Too many records wait for acknowledgement by the keepers. The request must be refused as not
+    /// run, which is correct because nothing has run.
     #[display("{records} records in {bytes} bytes wait for the keepers")]
     #[from(ignore)]
     Full {
-        /// Records waiting, reservations included.
+        /// Records that are not durable, and reservations.
         records: usize,
-        /// Bytes waiting.
+        /// Bytes of the records that are not durable.
         bytes: usize,
     },
-    /// The record can't be written.
+    /// The record cannot be encoded as JSON.
     Unwritable(EvidenceError),
 }
 
-/// Records of one chain on their way to a keeper.
+/// Consecutive records of one chain, as sent to keepers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceBatch {
-    /// The chain.
+    /// Writer of the chain.
     pub writer: ChainWriter,
-    /// Number of the first line.
+    /// Sequence number of the first line.
     pub first: SequenceNumber,
-    /// Lines as they are stored and exported, in order without a gap.
+    /// Lines as stored and exported, in order without gaps.
     pub lines: Vec<Arc<str>>,
 }
 
-/// A batch and the keeper that it is for.
+/// A batch and its destination.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeeperBatch {
-    /// The keeper.
+    /// Receiving keeper.
     pub keeper: HostName,
-    /// The batch.
+    /// Records to send.
     pub batch: EvidenceBatch,
 }
 
 /// State of a buffer, for the dump and the metrics.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct BufferStatus {
-    /// Last record that was written.
+    /// Last written record.
     pub head: ChainHead,
     /// Last record that enough keepers have stored.
     pub durable: SequenceNumber,
-    /// Records waiting.
+    /// Records that are not durable.
     pub records: usize,
-    /// Bytes waiting.
+    /// Bytes of these records.
     pub bytes: usize,
-    /// Requests that have begun and whose end is not yet recorded.
+    /// Requests whose start is recorded and whose end is not.
     pub reserved: usize,
-    /// Whether new work is accepted.
+    /// Whether new requests are accepted.
     pub may_accept: bool,
 }
 
 #[derive(Clone, Debug)]
 struct WaitingLine {
     line: Arc<str>,
-    /// When it is sent at the latest, with all before it.
+    /// Time by which the line and all lines before it must be sent.
     due: MonotonicTime,
 }
 
-/// What is known of one keeper.
+/// Acknowledged and sent records of one keeper.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeeperProgress {
-    /// Last record that it has stored.
+    /// Last record that the keeper acknowledged.
     stored: SequenceNumber,
-    /// Last record of the batch in flight, and when it left.
+    /// Batch that was sent and is not acknowledged.
     in_flight: Option<SentBatch>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SentBatch {
+    /// Last record of the batch.
     through: SequenceNumber,
     at: MonotonicTime,
 }
 
-/// Writer of one chain.
+/// Writer of one chain, with the records that are not durable.
 ///
-/// Invariants: `lines` holds exactly the records `durable + 1 ..= head`, in order; the sum of
-/// waiting records and reservations that callers caused never passes `max_records`.
+/// Invariants: `lines` holds exactly the records `durable + 1 ..= head`, in order; the records that
+/// callers caused, together with their reservations, never exceed `max_records`.
 #[derive(Clone, Debug)]
 pub struct EvidenceBuffer {
-    bounds: BufferSettings,
+    settings: BufferSettings,
     head: ChainHead,
     durable: SequenceNumber,
     lines: VecDeque<WaitingLine>,
@@ -142,8 +143,8 @@
 }
 
 impl EvidenceBuffer {
-    /// An empty chain of `writer`, whose records go to `keepers`.
-    pub fn new<I>(writer: ChainWriter, bounds: BufferSettings, keepers: I) -> Self
+    /// Starts an empty chain of `writer` whose records are sent to `keepers`.
+    pub fn new<I>(writer: ChainWriter, settings: BufferSettings, keepers: I) -> Self
     where
         I: IntoIterator<Item = HostName>,
     {
@@ -153,7 +154,7 @@
             digest: EvidenceDigest::ZERO,
         };
         let mut buffer = Self {
-            bounds,
+            settings,
             head,
             durable: SequenceNumber(0),
             lines: VecDeque::new(),
@@ -166,30 +167,30 @@
         buffer
     }
 
-    /// Replaces the keepers. A new one starts with what is still waiting; older records reach it
-    /// from the other keepers.
+    /// Replaces the keepers. A new keeper receives the records that are not durable; it gets older
+    /// records from the other keepers.
     pub fn set_keepers<I>(&mut self, keepers: I)
     where
         I: IntoIterator<Item = HostName>,
     {
-        let mut known = std::mem::take(&mut self.keepers);
+        let mut previous = std::mem::take(&mut self.keepers);
         for keeper in keepers {
-            let progress = known.remove(&keeper).unwrap_or_default();
+            let progress = previous.remove(&keeper).unwrap_or_default();
             self.keepers.insert(keeper, progress);
         }
         self.drop_durable();
     }
 
-    /// Whether new work may begin: room for its first and its last record.
+    /// Whether a new request may begin: the buffer has free capacity for its first and last record.
     pub fn may_accept(&self) -> bool {
-        self.used() + 2 <= self.bounds.max_records && self.bytes < self.bounds.max_bytes
+        self.used() + 2 <= self.settings.max_records && self.bytes < self.settings.max_bytes
     }
 
-    /// Records that a request begins, and reserves room for the record of its end.
+    /// Records the start of a request and reserves capacity for the record of its end.
     ///
     /// # Errors
     ///
-    /// [`BufferError`] if there is no room for both: the request must be refused.
+    /// [`BufferError`] if the buffer has no capacity for both; the request must be refused.
     pub fn begin(
         &mut self,
         now: MonotonicTime,
@@ -197,36 +198,37 @@
         event: EvidenceEvent,
     ) -> Result<SequenceNumber, BufferError> {
         if !self.may_accept() {
-            return Err(self.full());
+            return Err(self.full_error());
         }
-        let sequence = self.push(now.after(self.bounds.batch_delay), time, event)?;
+        let sequence = self.push(now.after(self.settings.batch_delay), time, event)?;
         self.reserved += 1;
         Ok(sequence)
     }
 
-    /// Records the end of a request that began; there is always room for it.
+    /// Records the end of a request that began, in its reserved capacity.
     ///
     /// # Errors
     ///
-    /// [`BufferError::Unwritable`] if the event can't be written as JSON.
+    /// [`BufferError::Unwritable`] if the event cannot be encoded as JSON.
     pub fn finish(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
     ) -> Result<SequenceNumber, BufferError> {
-        let sequence = self.push(now.after(self.bounds.batch_delay), time, event)?;
+        let sequence = self.push(now.after(self.settings.batch_delay), time, event)?;
         self.reserved = self.reserved.saturating_sub(1);
         Ok(sequence)
     }
 
-    /// Records a refusal. While there is no room, refusals are counted, and one record with their
-    /// number follows as soon as there is: a stranger who sends requests faster than keepers store
-    /// them fills no memory, and the evidence still says how many were refused.
+    /// Records a refusal. While the buffer is full, refusals are only counted, and one record with
+    /// their number follows when the buffer has free capacity. So a client that sends requests
+    /// faster than keepers store records does not exhaust memory, and the number of refusals is on
+    /// record.
     ///
     /// # Errors
     ///
-    /// [`BufferError::Unwritable`] if the event can't be written as JSON.
+    /// [`BufferError::Unwritable`] if the event cannot be encoded as JSON.
     pub fn refuse(
         &mut self,
         now: MonotonicTime,
@@ -234,59 +236,67 @@
         event: EvidenceEvent,
     ) -> Result<Option<SequenceNumber>, BufferError> {
         if !self.may_accept() {
-            self.omit(time);
+            self.count_omitted(time);
             return Ok(None);
         }
         self.record_omitted(now, time)?;
-        let due = now.after(self.bounds.batch_delay);
+        let due = now.after(self.settings.batch_delay);
         self.push(due, time, event).map(Some)
     }
 
-    /// Records something that no caller causes, and that waits for others for longer.
+    /// Records an event that no caller causes; its record waits up to `note_delay` for a batch.
     ///
-    /// Failure: each host records each revision that it puts in force, and each record was a command of
-    /// its own to the keepers. Symptom: a change cost them as many commands as there are hosts, each of
-    /// them synced, applied, and applied again at a start. Nobody waits for these records, so the ones of a
-    /// second share a command, whatever the number of changes in it.
+    /// Each host records each revision that it puts in force. When each such record was its own
+    /// command to the keepers, a change cost as many commands as there are hosts, each of which is
+    /// synced, applied, and applied again at a restart. No caller waits for these records, so the
+    /// records of one `note_delay` (1 s by default) share a command, regardless of the number of
+    /// changes.
     ///
     /// # Errors
     ///
-    /// [`BufferError`] if even the spare room is used.
+    /// [`BufferError`] if the spare capacity is used up too, or if the event cannot be encoded as
+    /// JSON.
     pub fn note(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
         event: EvidenceEvent,
     ) -> Result<SequenceNumber, BufferError> {
-        if self.used() >= self.bounds.max_records.saturating_add(SPARE_RECORDS) {
-            return Err(self.full());
+        if self.used() >= self.settings.max_records.saturating_add(SPARE_RECORDS) {
+            return Err(self.full_error());
         }
-        self.push(now.after(self.bounds.note_delay), time, event)
+        self.push(now.after(self.settings.note_delay), time, event)
     }
 
-    /// Makes all that waits due at `now`, for someone who waits for it to be stored.
+    /// Makes all waiting records due at `now`, for a caller that waits until they are stored.
     pub fn make_all_due(&mut self, now: MonotonicTime) {
         for line in &mut self.lines {
             line.due = line.due.min(now);
         }
     }
 
-    /// Lets no record wait for others any more, for a host that leaves.
+    /// Makes all waiting records due at `now` and shortens the delay of later ones, for a host that
+    /// shuts down.
     ///
-    /// Failure: a planned stop began to send what waited only once all requests had ended. Symptom: it
-    /// ran out of its time where the keepers were slow to answer just then, and the records were lost.
+    /// When a planned shutdown sent waiting records only after all requests had ended, and the
+    /// keepers were slow to answer, the shutdown reached its time limit and the records were lost.
     pub fn flush_for_shutdown(&mut self, now: MonotonicTime) {
-        self.bounds.note_delay = self.bounds.batch_delay;
+        self.settings.note_delay = self.settings.batch_delay;
         self.make_all_due(now);
     }
 
-    /// Last record that enough keepers have stored. The first byte of an answer waits for the
-    /// request's first record, the last event of an answer for its last one; nothing between.
+    /// Last record that enough keepers have stored. The first byte of an answer waits until the
+    /// request's first record is durable, the last event until its last record is; other bytes do
+    /// not wait.
     pub fn durable(&self) -> SequenceNumber {
         self.durable
     }
 
-    /// Batches that are due at `now`, at most one for each keeper, and marks them as sent.
+    /// Returns the batches that are due at `now`, at most one per keeper, and marks them as sent.
+    ///
+    /// # Errors
+    ///
+    /// [`BufferError::Unwritable`] if the record of omitted refusals cannot be encoded as JSON.
     pub fn due_batches(
         &mut self,
         now: MonotonicTime,
@@ -298,27 +308,28 @@
         let names: Vec<_> = self.keepers.keys().cloned().collect();
         let batches = names.into_iter();
         Ok(batches
-            .filter_map(|keeper| self.due_for(now, keeper))
+            .filter_map(|keeper| self.due_batch_for(now, keeper))
             .collect())
     }
 
-    /// Time at which [`EvidenceBuffer::due_batches`] next has something to send, if nothing else happens.
+    /// Time at which [`EvidenceBuffer::due_batches`] next returns a batch, unless new records or
+    /// acknowledgements arrive before.
     pub fn next_due(&self) -> Option<MonotonicTime> {
         let next = |progress: &KeeperProgress| match progress.in_flight {
-            Some(sent) => Some(sent.at.after(self.bounds.resend_delay)),
+            Some(sent) => Some(sent.at.after(self.settings.resend_delay)),
             None => {
                 let waiting = self.waiting_after(progress.stored);
-                let batch = waiting.take(self.bounds.max_batch_records);
+                let batch = waiting.take(self.settings.max_batch_records);
                 batch.map(|line| line.due).min()
             }
         };
         self.keepers.values().filter_map(next).min()
     }
 
-    /// Takes a keeper's word that it has stored every record of a batch through `through`.
+    /// Handles a keeper's acknowledgement that it has stored every record up to `through`.
     ///
-    /// A word about another life of this process, or about records that were never written, is
-    /// ignored: it would drop records that nobody holds.
+    /// An acknowledgement for another incarnation of this process, or for records that were never
+    /// written, is ignored: it would drop records that no keeper has stored.
     pub fn acknowledge(
         &mut self,
         keeper: &HostName,
@@ -341,7 +352,7 @@
         self.drop_durable();
     }
 
-    /// State for the dump and the metrics.
+    /// Returns the state for the dump and the metrics.
     pub fn status(&self) -> BufferStatus {
         BufferStatus {
             head: self.head.clone(),
@@ -357,7 +368,7 @@
         self.lines.len() + self.reserved
     }
 
-    fn full(&self) -> BufferError {
+    fn full_error(&self) -> BufferError {
         BufferError::Full {
             records: self.used(),
             bytes: self.bytes,
@@ -380,7 +391,7 @@
         Ok(self.head.sequence)
     }
 
-    fn omit(&mut self, time: WallTime) {
+    fn count_omitted(&mut self, time: WallTime) {
         let omitted = self.omitted.get_or_insert(RefusalsOmitted {
             count: 0,
             first: time,
@@ -394,7 +405,7 @@
         let Some(omitted) = self.omitted.take() else {
             return Ok(());
         };
-        let due = now.after(self.bounds.batch_delay);
+        let due = now.after(self.settings.batch_delay);
         self.push(due, time, EvidenceEvent::RefusalsOmitted(omitted))?;
         Ok(())
     }
@@ -405,21 +416,21 @@
         self.lines.iter().skip(skipped)
     }
 
-    fn due_for(&mut self, now: MonotonicTime, keeper: HostName) -> Option<KeeperBatch> {
+    fn due_batch_for(&mut self, now: MonotonicTime, keeper: HostName) -> Option<KeeperBatch> {
         let progress = *self.keepers.get(&keeper)?;
         let from = progress.stored.max(self.durable);
         if let Some(sent) = progress.in_flight
-            && now.since(sent.at) < self.bounds.resend_delay
+            && now.since(sent.at) < self.settings.resend_delay
         {
             return None;
         }
         let waiting: Vec<_> = self
             .waiting_after(from)
-            .take(self.bounds.max_batch_records)
+            .take(self.settings.max_batch_records)
             .collect();
         let due = waiting.iter().map(|line| line.due).min()?;
-        let full = waiting.len() == self.bounds.max_batch_records;
-        if !full && now < due {
+        let is_full = waiting.len() == self.settings.max_batch_records;
+        if !is_full && now < due {
             return None;
         }
         let lines: Vec<_> = waiting.iter().map(|line| Arc::clone(&line.line)).collect();
@@ -438,7 +449,7 @@
     fn drop_durable(&mut self) {
         let mut stored: Vec<_> = self.keepers.values().map(|keeper| keeper.stored).collect();
         stored.sort_unstable_by(|left, right| right.cmp(left));
-        let copies = self.bounds.copies.min(stored.len()).max(1);
+        let copies = self.settings.copies.min(stored.len()).max(1);
         let Some(durable) = stored.get(copies - 1) else {
             return;
         };
@@ -449,11 +460,11 @@
             self.bytes -= line.line.len();
             self.durable = self.durable.next();
         }
-        // A batch whose records are durable without this keeper is not sent again; a stale
-        // resend time would wake the writer for nothing, again and again.
+        // A batch whose records became durable without this keeper is not sent again. Its resend
+        // time would wake the writer repeatedly with nothing to send.
         for keeper in self.keepers.values_mut() {
-            let settled = |sent: &SentBatch| sent.through <= self.durable;
-            keeper.in_flight = keeper.in_flight.filter(|sent| !settled(sent));
+            let is_durable = |sent: &SentBatch| sent.through <= self.durable;
+            keeper.in_flight = keeper.in_flight.filter(|sent| !is_durable(sent));
         }
     }
 }
--- a/crates/coordination/src/evidence/chain.rs
+++ b/crates/coordination/src/evidence/chain.rs
@@ -1,4 +1,4 @@
-//! The hash chain: each record names the digest of the one before it.
+//! Hash chain of records: each record contains the digest of the previous one.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,7 +14,7 @@
 /// Bytes of a SHA-256 digest.
 const DIGEST_BYTES: usize = 32;
 
-/// Longest line that is parsed, in bytes; the longest that an entry writes is a tenth of it.
+/// Limit of the length of a parsed line in bytes; ten times the longest line that an entry writes.
 pub(super) const MAX_LINE_BYTES: usize = 1 << 20;
 
 /// SHA-256 digest, written as 64 hexadecimal digits.
@@ -25,10 +25,10 @@
 pub struct EvidenceDigest([u8; DIGEST_BYTES]);
 
 impl EvidenceDigest {
-    /// Digest that the first record of a chain names as its previous one.
+    /// Previous digest in the first record of a chain.
     pub const ZERO: Self = Self([0; DIGEST_BYTES]);
 
-    /// A digest of these bytes.
+    /// Wraps the bytes of a SHA-256 digest.
     pub const fn new(bytes: [u8; DIGEST_BYTES]) -> Self {
         Self(bytes)
     }
@@ -59,7 +59,8 @@
 impl FromStr for EvidenceDigest {
     type Err = EvidenceError;
 
-    /// Reads 64 lower-case digits; upper case is refused, so that each digest has one text.
+    /// Parses 64 lower-case hexadecimal digits. Upper case is rejected, so that each digest has
+    /// exactly one text.
     fn from_str(text: &str) -> Result<Self, EvidenceError> {
         let digits = text.as_bytes();
         if digits.len() != DIGEST_BYTES * 2 {
@@ -80,28 +81,28 @@
     }
 }
 
-/// A text that is no evidence.
+/// Error in the text of a record, a digest, a head or a line of an export.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum EvidenceError {
-    /// Not 64 lower-case hexadecimal digits.
+    /// The text is not 64 lower-case hexadecimal digits.
     #[display("no SHA-256 digest of 64 lower-case hexadecimal digits")]
     Digest,
-    /// The digest of a record is not that of its text.
+    /// The digest of a line is not the SHA-256 of its record.
     #[display("the digest is not that of the record")]
     DigestMismatch,
-    /// A head as people note it is malformed.
+    /// The text of a head does not have the form `HOST/INCARNATION/SEQUENCE/DIGEST`.
     #[display("no head of the form HOST/INCARNATION/SEQUENCE/DIGEST")]
     Head,
-    /// The text is not what this version would have written for the same record.
+    /// The text is not the canonical encoding of its content.
     #[display("not in canonical form")]
     NotCanonical,
-    /// The line is too long.
+    /// The line is longer than 1 MiB.
     #[display("longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// The text can't be read or written.
+    /// The text cannot be decoded or encoded as JSON.
     #[display("not readable: {message}")]
     Unreadable {
-        /// What the decoder says.
+        /// Message of the JSON library.
         message: Arc<str>,
     },
 }
@@ -114,33 +115,33 @@
     }
 }
 
-/// The one process that writes a chain. A restart is another writer with a chain of its own, so a
-/// process that lost its memory never continues a chain that it does not know.
+/// Process that writes a chain. After a restart, the process is a new writer with its own chain, so
+/// it never continues a chain whose last record it does not know.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{host}/{incarnation}")]
 pub struct ChainWriter {
-    /// Its host.
+    /// Host of the process.
     pub host: HostName,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// Last record of a chain, as far as it is known.
+/// Last known record of a chain.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{writer}/{sequence}/{digest}")]
 pub struct ChainHead {
-    /// The chain.
+    /// Writer of the chain.
     pub writer: ChainWriter,
-    /// Number of its last record.
+    /// Sequence number of the last record.
     pub sequence: SequenceNumber,
-    /// Digest of its last record.
+    /// Digest of the last record.
     pub digest: EvidenceDigest,
 }
 
 impl FromStr for ChainHead {
     type Err = EvidenceError;
 
-    /// Reads `HOST/INCARNATION/SEQUENCE/DIGEST`, as `Display` writes it.
+    /// Parses `HOST/INCARNATION/SEQUENCE/DIGEST`, the form of `Display`.
     fn from_str(text: &str) -> Result<Self, EvidenceError> {
         let mut parts = text.rsplitn(4, '/');
         let mut part = || parts.next().ok_or(EvidenceError::Head);
@@ -159,37 +160,38 @@
     }
 }
 
-/// Where a chain starts after its older records were dropped.
+/// Start of a chain whose older records were dropped by retention.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainAnchor {
-    /// The chain.
+    /// Writer of the chain.
     pub writer: ChainWriter,
     /// Last dropped record.
     pub through: SequenceNumber,
-    /// Its digest, which the first record that is left names as its previous one.
+    /// Digest of the last dropped record, which is the previous digest of the first remaining
+    /// record.
     pub digest: EvidenceDigest,
 }
 
-/// A record with its digest and its text.
+/// A record with its digest and its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SealedRecord {
-    /// The record.
+    /// Decoded record.
     pub record: EvidenceRecord,
     /// SHA-256 of the record's JSON text.
     pub digest: EvidenceDigest,
-    /// The line of the export: `{"record":RECORD,"digest":"DIGEST"}`.
+    /// Line as stored and exported: `{"record":RECORD,"digest":"DIGEST"}`.
     pub line: Arc<str>,
 }
 
-/// A record whose line may have been edited.
+/// A decoded record whose line may have been edited.
 pub(super) struct InspectedRecord {
-    /// The record, with the digest that its line claims.
+    /// Record with the digest from its line, which may be wrong.
     pub(super) sealed: SealedRecord,
-    /// What is wrong with the line.
-    pub(super) fault: Option<EvidenceError>,
+    /// Integrity error of the line, if any.
+    pub(super) error: Option<EvidenceError>,
 }
 
-/// A line as it is decoded.
+/// JSON structure of a line.
 #[derive(Deserialize)]
 struct RecordLine {
     record: EvidenceRecord,
@@ -201,7 +203,7 @@
     ///
     /// # Errors
     ///
-    /// If the event can't be written as JSON.
+    /// [`EvidenceError::Unreadable`] if the event cannot be encoded as JSON.
     pub fn seal(
         head: &ChainHead,
         time: WallTime,
@@ -217,33 +219,34 @@
         Self::of(record)
     }
 
-    /// Reads a line, and checks that its digest and its form are those of the record.
+    /// Parses a line and checks its digest and its canonical form.
     ///
     /// # Errors
     ///
-    /// If it can't be read, its digest is another one, or it is not in canonical form.
+    /// If the line is too long or cannot be decoded, its digest does not match, or it is not in
+    /// canonical form.
     pub fn parse(line: &str) -> Result<Self, EvidenceError> {
         let inspected = Self::inspect(line)?;
-        match inspected.fault {
-            Some(fault) => Err(fault),
+        match inspected.error {
+            Some(error) => Err(error),
             None => Ok(inspected.sealed),
         }
     }
 
-    /// Reads a line whose text may have been edited.
+    /// Parses a line that may have been edited; an integrity error is part of the result.
     ///
     /// # Errors
     ///
-    /// If it can't be read at all.
+    /// If the line is too long or cannot be decoded.
     pub(super) fn inspect(line: &str) -> Result<InspectedRecord, EvidenceError> {
         if line.len() > MAX_LINE_BYTES {
             return Err(EvidenceError::TooLong);
         }
         let parsed: RecordLine = serde_json::from_str(line)?;
         let mut sealed = Self::of(parsed.record)?;
-        // A key that is written twice, or one that is unknown, would be dropped by the decoder:
-        // the digest fits, yet people read something else. Only the one canonical text passes.
-        let fault = if sealed.digest != parsed.digest {
+        // The decoder drops duplicate or unknown keys: the digest would match, but a person would
+        // read something else in the line. So only the canonical text is accepted.
+        let error = if sealed.digest != parsed.digest {
             Some(EvidenceError::DigestMismatch)
         } else if *sealed.line != *line {
             Some(EvidenceError::NotCanonical)
@@ -251,10 +254,10 @@
             None
         };
         sealed.digest = parsed.digest;
-        Ok(InspectedRecord { sealed, fault })
+        Ok(InspectedRecord { sealed, error })
     }
 
-    /// The head of the chain once this record is its last.
+    /// Head of a chain that ends with this record.
     pub fn head(&self) -> ChainHead {
         ChainHead {
             writer: self.record.writer.clone(),
--- a/crates/coordination/src/evidence/export.rs
+++ b/crates/coordination/src/evidence/export.rs
@@ -1,20 +1,20 @@
-//! The export: JSON lines that an inspector can verify without the system.
+//! Export of evidence as JSON lines, which can be verified offline.
 
 use serde::{Deserialize, Serialize};
 
 use super::chain::{ChainAnchor, ChainHead, EvidenceError};
 use crate::base::WallTime;
 
-/// A line of an export that is no record.
+/// A line of an export other than a record.
 ///
-/// Records come first, each chain in order; then the head of each chain; then the end. An anchor
-/// stands before the first record of its chain.
+/// Order of an export: the records, each chain in sequence; the head of each chain; the end. An
+/// anchor precedes the first record of its chain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExportLine {
-    /// Older records of a chain were dropped by retention.
+    /// Start of a chain whose older records were dropped by retention.
     Anchor(ChainAnchor),
-    /// Last record of a chain, as keepers know it.
+    /// Last record of a chain that keepers have stored.
     Head(ChainHead),
     /// Last line of the export.
     End(ExportEnd),
@@ -23,27 +23,27 @@
 /// Last line of an export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportEnd {
-    /// Lines before this one.
+    /// Number of lines before this one.
     pub lines: u64,
-    /// When the export was made.
+    /// Time of the export.
     pub time: WallTime,
 }
 
 impl ExportLine {
-    /// The line as text, without a line end.
+    /// Encodes the line, without a line break.
     ///
     /// # Errors
     ///
-    /// If it can't be written as JSON.
+    /// [`EvidenceError::Unreadable`] if the line cannot be encoded as JSON.
     pub fn to_line(&self) -> Result<String, EvidenceError> {
         Ok(serde_json::to_string(self)?)
     }
 
-    /// Reads a line.
+    /// Parses a line.
     ///
     /// # Errors
     ///
-    /// If it can't be read or is not in canonical form.
+    /// If the line cannot be decoded or is not in canonical form.
     pub fn parse(line: &str) -> Result<Self, EvidenceError> {
         let parsed: Self = serde_json::from_str(line)?;
         if parsed.to_line()? != line {
@@ -53,43 +53,43 @@
     }
 }
 
-/// Writer of an export: counts lines, so that the last one can say how many there were.
+/// Writer of an export; counts the lines for the last line.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceExport {
     lines: u64,
 }
 
 impl EvidenceExport {
-    /// Counts a record's line, which is exported as it is stored.
+    /// Counts a record, whose stored line is exported unchanged.
     pub fn count_record(&mut self) {
         self.lines += 1;
     }
 
-    /// The line of an anchor.
+    /// Encodes and counts the line of an anchor.
     ///
     /// # Errors
     ///
-    /// If it can't be written as JSON.
+    /// [`EvidenceError::Unreadable`] if the line cannot be encoded as JSON.
     pub fn anchor(&mut self, anchor: ChainAnchor) -> Result<String, EvidenceError> {
         self.lines += 1;
         ExportLine::Anchor(anchor).to_line()
     }
 
-    /// The line of a head.
+    /// Encodes and counts the line of a head.
     ///
     /// # Errors
     ///
-    /// If it can't be written as JSON.
+    /// [`EvidenceError::Unreadable`] if the line cannot be encoded as JSON.
     pub fn head(&mut self, head: ChainHead) -> Result<String, EvidenceError> {
         self.lines += 1;
         ExportLine::Head(head).to_line()
     }
 
-    /// The last line.
+    /// Encodes the last line, with the number of lines before it.
     ///
     /// # Errors
     ///
-    /// If it can't be written as JSON.
+    /// [`EvidenceError::Unreadable`] if the line cannot be encoded as JSON.
     pub fn end(self, time: WallTime) -> Result<String, EvidenceError> {
         let end = ExportEnd {
             lines: self.lines,
--- a/crates/coordination/src/evidence/filter.rs
+++ b/crates/coordination/src/evidence/filter.rs
@@ -1,25 +1,25 @@
-//! Which records a question is about.
+//! Filter of evidence records.
 
 use serde::{Deserialize, Serialize};
 
 use super::record::{EvidenceRecord, OutcomeKind};
 use crate::base::{CustomerName, RequestId, SelectorName, WallTime};
 
-/// Conditions that a record meets all of; an absent one is met by every record.
+/// Conditions that a record must meet; an absent condition matches every record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EvidenceFilter {
-    /// The record speaks of this request.
+    /// Request that the record is about.
     pub request: Option<RequestId>,
-    /// The record speaks of this customer.
+    /// Customer that the record is about.
     pub customer: Option<CustomerName>,
-    /// The record is not older.
+    /// Earliest time of the record, inclusive.
     pub from: Option<WallTime>,
-    /// The record is older.
+    /// Latest time of the record, exclusive.
     pub until: Option<WallTime>,
-    /// The caller was told this.
+    /// Outcome that was reported to the caller.
     pub outcome: Option<OutcomeKind>,
-    /// This selector served the request.
+    /// Selector that served the request.
     pub selector: Option<SelectorName>,
 }
 
@@ -27,18 +27,18 @@
     /// Whether `record` meets every condition.
     pub fn matches(&self, record: &EvidenceRecord) -> bool {
         let event = &record.event;
-        met(self.request.as_ref(), event.request())
-            && met(self.customer.as_ref(), event.customer())
-            && met(self.outcome.as_ref(), event.outcome().as_ref())
-            && met(self.selector.as_ref(), event.selector())
+        is_met(self.request.as_ref(), event.request())
+            && is_met(self.customer.as_ref(), event.customer())
+            && is_met(self.outcome.as_ref(), event.outcome().as_ref())
+            && is_met(self.selector.as_ref(), event.selector())
             && self.from.is_none_or(|from| from <= record.time)
             && self.until.is_none_or(|until| record.time < until)
     }
 }
 
-fn met<T>(wanted: Option<&T>, found: Option<&T>) -> bool
+fn is_met<T>(required: Option<&T>, found: Option<&T>) -> bool
 where
     T: PartialEq,
 {
-    wanted.is_none() || wanted == found
+    required.is_none() || required == found
 }
--- a/crates/coordination/src/evidence/heads.rs
+++ b/crates/coordination/src/evidence/heads.rs
@@ -1,4 +1,4 @@
-//! The keeper's side: which records of each chain are stored, and which batches fit.
+//! Table of a keeper's stored records by chain, which checks incoming batches.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
 };
 use crate::base::SequenceNumber;
 
-/// Records of a chain that this keeper lacks and another one may hold.
+/// Records of a chain that are missing on this keeper and may be stored on another.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{writer}: {first}..={last}")]
 pub struct MissingRange {
-    /// The chain.
+    /// Writer of the chain.
     pub writer: ChainWriter,
     /// First missing record.
     pub first: SequenceNumber,
@@ -23,71 +23,72 @@
     pub last: SequenceNumber,
 }
 
-/// A batch that fits. The keeper stores and syncs `records`, then calls
-/// [`HeadTable::commit`] and only then acknowledges `through`.
+/// A batch that passed the check. The keeper stores and syncs `records`, then calls
+/// [`HeadTable::commit`], and only then acknowledges `through`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedBatch {
-    /// Records that are not stored yet, in order; empty for a batch that came again.
+    /// Records that are not stored yet, in order; empty for a batch received before.
     pub records: Vec<SealedRecord>,
     /// Last record of the batch.
     pub through: SequenceNumber,
 }
 
-/// Why a batch is not stored.
+/// Reason why a batch is refused.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum BatchRefusal {
     /// The batch has no lines.
     #[display("the batch is empty")]
     Empty,
-    /// A line is no record.
+    /// A line is not a valid record.
     #[display("line {index} of the batch: {error}")]
     Line {
         /// Position within the batch, from 0.
         index: usize,
-        /// What is wrong.
+        /// Error of the line.
         #[error(source)]
         error: EvidenceError,
     },
-    /// A line is a record of another place in the chain than the batch says.
+    /// A line is a record of another chain or with another sequence number or previous digest than
+    /// expected.
     #[display("line {index} of the batch is another record than {expected}")]
     Misplaced {
         /// Position within the batch, from 0.
         index: usize,
-        /// Number that was expected.
+        /// Expected sequence number.
         expected: SequenceNumber,
     },
-    /// The batch contradicts records that are stored: two histories of one chain.
+    /// The batch conflicts with stored records: the chain has two histories.
     #[display("record {sequence} contradicts the stored chain")]
     Fork {
-        /// Where they part.
+        /// First conflicting record.
         sequence: SequenceNumber,
     },
 }
 
-/// A stretch of one chain without a gap.
+/// Consecutive stored records of one chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ChainSpan {
-    /// Last record before the stretch; 0 at the start of the chain.
+    /// Record before the span; 0 at the start of the chain.
     before: SequenceNumber,
-    /// Digest of the record before the stretch.
+    /// Digest of the record before the span.
     previous: EvidenceDigest,
-    /// Last record of the stretch.
+    /// Last record of the span.
     last: SequenceNumber,
     /// Digest of the last record.
     digest: EvidenceDigest,
 }
 
-/// What this keeper has stored of each chain.
+/// Spans of stored records of each chain on this keeper.
 ///
-/// Invariant: the spans of a chain are in order, do not touch and do not overlap.
+/// Invariant: the spans of a chain are in order, and are neither adjacent nor overlapping.
 #[derive(Clone, Debug, Default)]
 pub struct HeadTable {
     chains: BTreeMap<ChainWriter, StoredChain>,
 }
 
-/// What is stored of one chain.
+/// Stored records of one chain.
 ///
-/// Invariant: no span reaches back to the anchor or before it.
+/// Invariant: every span starts after the anchor.
 #[derive(Clone, Debug, Default)]
 struct StoredChain {
     /// Last record that retention dropped.
@@ -96,15 +97,16 @@
 }
 
 impl HeadTable {
-    /// Compares `batch` with what is stored; changes nothing.
+    /// Checks `batch` against the stored records, without changing the table.
     ///
-    /// A batch that came again is accepted with nothing left to store. A batch after a gap is
-    /// stored too: refusing it would make one late keeper stop the entry, and the gap is filled
-    /// from the other keepers, see [`HeadTable::missing`].
+    /// A batch received before is accepted with no records to store. A batch after a gap is
+    /// accepted too: if it were refused, one keeper that is behind would stop the entry. The gap is
+    /// filled from the other keepers, see [`HeadTable::missing`].
     ///
     /// # Errors
     ///
-    /// [`BatchRefusal`], with nothing of the batch accepted.
+    /// [`BatchRefusal`] if a line or the order is invalid, or the batch conflicts with stored
+    /// records; no record of it is accepted.
     pub fn check(&self, batch: &EvidenceBatch) -> Result<AcceptedBatch, BatchRefusal> {
         let mut records = parse(batch)?;
         let through = match records.last() {
@@ -113,14 +115,14 @@
         };
         if let Some(chain) = self.chains.get(&batch.writer) {
             for span in &chain.spans {
-                report_fork(span, &records)?;
+                check_fork(span, &records)?;
             }
-            records.retain(|sealed| !chain.holds(sealed.record.sequence));
+            records.retain(|sealed| !chain.contains(sealed.record.sequence));
         }
         Ok(AcceptedBatch { records, through })
     }
 
-    /// Notes that `records`, which [`HeadTable::check`] accepted or the disk gave back, are
+    /// Adds `records`, which [`HeadTable::check`] accepted or which were read from the disk, as
     /// stored and synced.
     pub fn commit(&mut self, records: &[SealedRecord]) {
         for sealed in records {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Notes that the chain starts after `anchor`, its older records having been dropped.
+    /// Sets the start of a chain to `anchor`, after its older records were dropped.
     pub fn truncate(&mut self, anchor: &ChainAnchor) {
         let chain = self.chains.entry(anchor.writer.clone()).or_default();
         chain.spans.retain(|span| span.last > anchor.through);
@@ -142,23 +144,23 @@
         chain.anchor = Some(anchor.clone());
     }
 
-    /// Forgets a chain whose records were all dropped and whose writer is gone, so that the table
-    /// does not grow with every restart of a host.
+    /// Removes a chain whose records were all dropped and whose writer has ended, so that the table
+    /// does not grow with every restart of a host. A chain with stored records is kept.
     pub fn forget(&mut self, writer: &ChainWriter) {
-        let empty = |chain: &StoredChain| chain.spans.is_empty();
-        if self.chains.get(writer).is_some_and(empty) {
+        let is_empty = |chain: &StoredChain| chain.spans.is_empty();
+        if self.chains.get(writer).is_some_and(is_empty) {
             self.chains.remove(writer);
         }
     }
 
-    /// Where the chains start whose older records were dropped.
+    /// Anchors of the chains whose older records were dropped.
     pub fn anchors(&self) -> impl Iterator<Item = &ChainAnchor> {
         self.chains
             .values()
             .filter_map(|chain| chain.anchor.as_ref())
     }
 
-    /// Last stored record of each chain.
+    /// Last stored record of each chain; the last dropped record if none is stored.
     pub fn heads(&self) -> impl Iterator<Item = ChainHead> {
         self.chains.iter().filter_map(|(writer, chain)| {
             let stored = chain.spans.last().map(|span| (span.last, span.digest));
@@ -173,7 +175,7 @@
         })
     }
 
-    /// Gaps between stored stretches, to be asked of the other keepers.
+    /// Gaps between stored spans, to be requested from the other keepers.
     pub fn missing(&self) -> Vec<MissingRange> {
         let mut ranges = Vec::new();
         for (writer, chain) in &self.chains {
@@ -191,11 +193,11 @@
 }
 
 impl StoredChain {
-    /// Whether the record is stored, or was stored and dropped.
-    fn holds(&self, sequence: SequenceNumber) -> bool {
+    /// Whether the record is stored, or was dropped by retention.
+    fn contains(&self, sequence: SequenceNumber) -> bool {
         let dropped = |anchor: &ChainAnchor| sequence <= anchor.through;
         self.anchor.as_ref().is_some_and(dropped)
-            || self.spans.iter().any(|span| span.holds(sequence))
+            || self.spans.iter().any(|span| span.contains(sequence))
     }
 }
 
@@ -209,7 +211,7 @@
         }
     }
 
-    fn holds(&self, sequence: SequenceNumber) -> bool {
+    fn contains(&self, sequence: SequenceNumber) -> bool {
         self.before < sequence && sequence <= self.last
     }
 }
@@ -220,11 +222,12 @@
     for (index, line) in batch.lines.iter().enumerate() {
         let sealed =
             SealedRecord::parse(line).map_err(|error| BatchRefusal::Line { index, error })?;
-        let follows = records
+        let is_linked = records
             .last()
-            .is_none_or(|before| sealed.record.previous == before.digest);
-        let placed = sealed.record.writer == batch.writer && sealed.record.sequence == expected;
-        if !follows || !placed {
+            .is_none_or(|previous| sealed.record.previous == previous.digest);
+        let is_in_place =
+            sealed.record.writer == batch.writer && sealed.record.sequence == expected;
+        if !is_linked || !is_in_place {
             return Err(BatchRefusal::Misplaced { index, expected });
         }
         expected = expected.next();
@@ -233,16 +236,16 @@
     Ok(records)
 }
 
-/// Compares digests where batch and span meet. One equal digest is enough: it covers every record
-/// before it.
-fn report_fork(span: &ChainSpan, records: &[SealedRecord]) -> Result<(), BatchRefusal> {
+/// Compares digests where the records meet the ends of the span. One equal digest is sufficient,
+/// because it covers all records before it.
+fn check_fork(span: &ChainSpan, records: &[SealedRecord]) -> Result<(), BatchRefusal> {
     for sealed in records {
         let sequence = sealed.record.sequence;
-        let differs = (sequence == span.last && sealed.digest != span.digest)
+        let is_fork = (sequence == span.last && sealed.digest != span.digest)
             || (sequence == span.before && sealed.digest != span.previous)
             || (sequence == span.last.next() && sealed.record.previous != span.digest)
             || (sequence == span.before.next() && sealed.record.previous != span.previous);
-        if differs {
+        if is_fork {
             return Err(BatchRefusal::Fork { sequence });
         }
     }
@@ -251,31 +254,31 @@
 
 fn insert(spans: &mut Vec<ChainSpan>, new: ChainSpan) {
     let index = spans.partition_point(|span| span.last < new.last);
-    if spans.get(index).is_some_and(|span| span.holds(new.last)) {
+    if spans.get(index).is_some_and(|span| span.contains(new.last)) {
         return;
     }
     spans.insert(index, new);
-    join(spans, index);
+    merge_adjacent(spans, index);
     if let Some(earlier) = index.checked_sub(1) {
-        join(spans, earlier);
+        merge_adjacent(spans, earlier);
     }
 }
 
-/// Joins the span at `index` with the next one if they touch.
-fn join(spans: &mut Vec<ChainSpan>, index: usize) {
+/// Merges the span at `index` with the next one if they are adjacent.
+fn merge_adjacent(spans: &mut Vec<ChainSpan>, index: usize) {
     let (Some(left), Some(right)) = (spans.get(index), spans.get(index + 1)) else {
         return;
     };
     if left.last != right.before {
         return;
     }
-    let joined = ChainSpan {
+    let merged = ChainSpan {
         last: right.last,
         digest: right.digest,
         ..*left
     };
     spans.remove(index + 1);
     if let Some(span) = spans.get_mut(index) {
-        *span = joined;
+        *span = merged;
     }
 }
--- a/crates/coordination/src/evidence/record.rs
+++ b/crates/coordination/src/evidence/record.rs
@@ -1,4 +1,4 @@
-//! What one record says.
+//! Content of evidence records.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,32 +14,32 @@
     VersionName, WallTime,
 };
 
-/// One record, as it is hashed.
+/// Hashed content of one record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceRecord {
-    /// The process that wrote it.
+    /// Process that wrote the record.
     pub writer: ChainWriter,
-    /// Its number in the chain of the writer, from 1.
+    /// Sequence number in the writer's chain, from 1.
     pub sequence: SequenceNumber,
-    /// Digest of the record before it; zero for the first.
+    /// Digest of the previous record; zero for the first.
     pub previous: EvidenceDigest,
-    /// Wall clock of the writer in milliseconds. For people only: order comes from `sequence`.
+    /// Wall clock of the writer in milliseconds. Informational only: `sequence` defines the order.
     pub time: WallTime,
-    /// What happened.
+    /// Recorded event.
     pub event: EvidenceEvent,
 }
 
-/// What happened.
+/// Event of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "detail", rename_all = "kebab-case")]
 pub enum EvidenceEvent {
     /// An operator's change was accepted or refused.
     ConfigurationChanged(ConfigurationChanged),
-    /// Refusals that were not recorded singly, because the buffer was full.
+    /// Refusals that were only counted, because the buffer was full.
     RefusalsOmitted(RefusalsOmitted),
-    /// A request was taken on.
+    /// A request was accepted.
     RequestBegun(RequestBegun),
-    /// A request that had been taken on came to its end.
+    /// An accepted request ended.
     RequestFinished(RequestFinished),
     /// A request was refused.
     RequestRefused(RequestRefused),
@@ -49,22 +49,22 @@
     RevisionInForce(RevisionInForce),
 }
 
-/// What a caller was told, or could see.
+/// Outcome of a request as its caller observed it.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum OutcomeKind {
-    /// The caller closed the connection before the end.
+    /// The caller closed the connection before the answer ended.
     #[display("caller-gone")]
     CallerGone,
-    /// The whole answer was sent.
+    /// The complete answer was sent.
     #[display("complete")]
     Complete,
-    /// An answer had begun and ended in an explicit error.
+    /// The answer began and ended with an explicit error.
     #[display("incomplete")]
     Incomplete,
-    /// It is proved that the request did not run.
+    /// The request provably did not run.
     #[display("not-run")]
     NotRun,
     /// The request may have run.
@@ -82,7 +82,7 @@
 }
 
 impl BodyDigest {
-    /// Length and digest of `body`.
+    /// Computes length and digest of `body`.
     pub fn of(body: &[u8]) -> Self {
         Self {
             bytes: u64::try_from(body.len()).unwrap_or(u64::MAX),
@@ -91,74 +91,74 @@
     }
 }
 
-/// A request that was taken on.
+/// Start of an accepted request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestBegun {
-    /// The request.
+    /// Identity of the request.
     pub request: RequestId,
-    /// The customer whose credential it bore.
+    /// Customer whose credential the request carried.
     pub customer: CustomerName,
     /// Method and path, without the query.
     pub operation: Arc<str>,
-    /// Idempotency key, if the caller gave one.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<ClaimKey>,
     /// Body of the request.
     pub body: BodyDigest,
-    /// Revision by which it was decided.
+    /// Revision in force for the decision.
     pub revision: Revision,
-    /// What decided.
+    /// Selectors and labels of the decision.
     pub decision: DecisionTrace,
 }
 
-/// The selector and the labels that decided, and the selectors that did not.
+/// Selected and rejected selectors, and the labels that they evaluated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionTrace {
-    /// Selector that serves the request; `None` if none does.
+    /// Selector that serves the request; `None` if no selector does.
     pub selector: Option<SelectorName>,
-    /// Labels that the selectors looked at.
+    /// Labels that the selectors evaluated.
     pub labels: BTreeMap<Arc<str>, Arc<str>>,
-    /// Selectors that were considered and do not serve it.
+    /// Selectors that were considered and do not serve the request.
     pub considered: Vec<SelectorVerdict>,
 }
 
-/// Why a selector does not serve a request.
+/// Selector that does not serve a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SelectorVerdict {
-    /// The selector.
+    /// Name of the selector.
     pub selector: SelectorName,
-    /// Why not.
+    /// Reason why it does not serve the request.
     pub reason: Arc<str>,
 }
 
-/// A request that came to its end.
+/// End of an accepted request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestFinished {
-    /// The request.
+    /// Identity of the request.
     pub request: RequestId,
-    /// The customer.
+    /// Customer that sent the request.
     pub customer: CustomerName,
     /// Revision in force at the end.
     pub revision: Revision,
-    /// Selector that served it.
+    /// Selector that served the request.
     pub selector: Option<SelectorName>,
-    /// Every attempt, in order.
+    /// All attempts, in order.
     pub attempts: Vec<AttemptTrace>,
-    /// What the caller was told.
+    /// Outcome that was reported to the caller.
     pub outcome: OutcomeKind,
-    /// Why the outcome is true.
+    /// Justification of the outcome.
     pub reason: Arc<str>,
-    /// HTTP status that the caller saw.
+    /// HTTP status sent to the caller.
     pub status: u16,
-    /// What was sent to the caller.
+    /// Length and digest of the answer sent to the caller.
     pub answer: BodyDigest,
-    /// How long it took.
+    /// Durations within the request.
     pub timings: RequestTimings,
 }
 
-/// One attempt at a request.
+/// One attempt to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptTrace {
-    /// Its number.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
     /// Model, for drafts.
     pub model: Option<ModelName>,
@@ -166,22 +166,22 @@
     pub version: Option<VersionName>,
     /// Adapter, if one was applied.
     pub adapter: Option<AdapterName>,
-    /// The pipeline, in the order of its layers; one stage without layers for a plain service.
+    /// Stages of the pipeline in the order of layers; one stage without layers for a plain service.
     pub stages: Vec<RouteStage>,
-    /// First token position that this attempt was asked for.
+    /// First token position requested from this attempt.
     pub from: TokenPosition,
-    /// Tokens of this attempt that reached the caller.
+    /// Number of tokens of this attempt that were sent to the caller.
     pub tokens: u32,
-    /// How it ended.
+    /// Reason why the attempt ended.
     pub ending: Arc<str>,
 }
 
 /// One stage of a pipeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteStage {
-    /// Backend server.
+    /// Backend server of the stage.
     pub server: ServerName,
-    /// Layers that it ran; `None` for a plain service.
+    /// Layers that the server ran; `None` for a plain service.
     pub layers: Option<LayerRange>,
 }
 
@@ -190,71 +190,71 @@
 pub struct RequestTimings {
     /// From the arrival to the first attempt.
     pub queued_us: u64,
-    /// From the arrival to the first token or byte to the caller; 0 if there was none.
+    /// From the arrival to the first token or byte sent to the caller; 0 if none was sent.
     pub first_us: u64,
     /// From the arrival to the end.
     pub total_us: u64,
 }
 
-/// A request that was refused.
+/// Refusal of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRefused {
-    /// The request.
+    /// Identity of the request.
     pub request: RequestId,
-    /// The customer; `None` if no credential was accepted.
+    /// Customer; `None` if no credential was accepted.
     pub customer: Option<CustomerName>,
     /// Method and path, without the query.
     pub operation: Arc<str>,
-    /// Body of the request, as far as it was read.
+    /// Body of the request, as far as it was received.
     pub body: BodyDigest,
-    /// Revision by which it was refused; `None` if the writer had none.
+    /// Revision in force for the refusal; `None` if the writer had none.
     pub revision: Option<Revision>,
-    /// What decided.
+    /// Selectors and labels of the decision.
     pub decision: DecisionTrace,
-    /// HTTP status that the caller saw.
+    /// HTTP status sent to the caller.
     pub status: u16,
-    /// What the caller was told.
+    /// Outcome that was reported to the caller.
     pub outcome: OutcomeKind,
-    /// Kind of refusal, as in the problem document.
+    /// Kind of refusal, as in the problem document sent to the caller.
     pub kind: Arc<str>,
-    /// Why the refusal is true.
+    /// Justification of the refusal.
     pub reason: Arc<str>,
 }
 
-/// Refusals that were counted instead of being recorded singly.
+/// Number of refusals without records of their own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalsOmitted {
-    /// How many.
+    /// Number of refusals.
     pub count: u64,
-    /// Time of the first.
+    /// Time of the first refusal.
     pub first: WallTime,
-    /// Time of the last.
+    /// Time of the last refusal.
     pub last: WallTime,
 }
 
-/// An operator's change.
+/// An operator's change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChanged {
     /// Identity of the change.
     pub change: ChangeId,
-    /// Who sent it.
+    /// Operator that sent the change.
     pub operator: OperatorName,
-    /// Revision that it was based on.
+    /// Revision that the change was based on.
     pub based_on: Revision,
-    /// Revision that it became; `None` if it was refused.
+    /// Revision that the change created; `None` if it was refused.
     pub revision: Option<Revision>,
-    /// The documents of the change.
+    /// Length and digest of the documents of the change.
     pub documents: BodyDigest,
-    /// Names of what it sets or removes.
+    /// Names of the objects that the change sets or removes.
     pub touched: Vec<Arc<str>>,
-    /// Why it was refused; empty if it was accepted.
+    /// Reason of the refusal; empty if the change was accepted.
     pub reason: Arc<str>,
 }
 
-/// Records that a keeper dropped.
+/// Records that a keeper dropped by retention.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionApplied {
-    /// The keeper.
+    /// Keeper that dropped the records.
     pub keeper: HostName,
     /// Chain from which records were dropped.
     pub chain: ChainWriter,
@@ -262,19 +262,19 @@
     pub through: SequenceNumber,
     /// Digest of the last dropped record.
     pub digest: EvidenceDigest,
-    /// Rule that made them old.
+    /// Retention rule that applied.
     pub reason: Arc<str>,
 }
 
-/// A revision that the writer put in force.
+/// Revision that the writer put in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionInForce {
-    /// The revision.
+    /// Number of the revision.
     pub revision: Revision,
 }
 
 impl EvidenceEvent {
-    /// The request that the event speaks of.
+    /// Request that the event is about.
     pub fn request(&self) -> Option<&RequestId> {
         match self {
             Self::RequestBegun(event) => Some(&event.request),
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The customer that the event speaks of.
+    /// Customer that the event is about.
     pub fn customer(&self) -> Option<&CustomerName> {
         match self {
             Self::RequestBegun(event) => Some(&event.customer),
@@ -294,7 +294,7 @@
         }
     }
 
-    /// The outcome that a caller was told.
+    /// Outcome that was reported to the caller.
     pub fn outcome(&self) -> Option<OutcomeKind> {
         match self {
             Self::RequestFinished(event) => Some(event.outcome),
@@ -303,7 +303,7 @@
         }
     }
 
-    /// The selector that served the request.
+    /// Selector that served the request.
     pub fn selector(&self) -> Option<&SelectorName> {
         match self {
             Self::RequestBegun(event) => event.decision.selector.as_ref(),
--- a/crates/coordination/src/evidence/replicated_batch.rs
+++ b/crates/coordination/src/evidence/replicated_batch.rs
@@ -1,6 +1,6 @@
-//! Evidence through the agreement group: what a batch is to the replicated state, and back.
+//! Conversion between batches of a chain and batches of the replicated state.
 //!
-//! The replicated state counts the records of a life from 0, a chain counts them from 1.
+//! The replicated state numbers the records of an incarnation from 0, a chain numbers them from 1.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::replicated;
 
 impl EvidenceBatch {
-    /// The batch as the replicated state takes it.
+    /// Converts the batch for the replicated state.
     pub fn to_replicated(&self) -> replicated::EvidenceBatch {
         let bytes = |line: &Arc<str>| Arc::from(line.as_bytes());
         replicated::EvidenceBatch {
@@ -21,8 +21,9 @@
     }
 }
 
-/// Last record of the chain that the agreement group has, by its answer to a batch; `None` if a
-/// later life of the writer has recorded already, so that this one must take no more work.
+/// Returns the last record of the chain in the replicated state, according to the answer to a
+/// batch; `None` if a later incarnation of the writer has records, so this one must accept no more
+/// requests.
 pub fn replicated_through(answer: &replicated::EvidenceAnswer) -> Option<SequenceNumber> {
     match answer {
         replicated::EvidenceAnswer::Recorded { next } => Some(*next),
--- a/crates/coordination/src/evidence/report.rs
+++ b/crates/coordination/src/evidence/report.rs
@@ -1,4 +1,4 @@
-//! One self-contained HTML page over an evidence export: what was verified, counted and plotted.
+//! Report of an evidence export as one self-contained HTML page: verification, counts and plots.
 
 mod plots;
 mod statistics;
@@ -13,7 +13,7 @@
 use crate::base::WallTime;
 use statistics::ReportStatistics;
 
-/// Most findings that the page lists; it says how many there are.
+/// Limit of the findings that the page lists; it always shows their total number.
 const MAX_LISTED: usize = 50;
 
 const STYLE: &str = "body{font:16px/1.5 sans-serif;max-width:60em;margin:2em auto;padding:0 1em;\
@@ -21,41 +21,43 @@
 border-bottom:1px solid #ccc;text-align:left}td.n{text-align:right}svg{max-width:100%;height:auto}\
 li.bad{color:#a00}";
 
-/// Why a page can't be made.
+/// Error in the creation of a report page.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ReportError {
-    /// The export has no record that can be read.
+    /// The export contains no readable record.
     #[display("the export has no record that can be read")]
     Empty,
-    /// A plot can't be drawn.
+    /// A plot cannot be drawn.
     #[display("plot: {message}")]
     Plot {
-        /// What the library says.
+        /// Message of the plotting library.
         message: String,
     },
 }
 
-/// The page over the lines of the export `file`. The lines are read twice: to verify and to count.
+/// Creates the page for `lines` of the export `file`. Iterates over the lines twice, to verify and
+/// to count.
 ///
 /// # Errors
 ///
-/// If there is nothing to show.
+/// [`ReportError::Empty`] if no line is a readable record; [`ReportError::Plot`] if a plot cannot
+/// be drawn.
 pub fn report_page<'a, I>(file: &str, lines: I) -> Result<String, ReportError>
 where
     I: IntoIterator<Item = &'a str> + Clone,
 {
     let verified = verify(file, lines.clone(), &[]);
-    let mut figures = ReportStatistics::default();
+    let mut statistics = ReportStatistics::default();
     for line in lines {
-        if let Some(sealed) = read(line) {
-            figures.add(&sealed.record);
+        if let Some(sealed) = decode(line) {
+            statistics.add(&sealed.record);
         }
     }
-    let (Some(first), Some(last)) = (figures.first, figures.last) else {
+    let (Some(first), Some(last)) = (statistics.first, statistics.last) else {
         return Err(ReportError::Empty);
     };
     let mut page = String::new();
-    let title = format!("Evidence in {}", escaped(file));
+    let title = format!("Evidence in {}", escape(file));
     let _ = write!(
         page,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
@@ -64,21 +66,21 @@
         format_time(last)
     );
     push_verification(&mut page, &verified);
-    push_tables(&mut page, &figures);
-    for plot in plots::draw(&figures)? {
+    push_tables(&mut page, &statistics);
+    for plot in plots::draw(&statistics)? {
         let _ = write!(
             page,
             "<h2>{}</h2><p>{}</p>{}",
-            plot.title, plot.note, plot.svg
+            plot.title, plot.caption, plot.svg
         );
     }
     page.push_str("</html>\n");
     Ok(page)
 }
 
-/// A record that verification accepts, or one whose text was edited: both are shown, and the
-/// findings stand above them.
-fn read(line: &str) -> Option<SealedRecord> {
+/// Decodes a record, including an edited one: the page counts both, and lists the findings above
+/// the counts.
+fn decode(line: &str) -> Option<SealedRecord> {
     SealedRecord::inspect(line)
         .ok()
         .map(|inspected| inspected.sealed)
@@ -91,7 +93,7 @@
         let chains = verified.chains.len();
         let _ = write!(
             page,
-            "<p>All {chains} chains are whole, from their start to their head.</p>"
+            "<p>All {chains} chains are complete, from their start to their head.</p>"
         );
     } else {
         let _ = write!(page, "<p>{count} findings:</p><ul>");
@@ -99,7 +101,7 @@
             let _ = write!(
                 page,
                 "<li class=\"bad\">{}</li>",
-                escaped(&finding.to_string())
+                escape(&finding.to_string())
             );
         }
         page.push_str("</ul>");
@@ -109,17 +111,17 @@
         let _ = write!(
             page,
             "<tr><td>{}</td><td class=\"n\">{}</td><td><small>{}</small></td></tr>",
-            escaped(&chain.head.writer.to_string()),
+            escape(&chain.head.writer.to_string()),
             chain.records,
-            escaped(&chain.head.to_string())
+            escape(&chain.head.to_string())
         );
     }
     page.push_str("</table>");
 }
 
-fn push_tables(page: &mut String, figures: &ReportStatistics) {
+fn push_tables(page: &mut String, statistics: &ReportStatistics) {
     page.push_str("<h2>Outcomes</h2><table><tr><th>Outcome</th><th>Requests</th></tr>");
-    for (outcome, count) in &figures.outcomes {
+    for (outcome, count) in &statistics.outcomes {
         let _ = write!(
             page,
             "<tr><td>{outcome}</td><td class=\"n\">{count}</td></tr>"
@@ -128,18 +130,18 @@
     let _ = write!(
         page,
         "<tr><td>begun, no end on record</td><td class=\"n\">{}</td></tr></table>",
-        figures.open.len()
+        statistics.open.len()
     );
     let _ = write!(
         page,
         "<p>{} configuration changes accepted, {} refused; {} refusals counted without a record of \
          their own.</p>",
-        figures.changes_accepted, figures.changes_refused, figures.omitted
+        statistics.changes_accepted, statistics.changes_refused, statistics.omitted
     );
 }
 
-/// Text for HTML: names in records come from strangers.
-fn escaped(text: &str) -> String {
+/// Escapes text for HTML, because names in records come from untrusted clients.
+fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for letter in text.chars() {
         match letter {
@@ -153,7 +155,7 @@
     escaped
 }
 
-/// Seconds from `start` to `time`.
+/// Returns the seconds from `start` to `time`; 0 if `time` is earlier.
 fn seconds_between(start: WallTime, time: WallTime) -> f64 {
     std::time::Duration::from_millis(time.0.saturating_sub(start.0)).as_secs_f64()
 }
--- a/crates/coordination/src/evidence/report/plots.rs
+++ b/crates/coordination/src/evidence/report/plots.rs
@@ -19,14 +19,14 @@
 const SIZE: (u32, u32) = (900, 340);
 const LEFT_AREA: u32 = 70;
 const BOTTOM_AREA: u32 = 45;
-/// Type of all words in a plot.
+/// Font of all text in a plot.
 const FONT: (&str, i32) = ("sans-serif", 15);
-/// Room above the highest value, where the legend stands.
+/// Ratio of the axis length to the highest value; the legend uses the space above the values.
 const HEADROOM: f64 = 1.35;
-/// Hosts beyond this many are drawn without a legend.
+/// Limit of lines in a plot with a legend; a plot with more lines has none.
 const MAX_LEGEND: usize = 12;
 
-/// Colours that stay apart for most colour-blind readers.
+/// Colours that most colour-blind readers can distinguish.
 const COLOURS: [RGBColor; 8] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -38,63 +38,65 @@
     RGBColor(0, 0, 0),
 ];
 
-/// A plot with the words around it.
+/// A plot with its title and caption.
 pub(super) struct ReportPlot {
-    /// Title.
+    /// Heading above the plot.
     pub(super) title: &'static str,
-    /// What to read from it.
-    pub(super) note: String,
-    /// The picture.
+    /// Text below the heading.
+    pub(super) caption: String,
+    /// SVG document.
     pub(super) svg: String,
 }
 
-/// A line of a plot.
+/// A named line of a plot.
 struct PlotLine {
     name: String,
     points: Vec<(f64, f64)>,
 }
 
-/// The plots of a report.
-pub(super) fn draw(figures: &ReportStatistics) -> Result<Vec<ReportPlot>, ReportError> {
-    let width = std::time::Duration::from_millis(figures.width()).as_secs_f64();
+/// Draws the plots of a report.
+pub(super) fn draw(statistics: &ReportStatistics) -> Result<Vec<ReportPlot>, ReportError> {
+    let width = std::time::Duration::from_millis(statistics.width()).as_secs_f64();
     let mut plots = vec![ReportPlot {
         title: "Requests",
-        note: format!("Ended and refused requests by outcome, each point {width} s."),
-        svg: line_plot(figures, "requests", &outcome_lines(figures))?,
+        caption: format!("Ended and refused requests by outcome, one point per {width} s."),
+        svg: line_plot(statistics, "requests", &outcome_lines(statistics))?,
     }];
-    if !figures.refusals.is_empty() {
+    if !statistics.refusals.is_empty() {
         plots.push(ReportPlot {
             title: "Refusals by reason",
-            note: "Number of refusals of each kind.".into(),
-            svg: bar_plot(figures)?,
+            caption: "Number of refusals of each kind.".into(),
+            svg: bar_plot(statistics)?,
         });
     }
-    let revisions = revision_lines(figures);
+    let revisions = revision_lines(statistics);
     plots.push(ReportPlot {
         title: "Revisions in force",
-        note: "Revision of each daemon over time; lines that stay together changed together."
+        caption: "Revision of each daemon over time; daemons whose lines coincide changed at the \
+                  same time."
             .into(),
-        svg: line_plot(figures, "revision", &revisions)?,
+        svg: line_plot(statistics, "revision", &revisions)?,
     });
     for (title, pick) in [
         (
             "Time to the first byte",
-            first as fn(&ReportBucket) -> &Latencies,
+            first_byte as fn(&ReportBucket) -> &Latencies,
         ),
         ("Time to the end", total),
     ] {
         plots.push(ReportPlot {
             title,
-            note: "Half, 95 and 99 of 100 requests took no longer; across a pause the line joins \
-                   the values before and after it."
-                .into(),
-            svg: line_plot(figures, "seconds", &latency_lines(figures, pick))?,
+            caption:
+                "Percentiles 50, 95 and 99 of the latency; across a period without requests, the \
+                   line connects the values before and after it."
+                    .into(),
+            svg: line_plot(statistics, "seconds", &latency_lines(statistics, pick))?,
         });
     }
     Ok(plots)
 }
 
-fn first(bucket: &ReportBucket) -> &Latencies {
+fn first_byte(bucket: &ReportBucket) -> &Latencies {
     &bucket.first
 }
 
@@ -102,12 +104,12 @@
     &bucket.total
 }
 
-fn start(figures: &ReportStatistics) -> WallTime {
-    let first = figures.buckets().next().map(|(time, _)| time);
-    first.or(figures.first).unwrap_or_default()
+fn start(statistics: &ReportStatistics) -> WallTime {
+    let first = statistics.buckets().next().map(|(time, _)| time);
+    first.or(statistics.first).unwrap_or_default()
 }
 
-fn outcome_lines(figures: &ReportStatistics) -> Vec<PlotLine> {
+fn outcome_lines(statistics: &ReportStatistics) -> Vec<PlotLine> {
     let kinds = [
         OutcomeKind::Complete,
         OutcomeKind::Incomplete,
@@ -117,22 +119,24 @@
     ];
     let seen = kinds
         .into_iter()
-        .filter(|kind| figures.outcomes.contains_key(kind));
+        .filter(|kind| statistics.outcomes.contains_key(kind));
     let line = |kind: OutcomeKind| PlotLine {
         name: kind.to_string(),
-        points: with_pauses(
-            figures.width(),
-            &points(figures, |bucket| {
-                Some(real(bucket.outcomes.get(&kind).copied().unwrap_or(0)))
+        points: with_zeros(
+            statistics.width(),
+            &points(statistics, |bucket| {
+                Some(to_coordinate(
+                    bucket.outcomes.get(&kind).copied().unwrap_or(0),
+                ))
             }),
         ),
     };
     seen.map(line).collect()
 }
 
-/// Brings counts down to zero where nothing was recorded: a line straight across a pause would show
-/// requests that never were.
-fn with_pauses(width: u64, counts: &[(f64, f64)]) -> Vec<(f64, f64)> {
+/// Inserts zeros into periods without records: a straight line across such a period would show
+/// requests that did not exist.
+fn with_zeros(width: u64, counts: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let width = std::time::Duration::from_millis(width).as_secs_f64();
     let mut filled = Vec::with_capacity(counts.len());
     for (at, count) in counts.iter().copied() {
@@ -147,27 +151,23 @@
     filled
 }
 
-fn latency_lines<F>(figures: &ReportStatistics, pick: F) -> Vec<PlotLine>
+fn latency_lines<F>(statistics: &ReportStatistics, pick: F) -> Vec<PlotLine>
 where
     F: Fn(&ReportBucket) -> &Latencies,
 {
-    let parts = [
-        ("50 of 100", 0.50),
-        ("95 of 100", 0.95),
-        ("99 of 100", 0.99),
-    ];
+    let parts = [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)];
     let line = |(name, part): (&str, f64)| PlotLine {
         name: name.into(),
-        points: points(figures, |bucket| pick(bucket).quantile(part)),
+        points: points(statistics, |bucket| pick(bucket).quantile(part)),
     };
     parts.into_iter().map(line).collect()
 }
 
-/// Steps: a revision holds until the next one.
-fn revision_lines(figures: &ReportStatistics) -> Vec<PlotLine> {
-    let origin = start(figures);
+/// Returns one step line per host: a revision stays in force until the next one.
+fn revision_lines(statistics: &ReportStatistics) -> Vec<PlotLine> {
+    let origin = start(statistics);
     let mut lines: BTreeMap<_, PlotLine> = BTreeMap::new();
-    for (time, bucket) in figures.buckets() {
+    for (time, bucket) in statistics.buckets() {
         let at = seconds_between(origin, time);
         for (host, revision) in &bucket.revisions {
             let line = lines.entry(host.clone()).or_insert_with(|| PlotLine {
@@ -177,10 +177,10 @@
             if let Some((_, before)) = line.points.last().copied() {
                 line.points.push((at, before));
             }
-            line.points.push((at, real(revision.0)));
+            line.points.push((at, to_coordinate(revision.0)));
         }
     }
-    let end = seconds_between(origin, figures.last.unwrap_or_default());
+    let end = seconds_between(origin, statistics.last.unwrap_or_default());
     for line in lines.values_mut() {
         if let Some((_, last)) = line.points.last().copied() {
             line.points.push((end, last));
@@ -189,32 +189,32 @@
     lines.into_values().collect()
 }
 
-fn points<F>(figures: &ReportStatistics, value: F) -> Vec<(f64, f64)>
+fn points<F>(statistics: &ReportStatistics, value: F) -> Vec<(f64, f64)>
 where
     F: Fn(&ReportBucket) -> Option<f64>,
 {
-    let origin = start(figures);
+    let origin = start(statistics);
     let point = |(time, bucket): (WallTime, &ReportBucket)| {
         Some((seconds_between(origin, time), value(bucket)?))
     };
-    figures.buckets().filter_map(point).collect()
+    statistics.buckets().filter_map(point).collect()
 }
 
-/// A count as a coordinate; what a plot can show needs no more digits.
-fn real(count: u64) -> f64 {
+/// Converts a count to a coordinate; the precision of `f64` exceeds that of a plot.
+fn to_coordinate(count: u64) -> f64 {
     let high = u32::try_from(count >> 32).unwrap_or(u32::MAX);
     let low = u32::try_from(count & 0xFFFF_FFFF).unwrap_or(u32::MAX);
     f64::from(high) * 4_294_967_296.0 + f64::from(low)
 }
 
 fn line_plot(
-    figures: &ReportStatistics,
+    statistics: &ReportStatistics,
     unit: &str,
     lines: &[PlotLine],
 ) -> Result<String, ReportError> {
     let all = || lines.iter().flat_map(|line| line.points.iter());
     let highest = all().fold(0.0_f64, |highest, (_, value)| highest.max(*value));
-    let end = seconds_between(start(figures), figures.last.unwrap_or_default());
+    let end = seconds_between(start(statistics), statistics.last.unwrap_or_default());
     let across = 0.0..end.max(1.0);
     let up = 0.0..(highest * HEADROOM).max(0.001);
     svg(|area| draw_lines(area, across, up, unit, lines))
@@ -263,18 +263,18 @@
         .map_err(failed)
 }
 
-fn bar_plot(figures: &ReportStatistics) -> Result<String, ReportError> {
-    let highest = figures.refusals.values().copied().max().unwrap_or(0);
-    let rows = i32::try_from(figures.refusals.len()).unwrap_or(i32::MAX);
-    let names: Vec<_> = figures.refusals.keys().cloned().collect();
+fn bar_plot(statistics: &ReportStatistics) -> Result<String, ReportError> {
+    let highest = statistics.refusals.values().copied().max().unwrap_or(0);
+    let rows = i32::try_from(statistics.refusals.len()).unwrap_or(i32::MAX);
+    let names: Vec<_> = statistics.refusals.keys().cloned().collect();
     svg(|area| {
         let mut chart = ChartBuilder::on(area)
             .margin(10)
             .set_label_area_size(LabelAreaPosition::Left, LEFT_AREA * 3)
             .set_label_area_size(LabelAreaPosition::Bottom, BOTTOM_AREA)
-            .build_cartesian_2d(0.0..real(highest) * 1.05, 0.0..f64::from(rows))
+            .build_cartesian_2d(0.0..to_coordinate(highest) * 1.05, 0.0..f64::from(rows))
             .map_err(failed)?;
-        // Names stand in the middle of their bars, half a row above whole numbers.
+        // The label of a bar is at its middle, half a row above its index.
         let name = |at: &f64| {
             let row = names.iter().enumerate().find(|(row, _)| {
                 let row = f64::from(u32::try_from(*row).unwrap_or(u32::MAX));
@@ -292,11 +292,15 @@
             .x_desc("refusals")
             .draw()
             .map_err(failed)?;
-        let bars = figures.refusals.values().zip(0_u32..).map(|(count, row)| {
-            let bottom = f64::from(row) + 0.2;
-            let corners = [(0.0, bottom), (real(*count), bottom + 0.6)];
-            Rectangle::new(corners, COLOURS[0].filled())
-        });
+        let bars = statistics
+            .refusals
+            .values()
+            .zip(0_u32..)
+            .map(|(count, row)| {
+                let bottom = f64::from(row) + 0.2;
+                let corners = [(0.0, bottom), (to_coordinate(*count), bottom + 0.6)];
+                Rectangle::new(corners, COLOURS[0].filled())
+            });
         chart.draw_series(bars).map_err(failed)?;
         Ok(())
     })
--- a/crates/coordination/src/evidence/report/statistics.rs
+++ b/crates/coordination/src/evidence/report/statistics.rs
@@ -1,4 +1,4 @@
-//! Figures of a report, in buckets of time whose width grows with the period.
+//! Statistics of a report, in time buckets whose width grows with the period of the export.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,61 +8,62 @@
 use crate::base::{HostName, RequestId, Revision, WallTime};
 use crate::evidence::record::{EvidenceEvent, EvidenceRecord, OutcomeKind};
 
-/// Most buckets; when there are more, pairs are joined, so the memory of a report is bounded.
+/// Limit of buckets. In excess of it, pairs of buckets are merged, which bounds the memory of a
+/// report.
 const MAX_BUCKETS: usize = 240;
-/// Width of the first buckets.
+/// Initial width of a bucket in milliseconds.
 const FIRST_WIDTH_MILLIS: u64 = 1_000;
-/// Digits of the latencies that are kept.
+/// Significant digits of recorded latencies.
 const DIGITS: u8 = 2;
-/// Longest latency that is kept apart: a day.
+/// Maximum recorded latency in microseconds: one day. Longer ones count as this value.
 const MAX_MICROS: u64 = 86_400_000_000;
 
-/// Figures of one stretch of time.
+/// Statistics of one period of time.
 #[derive(Debug, Default)]
 pub(super) struct ReportBucket {
-    /// Ended and refused requests by outcome.
+    /// Number of ended and refused requests by outcome.
     pub(super) outcomes: BTreeMap<OutcomeKind, u64>,
-    /// Time to the first byte, microseconds.
+    /// Time to the first byte, in microseconds.
     pub(super) first: Latencies,
-    /// Time to the end, microseconds.
+    /// Time to the end, in microseconds.
     pub(super) total: Latencies,
-    /// Revision that each host put in force last.
+    /// Last revision that each host put in force.
     pub(super) revisions: BTreeMap<HostName, Revision>,
 }
 
-/// A distribution that is made when the first value comes.
+/// Distribution of latencies, allocated with the first value.
 #[derive(Debug, Default)]
 pub(super) struct Latencies {
     values: Option<Histogram<u32>>,
 }
 
-/// Figures of a whole export.
+/// Statistics of a complete export.
 #[derive(Debug, Default)]
 pub(super) struct ReportStatistics {
     /// Time of the oldest record.
     pub(super) first: Option<WallTime>,
     /// Time of the newest record.
     pub(super) last: Option<WallTime>,
-    /// Ended and refused requests by outcome.
+    /// Number of ended and refused requests by outcome.
     pub(super) outcomes: BTreeMap<OutcomeKind, u64>,
-    /// Refusals by kind.
+    /// Number of refusals by kind.
     pub(super) refusals: BTreeMap<Arc<str>, u64>,
-    /// Requests that have begun and not ended.
+    /// Requests that began and did not end.
     pub(super) open: BTreeSet<RequestId>,
-    /// Changes that became a revision.
+    /// Number of accepted changes.
     pub(super) changes_accepted: u64,
-    /// Changes that were refused.
+    /// Number of refused changes.
     pub(super) changes_refused: u64,
-    /// Refusals that were counted only.
+    /// Number of refusals without records of their own.
     pub(super) omitted: u64,
     buckets: BTreeMap<u64, ReportBucket>,
-    /// How often buckets were joined in pairs: at most 53 times, since by then any time there is
-    /// falls into one of three.
-    joined: u32,
+    /// Number of times that pairs of buckets were merged; at most 53, since then all times that a
+    /// `u64` of milliseconds can hold fall into three buckets.
+    merges: u32,
 }
 
 impl Latencies {
-    /// The value that `part` of all values do not pass, in seconds.
+    /// Returns the quantile `part` (0 to 1) in seconds; `None` without values.
     pub(super) fn quantile(&self, part: f64) -> Option<f64> {
         let micros = self.values.as_ref()?.value_at_quantile(part);
         Some(std::time::Duration::from_micros(micros).as_secs_f64())
@@ -73,12 +74,12 @@
             self.values = Histogram::new(DIGITS).ok();
         }
         if let Some(values) = &mut self.values {
-            // Values are bounded, so that a false one from an export takes no memory.
+            // The limit keeps the histogram small if an export contains a wrong value.
             let _ = values.record(micros.min(MAX_MICROS));
         }
     }
 
-    fn join(&mut self, other: Self) {
+    fn merge(&mut self, other: Self) {
         match (&mut self.values, other.values) {
             (Some(own), Some(others)) => {
                 let _ = own.add(others);
@@ -90,7 +91,7 @@
 }
 
 impl ReportStatistics {
-    /// Counts a record.
+    /// Adds a record to the statistics.
     pub(super) fn add(&mut self, record: &EvidenceRecord) {
         let time = record.time;
         self.first = Some(self.first.map_or(time, |first| first.min(time)));
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Buckets by the time at which they start.
+    /// Buckets with their start times.
     pub(super) fn buckets(&self) -> impl Iterator<Item = (WallTime, &ReportBucket)> {
         let width = self.width();
         let start = move |index: u64| WallTime(index.saturating_mul(width));
@@ -136,7 +137,7 @@
 
     /// Width of a bucket in milliseconds.
     pub(super) fn width(&self) -> u64 {
-        FIRST_WIDTH_MILLIS << self.joined
+        FIRST_WIDTH_MILLIS << self.merges
     }
 
     fn count(&mut self, time: WallTime, outcome: OutcomeKind) {
@@ -148,30 +149,30 @@
         let index = time.0 / self.width();
         self.buckets.entry(index).or_default();
         while self.buckets.len() > MAX_BUCKETS {
-            self.join_pairs();
+            self.merge_pairs();
         }
         let index = time.0 / self.width();
         self.buckets.entry(index).or_default()
     }
 
-    fn join_pairs(&mut self) {
-        self.joined += 1;
-        let mut joined: BTreeMap<u64, ReportBucket> = BTreeMap::new();
+    fn merge_pairs(&mut self) {
+        self.merges += 1;
+        let mut merged: BTreeMap<u64, ReportBucket> = BTreeMap::new();
         for (index, bucket) in std::mem::take(&mut self.buckets) {
-            joined.entry(index / 2).or_default().join(bucket);
+            merged.entry(index / 2).or_default().merge(bucket);
         }
-        self.buckets = joined;
+        self.buckets = merged;
     }
 }
 
 impl ReportBucket {
-    /// Joins a later bucket to this one.
-    fn join(&mut self, later: Self) {
+    /// Merges a later bucket into this one.
+    fn merge(&mut self, later: Self) {
         for (outcome, count) in later.outcomes {
             *self.outcomes.entry(outcome).or_default() += count;
         }
-        self.first.join(later.first);
-        self.total.join(later.total);
+        self.first.merge(later.first);
+        self.total.merge(later.total);
         self.revisions.extend(later.revisions);
     }
 }
--- a/crates/coordination/src/evidence/retention.rs
+++ b/crates/coordination/src/evidence/retention.rs
@@ -1,11 +1,11 @@
-//! Which stored records are old enough to be dropped.
+//! Selects the stored records that retention drops.
 
 use std::time::Duration;
 
 use super::chain::ChainAnchor;
 use crate::base::WallTime;
 
-/// How much a keeper holds.
+/// Limits of the records stored on a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionPolicy {
     /// Age after which records are dropped.
@@ -14,29 +14,29 @@
     pub max_bytes: u64,
 }
 
-/// A run of stored records of one chain that can be dropped together, such as one file.
+/// Consecutive stored records of one chain that are dropped together, such as one file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredSpan {
-    /// Anchor that its removal leaves: its last record.
+    /// Anchor of the chain after removal of the span: its last record.
     pub anchor: ChainAnchor,
-    /// Time of its newest record.
+    /// Time of the newest record.
     pub newest: WallTime,
-    /// Bytes that it takes.
+    /// Size in bytes.
     pub bytes: u64,
 }
 
-/// A span and the newest time of its chain up to its end.
+/// A span with the newest time of its chain up to its end, and whether it is the last of its chain.
 struct AgedSpan<'a> {
     span: &'a StoredSpan,
     newest: WallTime,
     is_last: bool,
 }
 
-/// Spans of `spans` that `policy` makes old, oldest first.
+/// Returns the spans to drop under `policy`, oldest first.
 ///
-/// Only the front of a chain is dropped, so that what is left is one stretch that its anchor
-/// proves. The last span of a chain is dropped for its age only, not for its bytes: a chain that
-/// is still written always has a head.
+/// Only the first spans of a chain are dropped, so that the remaining records are consecutive and
+/// their anchor proves them. The last span of a chain is dropped only because of its age, not
+/// because of the size limit, so that a chain that is still written always has a head.
 pub fn spans_to_drop(
     now: WallTime,
     policy: &RetentionPolicy,
@@ -46,9 +46,9 @@
     let mut bytes: u64 = spans.iter().map(|span| span.bytes).sum();
     let mut dropped = Vec::new();
     for aged in by_age(spans) {
-        let old = now.0.saturating_sub(aged.newest.0) > max_age;
-        let large = bytes > policy.max_bytes && !aged.is_last;
-        if old || large {
+        let is_too_old = now.0.saturating_sub(aged.newest.0) > max_age;
+        let is_over_size = bytes > policy.max_bytes && !aged.is_last;
+        if is_too_old || is_over_size {
             bytes = bytes.saturating_sub(aged.span.bytes);
             dropped.push(aged.span.clone());
         }
@@ -56,23 +56,23 @@
     dropped
 }
 
-/// The spans, oldest first, each chain in its order.
+/// Sorts the spans by time, oldest first, each chain in its order.
 ///
-/// A wall clock that went backwards gives a later span an earlier time. Taking that time as it is
-/// would drop the later span first and leave a hole; so a span counts as no older than those
-/// before it.
+/// If the wall clock was set back, a later span of a chain has an earlier time, and sorting by that
+/// time would drop the later span first and leave a gap. So each span counts as at least as new as
+/// the spans before it.
 fn by_age(spans: &[StoredSpan]) -> Vec<AgedSpan<'_>> {
     let mut order: Vec<_> = spans.iter().collect();
     order.sort_by_key(|span| (&span.anchor.writer, span.anchor.through));
     let mut aged: Vec<AgedSpan<'_>> = Vec::with_capacity(order.len());
     for span in order {
-        let same = aged
+        let previous = aged
             .last_mut()
-            .filter(|before| before.span.anchor.writer == span.anchor.writer);
-        let newest = match same {
-            Some(before) => {
-                before.is_last = false;
-                before.newest.max(span.newest)
+            .filter(|previous| previous.span.anchor.writer == span.anchor.writer);
+        let newest = match previous {
+            Some(previous) => {
+                previous.is_last = false;
+                previous.newest.max(span.newest)
             }
             None => span.newest,
         };
--- a/crates/coordination/src/evidence/timeline.rs
+++ b/crates/coordination/src/evidence/timeline.rs
@@ -1,4 +1,4 @@
-//! The story of one request in plain lines.
+//! Timeline of one request as text lines.
 
 use std::fmt::Write;
 
@@ -8,25 +8,25 @@
 };
 use crate::base::{RequestId, WallTime};
 
-/// Tells what `records` say about `request`, one fact a line, in the order of their times.
+/// Formats the records of `request` among `records`, one fact per line, in order of time.
 ///
-/// A request without a record of its end was cut off with its entry; the story says so rather than
-/// guess an outcome.
+/// A request without a record of its end was interrupted by the end of its entry process; the
+/// timeline states this instead of an outcome.
 pub fn request_timeline(request: &RequestId, records: &[EvidenceRecord]) -> Vec<String> {
-    let mut about: Vec<_> = records
+    let mut matching: Vec<_> = records
         .iter()
         .filter(|record| record.event.request() == Some(request))
         .collect();
-    about.sort_by_key(|record| (record.time, record.writer.clone(), record.sequence));
+    matching.sort_by_key(|record| (record.time, record.writer.clone(), record.sequence));
     let mut lines = Vec::new();
-    for record in &about {
-        tell_record(&mut lines, record);
+    for record in &matching {
+        push_record(&mut lines, record);
     }
-    let outcomes = about
+    let outcomes = matching
         .iter()
         .filter(|record| record.event.outcome().is_some());
-    match (about.is_empty(), outcomes.count()) {
-        (true, _) => lines.push(format!("no record speaks of request {request}")),
+    match (matching.is_empty(), outcomes.count()) {
+        (true, _) => lines.push(format!("no record mentions request {request}")),
         (false, 0) => lines.push(
             "no end is recorded: the entry stopped before it; what the caller saw is unknown"
                 .into(),
@@ -37,34 +37,34 @@
     lines
 }
 
-fn tell_record(lines: &mut Vec<String>, record: &EvidenceRecord) {
-    let head = format!(
+fn push_record(lines: &mut Vec<String>, record: &EvidenceRecord) {
+    let prefix = format!(
         "{} {} #{}",
         format_time(record.time),
         record.writer,
         record.sequence
     );
     match &record.event {
-        EvidenceEvent::RequestBegun(event) => tell_begun(lines, &head, event),
-        EvidenceEvent::RequestFinished(event) => tell_finished(lines, &head, event),
-        EvidenceEvent::RequestRefused(event) => tell_refused(lines, &head, event),
+        EvidenceEvent::RequestBegun(event) => push_begun(lines, &prefix, event),
+        EvidenceEvent::RequestFinished(event) => push_finished(lines, &prefix, event),
+        EvidenceEvent::RequestRefused(event) => push_refused(lines, &prefix, event),
         _ => {}
     }
 }
 
-fn tell_begun(lines: &mut Vec<String>, head: &str, event: &RequestBegun) {
+fn push_begun(lines: &mut Vec<String>, prefix: &str, event: &RequestBegun) {
     lines.push(format!(
-        "{head}: begun for customer {}: {}, {} bytes, sha256 {}",
+        "{prefix}: begun for customer {}: {}, {} bytes, sha256 {}",
         event.customer, event.operation, event.body.bytes, event.body.sha256
     ));
     if let Some(key) = &event.key {
         lines.push(format!("  idempotency key {key}"));
     }
     lines.push(format!("  decided by revision {}", event.revision));
-    tell_decision(lines, &event.decision);
+    push_decision(lines, &event.decision);
 }
 
-fn tell_decision(lines: &mut Vec<String>, decision: &DecisionTrace) {
+fn push_decision(lines: &mut Vec<String>, decision: &DecisionTrace) {
     match &decision.selector {
         Some(selector) => lines.push(format!("  selector {selector} serves it")),
         None => lines.push("  no selector serves it".into()),
@@ -80,12 +80,12 @@
     }
 }
 
-fn tell_finished(lines: &mut Vec<String>, head: &str, event: &RequestFinished) {
+fn push_finished(lines: &mut Vec<String>, prefix: &str, event: &RequestFinished) {
     for attempt in &event.attempts {
-        lines.push(format!("  attempt {}", tell_attempt(attempt)));
+        lines.push(format!("  attempt {}", format_attempt(attempt)));
     }
     lines.push(format!(
-        "{head}: ended {} with status {}: {}",
+        "{prefix}: ended {} with status {}: {}",
         event.outcome, event.status, event.reason
     ));
     lines.push(format!(
@@ -98,7 +98,7 @@
     ));
 }
 
-fn tell_attempt(attempt: &AttemptTrace) -> String {
+fn format_attempt(attempt: &AttemptTrace) -> String {
     let mut text = attempt.attempt.to_string();
     if let Some(model) = &attempt.model {
         let _ = write!(text, " of {model}");
@@ -128,23 +128,23 @@
     text
 }
 
-fn tell_refused(lines: &mut Vec<String>, head: &str, event: &RequestRefused) {
+fn push_refused(lines: &mut Vec<String>, prefix: &str, event: &RequestRefused) {
     let customer = match &event.customer {
         Some(customer) => format!("customer {customer}"),
         None => "an unknown caller".into(),
     };
     lines.push(format!(
-        "{head}: refused to {customer}: {}, {} with status {}, {}: {}",
+        "{prefix}: refused to {customer}: {}, {} with status {}, {}: {}",
         event.operation, event.outcome, event.status, event.kind, event.reason
     ));
     match event.revision {
         Some(revision) => lines.push(format!("  decided by revision {revision}")),
         None => lines.push("  no revision was in force".into()),
     }
-    tell_decision(lines, &event.decision);
+    push_decision(lines, &event.decision);
 }
 
-/// The time as `YYYY-MM-DDTHH:MM:SS.mmmZ`.
+/// Formats a time as `YYYY-MM-DDTHH:MM:SS.mmmZ`.
 pub(super) fn format_time(time: WallTime) -> String {
     let (days, millis) = (time.0 / 86_400_000, time.0 % 86_400_000);
     let (year, month, day) = civil_date(days);
@@ -153,9 +153,9 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
-/// Year, month and day of the Gregorian calendar, from days since 1970-01-01.
+/// Converts days since 1970-01-01 to year, month and day of the Gregorian calendar.
 ///
-/// Years are counted from 1 March 0000, which puts the leap day at the end of a year.
+/// The calculation counts years from 1 March 0000, so that the leap day is the last day of a year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     let days = days.saturating_add(719_468);
     let (era, day_of_era) = (days / 146_097, days % 146_097);
@@ -178,8 +178,9 @@
     use super::format_time;
     use crate::base::WallTime;
 
+    // Guards against wrong dates at leap days, at the end of a day and in century years.
     #[test]
-    fn times_read_as_dates() {
+    fn times_are_formatted_as_utc_dates() {
         let times = [
             0,
             951_782_400_000,
--- a/crates/coordination/src/evidence/verify.rs
+++ b/crates/coordination/src/evidence/verify.rs
@@ -1,4 +1,5 @@
-//! Offline verification of an export: gaps, edits, reordering and removed tails, with their place.
+//! Offline verification of an export: reports gaps, edits, reordering and removed tails with line
+//! numbers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,51 +12,52 @@
 use super::record::EvidenceEvent;
 use crate::base::{FindingList, Place, SequenceNumber};
 
-/// Start of every line that holds a record.
+/// Prefix of every line with a record.
 const RECORD_PREFIX: &str = r#"{"record":"#;
 
-/// What verification found.
+/// Result of a verification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VerifyReport {
-    /// Everything that is wrong; without errors the export is whole.
+    /// Detected faults; an export without errors is complete and unmodified as far as it can be
+    /// verified.
     pub findings: FindingList,
-    /// The chains of the export.
+    /// Chains of the export.
     pub chains: Vec<ChainSummary>,
 }
 
 /// One chain of an export.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainSummary {
-    /// Last record; the inspector notes it and hands it to the next verification.
+    /// Last record; the inspector notes it for the next verification.
     pub head: ChainHead,
-    /// Records in the export.
+    /// Number of records in the export.
     pub records: u64,
 }
 
 /// Verifies the lines of an export that was read from `file`.
 ///
-/// Hashes alone can't tell a chain from one that was rewritten from some record on, or whose last
-/// records and head were removed together. `noted` can: heads that the inspector noted from an
-/// earlier export or from `status`. Each must lie on its chain.
+/// Digests alone do not reveal a chain that was rewritten from some record on, or whose last
+/// records were removed together with its head. Heads in `noted` do: the inspector noted them from
+/// an earlier export or from `status`, and each must be in its chain.
 pub fn verify<'a, I>(file: &str, lines: I, noted: &[ChainHead]) -> VerifyReport
 where
     I: IntoIterator<Item = &'a str>,
 {
-    let mut walker = ExportWalker::new(file, noted);
+    let mut verifier = ExportVerifier::new(file, noted);
     for line in lines {
-        walker.line(line);
+        verifier.check_line(line);
     }
-    walker.finish()
+    verifier.finish()
 }
 
-/// Records of a chain that did not come where they belong.
+/// Missing records of a chain, which may follow later in the wrong order.
 #[derive(Debug)]
 struct OpenGap {
     first: SequenceNumber,
     last: SequenceNumber,
-    /// Digest that the record after the gap names as its previous one.
+    /// Previous digest in the record after the gap.
     expected: EvidenceDigest,
-    /// The record after the gap.
+    /// Location of the record after the gap.
     place: Place,
 }
 
@@ -63,17 +65,17 @@
 #[derive(Debug)]
 struct NotedHead {
     head: ChainHead,
-    met: bool,
+    is_found: bool,
 }
 
 impl NotedHead {
-    /// Whether it lies before a record that retention dropped, of its own life or a later one of
-    /// the host: nothing can be said against it any more.
-    fn dropped_by(&self, anchor: &ChainAnchor) -> bool {
+    /// Whether retention dropped records up to this head or beyond, or of a later incarnation of
+    /// the host; the head can then no longer be verified.
+    fn is_dropped_by(&self, anchor: &ChainAnchor) -> bool {
         let (own, dropped) = (&self.head.writer, &anchor.writer);
-        let earlier = own.incarnation < dropped.incarnation;
-        let before = own == dropped && self.head.sequence <= anchor.through;
-        own.host == dropped.host && (earlier || before)
+        let is_earlier_incarnation = own.incarnation < dropped.incarnation;
+        let is_dropped_record = own == dropped && self.head.sequence <= anchor.through;
+        own.host == dropped.host && (is_earlier_incarnation || is_dropped_record)
     }
 }
 
@@ -87,7 +89,7 @@
     has_head: bool,
 }
 
-struct ExportWalker {
+struct ExportVerifier {
     file: Arc<str>,
     number: u32,
     findings: FindingList,
@@ -95,17 +97,17 @@
     anchors: Vec<(ChainAnchor, Place)>,
     retentions: Vec<ChainAnchor>,
     noted: BTreeMap<ChainWriter, Vec<NotedHead>>,
-    ended: bool,
+    has_ended: bool,
 }
 
-impl ExportWalker {
+impl ExportVerifier {
     fn new(file: &str, noted: &[ChainHead]) -> Self {
         let mut by_chain: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for head in noted {
             let heads = by_chain.entry(head.writer.clone()).or_default();
             heads.push(NotedHead {
                 head: head.clone(),
-                met: false,
+                is_found: false,
             });
         }
         Self {
@@ -116,51 +118,52 @@
             anchors: Vec::new(),
             retentions: Vec::new(),
             noted: by_chain,
-            ended: false,
+            has_ended: false,
         }
     }
 
-    fn line(&mut self, line: &str) {
+    fn check_line(&mut self, line: &str) {
         self.number = self.number.saturating_add(1);
-        if self.ended {
-            self.error("a line after the end of the export", "no line after `end`");
+        if self.has_ended {
+            self.report_error("a line after the end of the export", "no line after `end`");
             return;
         }
         if line.starts_with(RECORD_PREFIX) {
             match SealedRecord::inspect(line) {
-                Ok(inspected) => self.inspected(&inspected),
-                Err(error) => self.unreadable(&error),
+                Ok(inspected) => self.check_inspected(&inspected),
+                Err(error) => self.report_line_error(&error),
             }
             return;
         }
         match ExportLine::parse(line) {
-            Ok(ExportLine::Anchor(anchor)) => self.anchor(anchor),
-            Ok(ExportLine::Head(head)) => self.head(&head),
-            Ok(ExportLine::End(end)) => self.end(&end),
-            Err(error) => self.unreadable(&error),
+            Ok(ExportLine::Anchor(anchor)) => self.check_anchor(anchor),
+            Ok(ExportLine::Head(head)) => self.check_head(&head),
+            Ok(ExportLine::End(end)) => self.check_end(&end),
+            Err(error) => self.report_line_error(&error),
         }
     }
 
-    fn unreadable(&mut self, error: &EvidenceError) {
+    fn report_line_error(&mut self, error: &EvidenceError) {
         let message = match error {
             EvidenceError::DigestMismatch => "edited: the digest is not that of the record".into(),
-            EvidenceError::NotCanonical => "edited: not the text that a writer gives".into(),
+            EvidenceError::NotCanonical => "edited: the line is not in canonical form".into(),
             other => format!("damaged: {other}"),
         };
-        self.error(message, "the line as it was exported");
+        self.report_error(message, "the line as it was exported");
     }
 
-    /// An edited record keeps its place in the chain, so that one edit gives one finding.
-    fn inspected(&mut self, inspected: &InspectedRecord) {
-        if let Some(fault) = &inspected.fault {
-            self.unreadable(fault);
+    /// Checks a decoded record. An edited record still counts as part of its chain, so that one
+    /// edit causes one finding.
+    fn check_inspected(&mut self, inspected: &InspectedRecord) {
+        if let Some(error) = &inspected.error {
+            self.report_line_error(error);
         } else {
-            self.meet_noted(&inspected.sealed.head());
+            self.match_noted(&inspected.sealed.head());
         }
-        self.record(&inspected.sealed);
+        self.check_record(&inspected.sealed);
     }
 
-    fn record(&mut self, sealed: &SealedRecord) {
+    fn check_record(&mut self, sealed: &SealedRecord) {
         let record = &sealed.record;
         if let EvidenceEvent::RetentionApplied(event) = &record.event {
             self.retentions.push(ChainAnchor {
@@ -173,8 +176,8 @@
         let chain = self.chains.entry(record.writer.clone()).or_default();
         let expected = chain.last.next();
         if record.sequence < expected {
-            let message = chain.late(sealed);
-            self.error(message, format!("record {expected} of {}", record.writer));
+            let message = chain.handle_late(sealed);
+            self.report_error(message, format!("record {expected} of {}", record.writer));
             return;
         }
         chain.records += 1;
@@ -195,20 +198,20 @@
         chain.last = record.sequence;
         chain.digest = sealed.digest;
         if let Some(message) = message {
-            self.error(message, "records as their writer chained them");
+            self.report_error(message, "records as their writer chained them");
         }
     }
 
-    fn anchor(&mut self, anchor: ChainAnchor) {
+    fn check_anchor(&mut self, anchor: ChainAnchor) {
         let place = self.place();
-        self.meet_noted(&ChainHead {
+        self.match_noted(&ChainHead {
             writer: anchor.writer.clone(),
             sequence: anchor.through,
             digest: anchor.digest,
         });
         let chain = self.chains.entry(anchor.writer.clone()).or_default();
         if chain.records > 0 || chain.anchor.is_some() {
-            self.error(
+            self.report_error(
                 "an anchor after records of its chain",
                 "one anchor, before them",
             );
@@ -220,7 +223,7 @@
         self.anchors.push((anchor, place));
     }
 
-    fn head(&mut self, head: &ChainHead) {
+    fn check_head(&mut self, head: &ChainHead) {
         let chain = self.chains.entry(head.writer.clone()).or_default();
         chain.has_head = true;
         let (last, digest) = (chain.last, chain.digest);
@@ -231,28 +234,28 @@
                 head.sequence,
                 head.writer
             );
-            self.error(message, "every record up to the head");
+            self.report_error(message, "every record up to the head");
         } else if head.sequence < last || head.digest != digest {
             let message = format!(
                 "replaced: the head of {} is not its last record, {last}",
                 head.writer
             );
-            self.error(message, "the head that keepers know");
+            self.report_error(message, "the head that keepers know");
         }
     }
 
-    fn end(&mut self, end: &ExportEnd) {
-        self.ended = true;
+    fn check_end(&mut self, end: &ExportEnd) {
+        self.has_ended = true;
         let before = u64::from(self.number).saturating_sub(1);
         if end.lines != before {
             let message = format!("{before} lines before the end, of {}", end.lines);
-            self.error(message, "all lines of the export");
+            self.report_error(message, "all lines of the export");
         }
     }
 
     fn finish(mut self) -> VerifyReport {
-        if !self.ended {
-            self.error("cut off: the export has no end", "a last line `end`");
+        if !self.has_ended {
+            self.report_error("cut off: the export has no end", "a last line `end`");
         }
         self.report_chains();
         self.report_anchors();
@@ -290,8 +293,9 @@
         }
     }
 
-    /// An anchor alone would let anyone remove the first records of a chain. Retention is itself
-    /// on record, in the chain of the keeper that dropped them.
+    /// Reports anchors without a `retention-applied` record. With an anchor alone, anyone could
+    /// remove the first records of a chain; a keeper that drops records writes such a record to its
+    /// own chain.
     fn report_anchors(&mut self) {
         for (anchor, place) in &self.anchors {
             if !self.retentions.contains(anchor) {
@@ -307,24 +311,24 @@
 
     fn report_noted(&mut self) {
         for noted in self.noted.values().flatten() {
-            if noted.met
+            if noted.is_found
                 || self
                     .retentions
                     .iter()
-                    .any(|anchor| noted.dropped_by(anchor))
+                    .any(|anchor| noted.is_dropped_by(anchor))
             {
                 continue;
             }
             let message = format!("the noted head {} is not in the export", noted.head);
-            let expected = "every record that stood when the head was noted";
+            let expected = "every record that existed when the head was noted";
             let place = whole_file(&self.file);
             self.findings.error(place, message, expected);
         }
     }
 
-    fn meet_noted(&mut self, head: &ChainHead) {
+    fn match_noted(&mut self, head: &ChainHead) {
         for noted in self.noted.get_mut(&head.writer).into_iter().flatten() {
-            noted.met |= noted.head == *head;
+            noted.is_found |= noted.head == *head;
         }
     }
 
@@ -336,7 +340,7 @@
         }
     }
 
-    fn error<M, E>(&mut self, message: M, expected: E)
+    fn report_error<M, E>(&mut self, message: M, expected: E)
     where
         M: Into<String>,
         E: Into<String>,
@@ -347,16 +351,16 @@
 }
 
 impl ChainState {
-    /// Takes a record that comes after a later one, and says what is wrong with it.
-    fn late(&mut self, sealed: &SealedRecord) -> String {
+    /// Handles a record that follows a later one; returns the message of the finding.
+    fn handle_late(&mut self, sealed: &SealedRecord) -> String {
         let record = &sealed.record;
         let (sequence, writer) = (record.sequence, &record.writer);
-        let inside = |gap: &OpenGap| gap.first <= sequence && sequence <= gap.last;
-        let Some(index) = self.gaps.iter().position(inside) else {
-            return format!("repeated: record {sequence} of {writer} stands twice");
+        let is_inside = |gap: &OpenGap| gap.first <= sequence && sequence <= gap.last;
+        let Some(index) = self.gaps.iter().position(is_inside) else {
+            return format!("repeated: record {sequence} of {writer} occurs twice");
         };
         let gap = self.gaps.swap_remove(index);
-        let replaced = sequence == gap.last && sealed.digest != gap.expected;
+        let is_replaced = sequence == gap.last && sealed.digest != gap.expected;
         self.records += 1;
         if gap.first < sequence {
             self.gaps.push(OpenGap {
@@ -372,13 +376,13 @@
                 ..gap
             });
         }
-        if replaced {
+        if is_replaced {
             return format!(
-                "replaced: record {sequence} of {writer} does not fit the one after it"
+                "replaced: record {sequence} of {writer} does not match the record after it"
             );
         }
         format!(
-            "reordered: record {sequence} of {writer} stands after record {}",
+            "reordered: record {sequence} of {writer} comes after record {}",
             self.last
         )
     }
--- a/crates/coordination/tests/evidence_buffer.rs
+++ b/crates/coordination/tests/evidence_buffer.rs
@@ -1,4 +1,4 @@
-//! Contract of the writer's buffer and the keepers' head table, with fault cases.
+//! Contract of the writer's buffer, the keepers' head table and retention, with fault cases.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 fn buffer_of(max_records: usize, keepers: &[&str]) -> EvidenceBuffer {
-    let bounds = BufferSettings {
+    let settings = BufferSettings {
         max_records,
         max_batch_records: 4,
         batch_delay: Duration::from_millis(5),
@@ -33,7 +33,7 @@
     };
     EvidenceBuffer::new(
         writer("brest-1"),
-        bounds,
+        settings,
         keepers.iter().copied().map(keeper),
     )
 }
@@ -60,8 +60,10 @@
     Ok(accepted.records.len())
 }
 
+// Guards against records that count as durable before two keepers stored them, and against batches
+// that are sent again after their records are durable.
 #[test]
-fn records_are_durable_once_two_keepers_stored_them() {
+fn records_are_durable_after_two_keepers_stored_them() {
     let mut buffer = buffer_of(64, &["k1", "k2", "k3"]);
     for request in ["a", "b", "c"] {
         buffer.begin(at(0), WALL, begun(request)).unwrap();
@@ -98,10 +100,10 @@
     ");
 }
 
+// Guards against lost records: an acknowledgement for an earlier incarnation of the process, for
+// records that were never written, or of a host that is not a keeper must not count as a copy.
 #[test]
-fn false_words_of_a_keeper_drop_nothing() {
-    // What the caller sees: nothing. A word for an earlier life of this process, one for records
-    // that were never written, and one of a host that is no keeper must not count as copies.
+fn invalid_acknowledgements_drop_no_records() {
     let mut buffer = buffer_of(64, &["k1", "k2"]);
     buffer.begin(at(0), WALL, begun("a")).unwrap();
     let own = writer("brest-1");
@@ -118,16 +120,16 @@
     assert_eq!(buffer.durable(), SequenceNumber(1));
 }
 
+// Guards against a buffer that exceeds its limit or loses the ends of running requests while
+// keepers store nothing. New requests are refused as not run, and the number of refusals is
+// recorded as soon as keepers answer again.
 #[test]
-fn a_full_buffer_refuses_new_work_and_still_takes_the_ends_of_old_work() {
-    // What the caller sees: while keepers store nothing, requests that run end as ever, new ones
-    // are refused as not run. The buffer never passes its bound, however many are refused; their
-    // number is on record as soon as keepers answer again.
+fn a_full_buffer_refuses_new_requests_and_accepts_ends_of_running_ones() {
     let mut buffer = buffer_of(8, &["k1", "k2"]);
     let mut log = Vec::new();
     for request in 0..6 {
-        let taken = buffer.begin(at(0), WALL, begun(&format!("r{request}")));
-        match taken {
+        let result = buffer.begin(at(0), WALL, begun(&format!("r{request}")));
+        match result {
             Ok(sequence) => log.push(format!("begun as {sequence}")),
             Err(error) => log.push(format!("refused: {error}")),
         }
@@ -166,12 +168,12 @@
     "#);
 }
 
+// Guards against duplicate records and forked chains on a keeper. Lost acknowledgements cause
+// repeated batches, complete or in part, and a batch arrives after a gap when the entry continued
+// with the other keepers. A record that conflicts with a stored one is refused, also at a gap, and
+// records dropped by retention are not stored again.
 #[test]
-fn keepers_store_a_batch_once_and_refuse_another_history() {
-    // What happens: acknowledgements are lost, so batches come again, in part or whole, and one
-    // comes early because an entry went on with the other keepers. The same record is stored
-    // once; a record that contradicts a stored one is refused, also across a gap. What retention
-    // dropped is not taken back.
+fn keepers_store_each_record_once_and_refuse_forks() {
     let records = busy_chain("brest-1", 5);
     let mut other = records[..3].to_vec();
     let fork: Vec<_> = (0..7).map(|number| begun(&format!("f{number}"))).collect();
@@ -227,8 +229,10 @@
     "#);
 }
 
+// Guards against a gap in a chain after retention: a clock that was set back makes a later span
+// look older than the spans before it.
 #[test]
-fn retention_drops_fronts_only_also_when_the_clock_went_backwards() {
+fn retention_drops_only_the_first_spans_of_a_chain_if_the_clock_was_set_back() {
     let records = busy_chain("brest-1", 4);
     let span = |index: usize, newest: u64| StoredSpan {
         anchor: anchor(&records[index]),
@@ -279,12 +283,12 @@
     })
 }
 
-// Operators wait: at each of many changes in quick succession every host has a record of the revision
-// that it put in force, and keepers get one command from each host for each of them. Nobody waits for
-// these records; those of one second share a batch, unless a request's record goes at once, with all
-// before it, or someone waits for what is recorded, or the host leaves.
+// Guards against changes that are slow because every host sends the keepers a command for each
+// revision that it puts in force. No caller waits for these records, so the records of one second
+// share a batch. They are sent earlier with a request's record, when a caller waits for them, or
+// when the host shuts down.
 #[test]
-fn records_that_nobody_waits_for_share_a_batch() {
+fn records_without_a_waiting_caller_share_a_batch() {
     let mut buffer = buffer_of(100, &["k1"]);
     let mut seen = Vec::new();
     for now in (0..4_000).step_by(10) {
--- a/crates/coordination/tests/evidence_report.rs
+++ b/crates/coordination/tests/evidence_report.rs
@@ -1,4 +1,4 @@
-//! The report page: what it counts, and that nothing of an export can act in it.
+//! Report page: its counts, its plots, and the escaping of untrusted text.
 #![cfg(feature = "report")]
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
@@ -12,8 +12,9 @@
 
 use evidence_support::{begun, chain, export, finished, refused};
 
-/// A chain with `requests` requests, their times rising, some refused and one without an end.
-fn load(host: &str, requests: u64) -> Vec<SealedRecord> {
+/// Returns a chain of `requests` requests with increasing latencies, some of them refused and one
+/// without an end.
+fn loaded_chain(host: &str, requests: u64) -> Vec<SealedRecord> {
     let mut events = Vec::new();
     for number in 0..requests {
         let request = format!("{host}-{number}");
@@ -43,18 +44,18 @@
         events.push(event);
     }
     events.pop();
-    let spread = chain(host, events);
-    respaced(spread, 250)
+    let records = chain(host, events);
+    with_interval(records, 250)
 }
 
-/// The same events, `pause` milliseconds apart.
-fn respaced(records: Vec<SealedRecord>, pause: u64) -> Vec<SealedRecord> {
+/// Seals the same events again, `interval` milliseconds apart.
+fn with_interval(records: Vec<SealedRecord>, interval: u64) -> Vec<SealedRecord> {
     let mut head = records[0].head();
     head.sequence = 0.into();
     head.digest = pollendrift_coordination::evidence::EvidenceDigest::ZERO;
     let mut time = records[0].record.time;
     let sealed = records.into_iter().map(|sealed| {
-        time = WallTime(time.0 + pause);
+        time = WallTime(time.0 + interval);
         let next = SealedRecord::seal(&head, time, sealed.record.event).unwrap();
         head = next.head();
         next
@@ -62,15 +63,17 @@
     sealed.collect()
 }
 
+// Guards against a page that loads or runs anything from outside, omits requests or cuts off its
+// plots.
 #[test]
-fn the_page_is_one_file_that_counts_every_request() {
-    let lines = export(&[load("brest-1", 201), load("brest-2", 201)]);
+fn the_page_is_self_contained_and_counts_every_request() {
+    let lines = export(&[loaded_chain("brest-1", 201), loaded_chain("brest-2", 201)]);
     let page = report_page("export.jsonl", lines.iter().map(String::as_str)).unwrap();
     assert_eq!(page.matches("<svg").count(), 5);
     let names_only = page.replace("http://www.w3.org/2000/svg", "");
     assert!(!names_only.contains("http"));
     assert!(!page.contains("<script"));
-    // The longest request took 1.3 s: the axis must reach it.
+    // The longest request took 1.3 s, so the axis must include 1.2 s.
     let ends = page.split("<h2>Time to the end").nth(1).unwrap();
     assert!(ends.contains("\n1.2\n"));
     let start = page.find("<h2>Outcomes").unwrap();
@@ -78,9 +81,10 @@
     insta::assert_snapshot!(&page[start..end], @r#"<h2>Outcomes</h2><table><tr><th>Outcome</th><th>Requests</th></tr><tr><td>complete</td><td class="n">342</td></tr><tr><td>not-run</td><td class="n">58</td></tr><tr><td>begun, no end on record</td><td class="n">2</td></tr></table><p>0 configuration changes accepted, 0 refused; 0 refusals counted without a record of their own.</p>"#);
 }
 
+// Guards against a report that hides findings, or that shows a file without records.
 #[test]
-fn a_tampered_export_is_shown_with_its_findings_and_an_empty_one_is_an_error() {
-    let mut lines = export(&[load("brest-1", 20)]);
+fn findings_are_listed_and_an_empty_export_is_an_error() {
+    let mut lines = export(&[loaded_chain("brest-1", 20)]);
     lines[4] = lines[4].replacen("complete", "not-run", 1);
     let page = report_page("export.jsonl", lines.iter().map(String::as_str)).unwrap();
     assert!(
@@ -89,9 +93,11 @@
     assert_eq!(report_page("none", ["{}"]), Err(ReportError::Empty));
 }
 
+// Guards against a page whose size grows with the period of the export, up to the largest possible
+// time.
 #[test]
-fn a_long_period_is_joined_into_a_bounded_number_of_points() {
-    let head = load("brest-1", 2)[0].head();
+fn a_long_period_is_merged_into_a_bounded_number_of_points() {
+    let head = loaded_chain("brest-1", 2)[0].head();
     let mut records = Vec::new();
     for step in 0..2_000_u64 {
         let time = WallTime(step * step * 1_000_000);
@@ -107,15 +113,15 @@
     assert!(page.len() < 200_000);
 }
 
+// Guards against a straight line across two minutes without requests, which would show requests
+// that did not exist.
 #[test]
-fn a_pause_is_drawn_as_no_requests() {
-    // What a reader would see: nothing was asked for two minutes. A line straight across the pause
-    // would show requests that never were.
+fn a_period_without_requests_is_drawn_as_zero() {
     let events = vec![
         finished("r1", OutcomeKind::Complete),
         finished("r2", OutcomeKind::Complete),
     ];
-    let lines = export(&[respaced(chain("brest-1", events), 120_000)]);
+    let lines = export(&[with_interval(chain("brest-1", events), 120_000)]);
     let page = report_page("export.jsonl", lines.iter().map(String::as_str)).unwrap();
     let section = page
         .split("<h2>")
@@ -128,7 +134,7 @@
     assert!(drawn[0] < drawn[1] && drawn[1] == drawn[2] && drawn[3] == drawn[0]);
 }
 
-/// Heights of the points that `text` begins with.
+/// Parses the heights of the points at the start of `text`.
 fn heights(text: &str) -> Vec<f64> {
     let points = text.split('"').next().unwrap_or_default();
     points
--- a/crates/coordination/tests/evidence_story.rs
+++ b/crates/coordination/tests/evidence_story.rs
@@ -1,4 +1,4 @@
-//! What an operator reads of one request, and which records a filter finds.
+//! Timeline of a request as operators read it, and filters of records.
 
 use pollendrift_coordination::base::{LayerRange, WallTime};
 use pollendrift_coordination::evidence::{
@@ -17,7 +17,7 @@
     }
 }
 
-/// The end of a request whose first attempt lost a stage.
+/// Returns the end of a request whose first attempt lost a stage.
 fn finished_on_second_attempt(request: &str) -> EvidenceEvent {
     let mut event = finished(request, OutcomeKind::Complete);
     let attempt = |number: u32, from: u32, tokens, second: &str, ending: &str| AttemptTrace {
@@ -50,13 +50,15 @@
     sealed.map(|sealed| sealed.record).collect()
 }
 
+// Guards against a timeline that omits the decision, an attempt or the end, or that states an
+// outcome without a record of it.
 #[test]
-fn the_story_of_a_request_tells_what_decided_every_attempt_and_the_end() {
-    let stories = ["r1", "r2", "r3", "r4"].map(|request| {
+fn a_timeline_shows_the_decision_every_attempt_and_the_end() {
+    let timelines = ["r1", "r2", "r3", "r4"].map(|request| {
         let lines = request_timeline(&request.into(), &records());
         lines.join("\n")
     });
-    insta::assert_snapshot!(stories.join("\n\n"), @"
+    insta::assert_snapshot!(timelines.join("\n\n"), @"
     2025-12-02T00:00:00.000Z brest-1/7 #1: begun for customer ponant: POST /v1/completions, 14 bytes, sha256 54c41e127afc16d7eeb639e1e198f39f818ac0dc649c8ac0a46c82fff402d48b
       decided by revision 4
       selector drafts serves it
@@ -77,12 +79,13 @@
       decided by revision 4
       no selector serves it
 
-    no record speaks of request r4
+    no record mentions request r4
     ");
 }
 
+// Guards against a filter condition that is ignored, alone or in combination.
 #[test]
-fn filters_find_by_each_condition_and_by_all_together() {
+fn filters_match_each_condition_and_combinations() {
     let filter = EvidenceFilter::default;
     let table = [
         ("all", filter()),
--- a/crates/coordination/tests/evidence_support/mod.rs
+++ b/crates/coordination/tests/evidence_support/mod.rs
@@ -1,4 +1,4 @@
-//! Builders of evidence for tests.
+//! Builders of evidence records, chains and exports for tests.
 #![allow(dead_code, reason = "each test file uses some of the builders")]
 #![allow(clippy::unwrap_used, reason = "a builder that fails is a failed test")]
 
@@ -62,7 +62,7 @@
     })
 }
 
-/// Records of a chain, sealed in order, one millisecond apart.
+/// Seals `events` as a chain, one millisecond apart.
 pub(crate) fn chain(host: &str, events: Vec<EvidenceEvent>) -> Vec<SealedRecord> {
     let mut head = ChainHead {
         writer: writer(host),
@@ -78,7 +78,7 @@
     records
 }
 
-/// Chain of one host with `requests` requests, each begun and finished.
+/// Returns a chain of `requests` requests, each with its start and its end.
 pub(crate) fn busy_chain(host: &str, requests: usize) -> Vec<SealedRecord> {
     let events = (0..requests).flat_map(|number| {
         let name = format!("{host}-r{number}");
@@ -87,7 +87,7 @@
     chain(host, events.collect())
 }
 
-/// The record by which `keeper` says that it dropped a chain through `dropped`.
+/// Returns the event in which `keeper` records that it dropped a chain up to `dropped`.
 pub(crate) fn retention(keeper: &str, dropped: &SealedRecord) -> EvidenceEvent {
     EvidenceEvent::RetentionApplied(RetentionApplied {
         keeper: keeper.into(),
@@ -106,12 +106,12 @@
     }
 }
 
-/// Export of whole chains.
+/// Exports complete chains.
 pub(crate) fn export(chains: &[Vec<SealedRecord>]) -> Vec<String> {
     export_after(None, chains)
 }
 
-/// Export of chains, the first of which starts after `anchor`.
+/// Exports chains; the first of them starts after `anchor`.
 pub(crate) fn export_after(
     anchor: Option<ChainAnchor>,
     chains: &[Vec<SealedRecord>],
--- a/crates/coordination/tests/evidence_verify.rs
+++ b/crates/coordination/tests/evidence_verify.rs
@@ -1,4 +1,4 @@
-//! Verification of exports: every tampering of the table is named with its place.
+//! Offline verification of exports: tampering, noted heads, retention and malformed input.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use pollendrift_coordination::evidence::{
@@ -26,7 +26,7 @@
     records.last().unwrap().head()
 }
 
-/// The sample with an end that fits its lines again, as a careful forger would leave it.
+/// Replaces the end with one that has the new number of lines, as a careful forger would.
 fn with_new_end(mut lines: Vec<String>) -> Vec<String> {
     lines.pop();
     let end = format!(
@@ -37,8 +37,9 @@
     lines
 }
 
+// Guards against findings in an unmodified export with a noted head.
 #[test]
-fn a_whole_export_has_no_findings() {
+fn a_complete_export_has_no_findings() {
     let report = verify_lines(&sample(), &[head_of(&busy_chain("brest-1", 2))]);
     assert_eq!(report.findings.to_string(), "");
     let chains: Vec<_> = report
@@ -49,10 +50,10 @@
     assert_eq!(chains, ["brest-1/7: 6 records", "brest-2/7: 6 records"]);
 }
 
+// Guards against tampering that verification misses or reports at the wrong line. Each case
+// modifies the complete export and, where a forger could, adapts the end line.
 #[test]
-fn every_tampering_is_named_with_its_place() {
-    // What the inspector sees: one line for each thing that was done to the export. Each case
-    // starts from the whole export, and the end line is made to fit again where a forger could.
+fn every_modification_is_reported_with_its_line() {
     let edit = |from: &str, to: &str| {
         let mut lines = sample();
         lines[3] = lines[3].replacen(from, to, 1);
@@ -123,15 +124,15 @@
     export.jsonl:4:1: error: damaged: not readable: duplicate field `sequence` at line 1 column 78 (accepted: the line as it was exported)
     export.jsonl:5:1: error: gap: records 4..=4 of brest-1/7 are missing before this line (accepted: every record, or an anchor where retention dropped the first ones)
     key added:
-    export.jsonl:4:1: error: edited: not the text that a writer gives (accepted: the line as it was exported)
+    export.jsonl:4:1: error: edited: the line is not in canonical form (accepted: the line as it was exported)
     space added:
-    export.jsonl:4:1: error: edited: not the text that a writer gives (accepted: the line as it was exported)
+    export.jsonl:4:1: error: edited: the line is not in canonical form (accepted: the line as it was exported)
     record removed:
     export.jsonl:3:1: error: gap: records 3..=3 of brest-1/7 are missing before this line (accepted: every record, or an anchor where retention dropped the first ones)
     records swapped:
-    export.jsonl:4:1: error: reordered: record 3 of brest-1/7 stands after record 4 (accepted: record 5 of brest-1/7)
+    export.jsonl:4:1: error: reordered: record 3 of brest-1/7 comes after record 4 (accepted: record 5 of brest-1/7)
     record repeated:
-    export.jsonl:6:1: error: repeated: record 5 of brest-1/7 stands twice (accepted: record 6 of brest-1/7)
+    export.jsonl:6:1: error: repeated: record 5 of brest-1/7 occurs twice (accepted: record 6 of brest-1/7)
     tail removed:
     export.jsonl:11:1: error: removed tail: records 5..=6 of brest-1/7 are missing (accepted: every record up to the head)
     tail and head removed:
@@ -156,11 +157,11 @@
     ");
 }
 
+// Guards against an undetected rewrite of a chain. The forger changes an old outcome and seals all
+// later records and the head again, or removes the newest records and adapts the head. Such an
+// export is consistent; only a head that was noted earlier outside the system reveals the change.
 #[test]
-fn a_chain_rewritten_with_new_digests_is_caught_by_a_noted_head() {
-    // What the inspector sees: an export without one fault in itself. The forger changed an old
-    // outcome and sealed every later record and the head anew, or removed the newest records with
-    // a head to match. Only a head noted earlier, outside the system, can tell.
+fn a_noted_head_reveals_a_chain_rewritten_with_new_digests() {
     let honest = busy_chain("brest-1", 3);
     let mut events: Vec<_> = honest
         .iter()
@@ -177,16 +178,18 @@
         format!("alone: {alone}, with the head: {with_head}")
     });
     insta::assert_snapshot!(lines.join("\n"), @"
-    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that stood when the head was noted)
+    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was noted)
 
-    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that stood when the head was noted)
+    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was noted)
 
     alone: false, with the head:
     ");
 }
 
+// Guards against findings for records that retention dropped, with noted heads before, at and after
+// the anchor.
 #[test]
-fn retention_leaves_a_chain_that_verifies() {
+fn an_export_after_retention_has_no_findings() {
     let records = busy_chain("brest-1", 3);
     let dropped = records[3].clone();
     let keeper = chain("brest-2", vec![retention("brest-2", &dropped)]);
@@ -196,8 +199,10 @@
     assert_eq!(verify_lines(&lines, &noted).findings.to_string(), "");
 }
 
+// Guards against a head whose text an inspector notes and the parser then rejects, and against
+// malformed heads that it accepts.
 #[test]
-fn a_noted_head_reads_back_and_a_malformed_one_is_refused() {
+fn a_head_parses_from_its_text_and_a_malformed_one_is_rejected() {
     let head = head_of(&busy_chain("brest-1", 1));
     assert_eq!(head.to_string().parse(), Ok(head.clone()));
     for text in ["", "brest-1/7/2", "brest-1/7/two/00", "/7/2/zz"] {
@@ -208,24 +213,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever single byte of an export changes, verification finds it.
+    /// Guards against a change of any single byte of an export that verification misses.
     #[test]
-    fn no_single_byte_changes_unseen(position in any::<prop::sample::Index>(), byte in b' '..=b'~') {
+    fn every_changed_byte_is_detected(position in any::<prop::sample::Index>(), byte in b' '..=b'~') {
         let text = sample().join("\n");
         let index = position.index(text.len());
         let mut bytes = text.clone().into_bytes();
         bytes[index] = byte;
         let changed = String::from_utf8_lossy(&bytes).into_owned();
         let lines: Vec<_> = changed.split('\n').map(str::to_owned).collect();
-        // The end's own time is the one part that no digest covers; nothing rests on it.
+        // Digests cover everything but the time of the end line, which nothing depends on.
         let end_time = text.rfind("\"time\":").unwrap();
         let covered = index < end_time && changed != text;
         prop_assert!(!covered || verify_lines(&lines, &[]).findings.has_errors());
     }
 
-    /// Nothing that a stranger sends as a batch is stored unless its chain is whole.
+    /// Guards against untrusted input that a keeper stores as a batch without a valid chain.
     #[test]
-    fn any_batch_is_refused(lines in prop::collection::vec("[{}\\[\\]\",:a-z0-9]{0,64}", 0..4), bytes in any::<Vec<u8>>()) {
+    fn arbitrary_batches_are_refused(lines in prop::collection::vec("[{}\\[\\]\",:a-z0-9]{0,64}", 0..4), bytes in any::<Vec<u8>>()) {
         let batch = EvidenceBatch {
             writer: evidence_support::writer("brest-1"),
             first: 1.into(),
@@ -236,9 +241,9 @@
         prop_assert!(decoded.is_err());
     }
 
-    /// Nothing that a stranger writes stops the decoder.
+    /// Guards against untrusted text that makes verification panic or passes without a finding.
     #[test]
-    fn any_text_is_read_or_refused(text in any::<String>(), tail in "[{}\\[\\]\",:a-z0-9]{0,64}") {
+    fn arbitrary_text_has_findings(text in any::<String>(), tail in "[{}\\[\\]\",:a-z0-9]{0,64}") {
         let lines = [text, format!("{{\"record\":{tail}"), format!("{{\"head\":{tail}")];
         prop_assert!(verify_lines(&lines, &[]).findings.has_errors());
     }
--- a/crates/pollenctl/tests/commands/views.rs
+++ b/crates/pollenctl/tests/commands/views.rs
@@ -241,7 +241,7 @@
 
     == evidence show r/1: exit 0
     asked: GET /operator/v1/evidence/requests/r%2F1 
-    no record speaks of request r/1
+    no record mentions request r/1
 
     == get --revision 99: exit 1
     asked: GET /operator/v1/configuration?revision=99 
