--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -1,8 +1,8 @@
-//! Labels and selectors: what operators write, what it means, and how it changes.
+//! The configuration of operators: labels, selectors and a published source, and their changes.
 //!
-//! A text is checked whole ([`ParsedConfiguration::parse`]), laid out for matching
-//! ([`Configuration::build`]) and asked about requests ([`Configuration::select`]) and backend
-//! servers ([`Configuration::allows`]).
+//! [`ParsedConfiguration::parse`] checks a complete text, [`Configuration::build`] indexes it for
+//! matching, [`Configuration::select`] finds the selector of a request, and
+//! [`Configuration::allows`] checks a backend server against a selector.
 
 mod canonical;
 mod change;
--- a/crates/coordination/src/configuration/canonical.rs
+++ b/crates/coordination/src/configuration/canonical.rs
@@ -14,12 +14,12 @@
 use super::model::{DocumentKey, LabelRule, PublishedSource, Selector, SelectorTarget};
 use crate::routes::SourceVersion;
 
-/// What stands between two documents of a text.
-const DOCUMENT_JOINT: &str = "---\n";
+/// Separates two documents in a YAML stream.
+const DOCUMENT_SEPARATOR: &str = "---\n";
 
-/// SHA-256 over a canonical text.
+/// SHA-256 of a canonical text.
 ///
-/// In JSON it is written in hexadecimal, in binary encodings as bytes.
+/// Human-readable formats such as JSON encode it in hexadecimal, binary formats as bytes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{}", hex(_0))]
 pub struct ContentDigest(pub [u8; 32]);
@@ -57,7 +57,7 @@
 }
 
 impl ContentDigest {
-    /// Digest of `content`.
+    /// Hashes `content`.
     pub fn of(content: &[u8]) -> Self {
         Self(Sha256::digest(content).into())
     }
@@ -70,7 +70,7 @@
     })
 }
 
-/// Documents of a configuration in canonical form, by key.
+/// Canonical texts of the documents of a configuration, by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CanonicalText {
@@ -78,7 +78,7 @@
 }
 
 impl CanonicalText {
-    /// Canonical form of checked documents.
+    /// Collects the canonical texts of checked documents.
     pub(super) fn of(documents: &[Arc<CheckedDocument>]) -> Self {
         let texts = documents
             .iter()
@@ -88,30 +88,30 @@
         }
     }
 
-    /// The documents in canonical order.
+    /// Canonical text of each document, in canonical order.
     pub fn documents(&self) -> &BTreeMap<DocumentKey, Arc<str>> {
         &self.documents
     }
 
-    /// The whole text, a YAML stream that parses to the same configuration.
+    /// The complete text, a YAML stream that parses to the same configuration.
     pub fn text(&self) -> String {
         let texts: Vec<&str> = self.documents.values().map(AsRef::as_ref).collect();
-        texts.join(DOCUMENT_JOINT)
+        texts.join(DOCUMENT_SEPARATOR)
     }
 
-    /// Digest of the whole text.
+    /// Digest of the complete text.
     pub fn digest(&self) -> ContentDigest {
         let mut hasher = Sha256::new();
-        let mut joint = "";
+        let mut separator = "";
         for text in self.documents.values() {
-            hasher.update(joint.as_bytes());
+            hasher.update(separator.as_bytes());
             hasher.update(text.as_bytes());
-            joint = DOCUMENT_JOINT;
+            separator = DOCUMENT_SEPARATOR;
         }
         ContentDigest(hasher.finalize().into())
     }
 
-    /// This text with `source` in place of its own.
+    /// A copy of this text in which `source` replaces the published source.
     pub fn with_source(&self, source: &PublishedSource) -> Self {
         let mut changed = self.clone();
         let text = Arc::from(write_source(source));
@@ -119,18 +119,18 @@
         changed
     }
 
-    /// The documents of `keys` alone.
-    pub(super) fn only(&self, keys: &BTreeSet<&DocumentKey>) -> Self {
-        let chosen = keys.iter().filter_map(|key| {
+    /// A copy that contains only the documents of `keys`.
+    pub(super) fn subset(&self, keys: &BTreeSet<&DocumentKey>) -> Self {
+        let subset = keys.iter().filter_map(|key| {
             let text = self.documents.get(*key)?;
             Some(((*key).clone(), text.clone()))
         });
         Self {
-            documents: chosen.collect(),
+            documents: subset.collect(),
         }
     }
 
-    /// Sets a document, or removes it where `text` is `None`; gives what stood there.
+    /// Sets a document, or removes it if `text` is `None`; returns its previous text.
     pub(super) fn replace(
         &mut self,
         key: &DocumentKey,
@@ -195,7 +195,7 @@
     text
 }
 
-/// A source as a document of a configuration.
+/// Canonical document text of a published source.
 pub fn write_source(source: &PublishedSource) -> String {
     let version = source.version;
     format!(
@@ -204,10 +204,10 @@
     )
 }
 
-/// Reads what [`write_source`] wrote, to the letter; `None` for any other text.
+/// Parses the exact output of [`write_source`]; `None` for any other text.
 ///
-/// A source of 1,400 routes is half a megabyte in one scalar, which every host reads at each change; as
-/// one JSON string it needs no YAML reader, which looks at each character several times.
+/// A source of 1,400 routes is a scalar of half a megabyte, which every host reads at each change.
+/// Read as one JSON string, it avoids the YAML reader, which scans each character several times.
 pub(super) fn parse_canonical_source(text: &str) -> Option<PublishedSource> {
     let rest = text.strip_prefix("kind: source\nversion: ")?;
     let (version, rest) = rest.split_once('\n')?;
@@ -226,8 +226,8 @@
     for requirement in expression.requirements() {
         let key = quoted(requirement.key.as_str());
         let test = match &requirement.test {
-            RequirementTest::In(values) => format!("In, values: [{}]", listed(values)),
-            RequirementTest::NotIn(values) => format!("NotIn, values: [{}]", listed(values)),
+            RequirementTest::In(values) => format!("In, values: [{}]", join_quoted(values)),
+            RequirementTest::NotIn(values) => format!("NotIn, values: [{}]", join_quoted(values)),
             RequirementTest::Exists => "Exists".to_owned(),
             RequirementTest::DoesNotExist => "DoesNotExist".to_owned(),
             RequirementTest::Gt(bound) => format!("Gt, values: [{bound}]"),
@@ -237,7 +237,7 @@
     }
 }
 
-fn listed<'a, V>(values: V) -> String
+fn join_quoted<'a, V>(values: V) -> String
 where
     V: IntoIterator<Item = &'a LabelValue>,
 {
--- a/crates/coordination/src/configuration/change.rs
+++ b/crates/coordination/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration, and what its operator is told.
+//! Requests to change the configuration, and the answers to them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,86 +9,86 @@
 use super::delta::{DifferenceSummary, DocumentChange};
 use crate::base::{ChangeId, FindingList, OperatorName, Revision, WallTime};
 
-/// Most findings that an answer holds; the others are counted.
+/// Maximum number of findings in an answer; further findings are only counted.
 pub const MAX_ANSWERED_FINDINGS: usize = 200;
 
-/// A change that an operator asks for.
+/// An operator's request to replace the complete configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRequest {
-    /// Identity; a resend carries the same.
+    /// Identity of the change; a resend carries the same id.
     pub change_id: ChangeId,
-    /// Revision that the operator saw; the change is accepted only if it is still in force.
+    /// Revision that the operator edited; the change is accepted only if it is still in force.
     pub based_on: Revision,
-    /// Who asks.
+    /// Operator who sent the request.
     pub operator: OperatorName,
-    /// The whole new configuration, a YAML stream.
+    /// The complete new configuration, a YAML stream.
     pub text: Arc<str>,
 }
 
-/// A change that carries only what differs from the configuration that it is based on.
+/// An operator's request that carries only the documents that differ from its base revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EditRequest {
-    /// Identity; a resend carries the same.
+    /// Identity of the change; a resend carries the same id.
     pub change_id: ChangeId,
-    /// Revision that the edit was made from; it is accepted only if that is still in force.
+    /// Revision that the edit starts from; the edit is accepted only if it is still in force.
     pub based_on: Revision,
-    /// Who asks.
+    /// Operator who sent the request.
     pub operator: OperatorName,
     /// Documents to set or remove. Invariant: their texts are canonical.
     pub changes: Vec<DocumentChange>,
-    /// Digest of the canonical text after it.
+    /// Digest of the canonical text after the edit.
     pub digest: ContentDigest,
 }
 
-/// What a change came to. A resend within the retention gets its first answer again.
+/// Outcome of a change. A resend within the retention period gets the first answer again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeAnswer {
-    /// It is in force from this revision on.
+    /// The change is in force from this revision on.
     Accepted {
-        /// Number of the new configuration.
+        /// Revision of the new configuration.
         revision: Revision,
-        /// What is accepted but likely not meant.
+        /// Findings on content that is accepted but probably unintended.
         warnings: FindingList,
     },
-    /// Another change went first; nothing was changed.
+    /// Another change was accepted first; nothing changed.
     Conflict(Box<ChangeConflict>),
-    /// The text is refused; nothing was changed.
+    /// The text is refused; nothing changed.
     Refused {
-        /// All that is wrong with it, at most [`MAX_ANSWERED_FINDINGS`].
+        /// Findings of the text, at most [`MAX_ANSWERED_FINDINGS`] and a count of the others.
         findings: FindingList,
     },
-    /// The change id stands for another change; nothing was changed.
+    /// The change id already belongs to another change; nothing changed.
     ChangeIdReused,
 }
 
-/// Why a change lost.
+/// Details of a change that is not based on the revision in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeConflict {
     /// Revision that the change was based on.
     pub based_on: Revision,
-    /// Revision in force when it was decided.
+    /// Revision in force at the time of the decision.
     pub current: Revision,
-    /// The change that followed `based_on`; `None` if it is no longer retained, or if `based_on`
-    /// has never been in force.
+    /// The accepted change that follows `based_on`; `None` if it is no longer retained or
+    /// `based_on` has never been in force.
     pub winner: Option<ChangeSummary>,
-    /// How the refused text differs from the one in force.
+    /// Differences between the text in force and the refused text.
     pub difference: DifferenceSummary,
 }
 
 /// An accepted change, without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeSummary {
-    /// Revision that it made.
+    /// Revision that the change created.
     pub revision: Revision,
-    /// Its identity.
+    /// Identity of the change.
     pub change_id: ChangeId,
-    /// Who asked for it.
+    /// Operator who requested it.
     pub operator: OperatorName,
-    /// Wall-clock time at its proposer; clocks may disagree, revisions do not.
+    /// Wall-clock time of its proposer. Clocks can disagree; the order of revisions is reliable.
     pub time: WallTime,
-    /// Digest of the canonical text that it put in force.
+    /// Digest of the resulting canonical text.
     pub digest: ContentDigest,
-    /// Documents that it changed.
+    /// Documents that the change added, removed or changed.
     pub difference: DifferenceSummary,
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// The first findings of a list, the rest as a count.
+/// The first [`MAX_ANSWERED_FINDINGS`] findings; one more finding counts the others.
 pub(super) fn bounded_findings(findings: &FindingList) -> FindingList {
     use crate::base::Severity;
     let mut bounded = FindingList::default();
--- a/crates/coordination/src/configuration/change_log.rs
+++ b/crates/coordination/src/configuration/change_log.rs
@@ -1,4 +1,4 @@
-//! Decides on changes, one after another, and remembers what was answered and what was in force.
+//! Decides on changes in sequence, and stores their answers and the history of revisions.
 
 mod deciding;
 
@@ -20,19 +20,19 @@
 
 const HOUR: u64 = 3_600;
 
-/// How long answers and history are kept. Whatever reaches one of its bounds first goes, oldest
-/// first.
+/// Limits on the stored answers and history. A list that exceeds any of its limits loses its oldest
+/// entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRetention {
-    /// Most answers kept for resends.
+    /// Maximum number of answers stored for resends.
     pub answers: usize,
-    /// Longest that an answer is kept.
+    /// Maximum age of a stored answer.
     pub answer_age: Duration,
-    /// Most changes of the history.
+    /// Maximum number of changes in the history.
     pub history: usize,
-    /// Longest that a change stays in the history.
+    /// Maximum age of a change in the history.
     pub history_age: Duration,
-    /// Most bytes of document texts in the history.
+    /// Maximum size of the document texts in the history, in bytes.
     pub history_bytes: usize,
 }
 
@@ -48,24 +48,24 @@
     }
 }
 
-/// What was in force at a time.
+/// The configuration in force at a given wall-clock time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForceAnswer {
-    /// The change that was in force.
+    /// The change that created the revision in force.
     pub change: ChangeSummary,
-    /// Its canonical text.
+    /// Canonical text of that revision.
     pub text: String,
-    /// Whether the proposers' clocks disagree around the time, so that a neighbouring revision may
+    /// Whether the proposers' clocks disagree around this time, so that an adjacent revision could
     /// have been in force instead.
     pub clocks_disagree: bool,
 }
 
-/// What was decided on a change.
+/// Decision on a change.
 #[derive(Debug)]
 pub struct ChangeDecision {
-    /// What its operator is told.
+    /// Answer to the operator.
     pub answer: ChangeAnswer,
-    /// The configuration that it put in force; `None` if it changed nothing.
+    /// The new configuration; `None` if the change is not accepted.
     pub configuration: Option<Arc<Configuration>>,
 }
 
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RecordedAnswer {
-    /// Digest of the request; tells a resend from another change under the same id.
+    /// Digest of the request; distinguishes a resend from another change with the same id.
     request: ContentDigest,
     answer: ChangeAnswer,
     at: ReplicatedTime,
@@ -96,32 +96,32 @@
 struct HistoryRecord {
     summary: ChangeSummary,
     at: ReplicatedTime,
-    /// Turns the text after the change into the one before it.
+    /// Changes that lead from this revision back to the previous one.
     undo: Vec<DocumentChange>,
 }
 
 /// The sequence of accepted changes.
 ///
-/// Invariants: `history` holds successive revisions, the last of which is `revision`;
-/// `answer_order` holds each key of `answers` once, oldest first.
+/// Invariants: `history` contains consecutive revisions that end with `revision`; `answer_order`
+/// contains each key of `answers` once, oldest first.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ChangeLog {
     retention: ChangeRetention,
     revision: Revision,
-    /// Text in force as its operator wrote it, with comments.
+    /// Text in force as its operator wrote it, including comments.
     text: Arc<str>,
     canonical: CanonicalText,
     answers: BTreeMap<ChangeId, RecordedAnswer>,
     answer_order: VecDeque<ChangeId>,
     history: VecDeque<HistoryRecord>,
     history_bytes: usize,
-    /// Documents of the last good text; speeds up the next check and decides nothing.
+    /// Documents of the last valid text. Speeds up the next check without affecting its result.
     #[serde(skip)]
     cache: DocumentCache,
 }
 
 impl ChangeLog {
-    /// An empty log at revision 0.
+    /// Starts at revision 0 with an empty configuration.
     pub fn new(retention: ChangeRetention) -> Self {
         Self {
             retention,
@@ -144,39 +144,40 @@
         &self.canonical
     }
 
-    /// Answer that a change id got, if it is retained.
+    /// Stored answer to a change; `None` if there is none or it is no longer retained.
     pub fn answer(&self, change_id: &ChangeId) -> Option<&ChangeAnswer> {
         self.answers.get(change_id).map(|recorded| &recorded.answer)
     }
 
-    /// Number of answers retained.
+    /// Number of stored answers.
     pub fn answer_count(&self) -> usize {
         self.answers.len()
     }
 
-    /// Accepted changes that are retained, newest first.
+    /// Retained accepted changes, newest first.
     pub fn history(&self) -> impl Iterator<Item = &ChangeSummary> {
         self.history.iter().rev().map(|record| &record.summary)
     }
 
-    /// The configuration in force, laid out for matching.
+    /// Builds the configuration in force, indexed for matching.
     ///
-    /// Reads the operator's own text, so that the next edit of it costs only what it changes. Falls
-    /// back on the canonical text where another version of this software accepted it.
+    /// Parses the operator's own text, which fills the cache, so that the next edit parses only the
+    /// documents that it changes. Falls back to the canonical text if this version of the software
+    /// refuses the operator's text or reads other content from it.
     ///
     /// # Errors
-    /// The canonical text does not parse; only a damaged snapshot can cause it.
+    /// Findings if the canonical text does not parse; only a damaged snapshot causes this.
     pub fn build(&mut self) -> Result<Arc<Configuration>, FindingList> {
         let file = "configuration";
-        let own = ParsedConfiguration::parse_after(file, &self.text, &mut self.cache);
-        let parsed = match own {
+        let from_text = ParsedConfiguration::parse_after(file, &self.text, &mut self.cache);
+        let parsed = match from_text {
             Ok(parsed) if *parsed.canonical() == self.canonical => parsed,
             _ => ParsedConfiguration::parse(file, &self.canonical.text())?,
         };
         Ok(Arc::new(Configuration::build(self.revision, &parsed)))
     }
 
-    /// Canonical text of a retained revision.
+    /// Canonical text of a revision; `None` if it is not retained.
     pub fn canonical_at(&self, revision: Revision) -> Option<CanonicalText> {
         if revision > self.revision {
             return None;
@@ -187,40 +188,40 @@
             if reached <= revision {
                 break;
             }
-            canonical.set(&record.undo);
+            canonical.apply_without_undo(&record.undo);
             reached = Revision(record.summary.revision.0.saturating_sub(1));
         }
         (reached == revision).then_some(canonical)
     }
 
-    /// What leads from a retained revision to the one in force.
+    /// Delta from a revision to the one in force; `None` if the revision is not retained.
     ///
-    /// Costs what the changes in between touched, not the whole text: hundreds of hosts ask for it
-    /// after each change.
+    /// The cost depends on the documents changed in between instead of the complete text, since
+    /// hundreds of hosts request a delta after each change.
     pub fn delta_since(&self, from: Revision) -> Option<ConfigurationDelta> {
         let mut reached = self.revision;
-        let mut undone = Vec::new();
+        let mut undos = Vec::new();
         for record in self.history.iter().rev() {
             if reached <= from {
                 break;
             }
-            undone.push(&record.undo);
+            undos.push(&record.undo);
             reached = Revision(record.summary.revision.0.saturating_sub(1));
         }
         if reached != from {
             return None;
         }
-        let touched: BTreeSet<&DocumentKey> = undone
+        let changed_keys: BTreeSet<&DocumentKey> = undos
             .iter()
             .flat_map(|undo| undo.iter())
             .map(|c| &c.key)
             .collect();
-        let now = self.canonical.only(&touched);
-        let mut earlier = now.clone();
-        for undo in undone {
-            earlier.set(undo);
+        let current = self.canonical.subset(&changed_keys);
+        let mut earlier = current.clone();
+        for undo in undos {
+            earlier.apply_without_undo(undo);
         }
-        let changes = earlier.changes_to(&now);
+        let changes = earlier.changes_to(&current);
         let last = self.history.back();
         Some(ConfigurationDelta {
             from,
@@ -230,7 +231,8 @@
         })
     }
 
-    /// What was in force at a wall-clock time; `None` if that is before the retained history.
+    /// The configuration in force at a wall-clock time; `None` for a time before the retained
+    /// history.
     pub fn in_force_at(&self, time: WallTime) -> Option<InForceAnswer> {
         let position = self
             .history
@@ -245,7 +247,7 @@
         })
     }
 
-    fn record(
+    fn record_answer(
         &mut self,
         change_id: ChangeId,
         request: ContentDigest,
@@ -283,16 +285,17 @@
         }
     }
 
-    /// Keeps the newest change whatever the bounds, so that the one in force is always known.
+    /// Drops the oldest changes beyond the limits. Always keeps the newest change, so that the
+    /// history includes the revision in force.
     fn trim_history(&mut self, now: ReplicatedTime) {
         while self.history.len() > 1 {
             let Some(oldest) = self.history.front() else {
                 return;
             };
             let expired = now.since(oldest.at) > self.retention.history_age;
-            let over = self.history.len() > self.retention.history
+            let exceeds_limit = self.history.len() > self.retention.history
                 || self.history_bytes > self.retention.history_bytes;
-            if !expired && !over {
+            if !expired && !exceeds_limit {
                 return;
             }
             self.history_bytes = self.history_bytes.saturating_sub(undo_bytes(&oldest.undo));
--- a/crates/coordination/src/configuration/change_log/deciding.rs
+++ b/crates/coordination/src/configuration/change_log/deciding.rs
@@ -1,4 +1,4 @@
-//! Decides on whole texts and on edits.
+//! Decides on complete texts and on edits.
 
 use std::sync::Arc;
 
@@ -19,12 +19,12 @@
     change_id: &'request ChangeId,
     operator: &'request OperatorName,
     changes: &'request [DocumentChange],
-    /// Digest of the canonical text after it.
+    /// Digest of the canonical text after the change.
     digest: ContentDigest,
 }
 
 impl ChangeLog {
-    /// Decides on a change and gives the answer alone.
+    /// Decides on a change and returns only the answer.
     pub fn decide(
         &mut self,
         request: &ChangeRequest,
@@ -34,11 +34,11 @@
         self.decide_and_build(request, wall, now).answer
     }
 
-    /// Decides on a change.
+    /// Decides on a change and builds the resulting configuration.
     ///
-    /// A change id that is known gets its first answer, whatever has happened since. Once an
-    /// answer is no longer retained, a resend still can't take effect twice: its `based_on` has
-    /// been passed, so it is a conflict.
+    /// A resend gets the stored first answer, regardless of later changes. After that answer has
+    /// expired, a resend still can't take effect twice: its `based_on` is no longer in force, so
+    /// it is a conflict.
     pub fn decide_and_build(
         &mut self,
         request: &ChangeRequest,
@@ -53,7 +53,7 @@
             Err(_) => ContentDigest::of(request.text.as_bytes()),
         };
         let digest = request_digest(request.based_on, content, &request.operator);
-        if let Some(answer) = self.known_answer(&request.change_id, digest) {
+        if let Some(answer) = self.stored_answer(&request.change_id, digest) {
             return ChangeDecision::of(answer);
         }
         let decision = match parsed {
@@ -72,12 +72,13 @@
                 self.accept(change, Arc::clone(&request.text), &parsed, wall, now)
             }
         };
-        self.conclude(&request.change_id, digest, decision, now)
+        self.record_decision(&request.change_id, digest, decision, now)
     }
 
-    /// Decides on an edit, as on the whole text that it leads to. It costs what it changes, and the
-    /// reading of that text: comparing two texts of thousands of routes stopped a keeper with a small
-    /// part of a core for seconds.
+    /// Decides on an edit, with the same result as on the complete text that it produces.
+    ///
+    /// It parses that text but does not compare it with the text in force: comparing two texts of
+    /// thousands of routes blocked a keeper with a small share of a core for seconds.
     pub fn decide_edit(
         &mut self,
         request: &EditRequest,
@@ -86,7 +87,7 @@
     ) -> ChangeDecision {
         self.expire(now);
         let digest = request_digest(request.based_on, request.digest, &request.operator);
-        if let Some(answer) = self.known_answer(&request.change_id, digest) {
+        if let Some(answer) = self.stored_answer(&request.change_id, digest) {
             return ChangeDecision::of(answer);
         }
         let decision = if request.based_on == self.revision {
@@ -95,22 +96,22 @@
             let difference = self.canonical.summary_of(&request.changes);
             ChangeDecision::of(self.conflict(request.based_on, difference))
         };
-        self.conclude(&request.change_id, digest, decision, now)
+        self.record_decision(&request.change_id, digest, decision, now)
     }
 
-    /// Keeps the answer for resends.
-    fn conclude(
+    /// Stores the answer for resends and returns the decision.
+    fn record_decision(
         &mut self,
         change_id: &ChangeId,
         request: ContentDigest,
         decision: ChangeDecision,
         now: ReplicatedTime,
     ) -> ChangeDecision {
-        self.record(change_id.clone(), request, decision.answer.clone(), now);
+        self.record_answer(change_id.clone(), request, decision.answer.clone(), now);
         decision
     }
 
-    fn known_answer(&self, change_id: &ChangeId, request: ContentDigest) -> Option<ChangeAnswer> {
+    fn stored_answer(&self, change_id: &ChangeId, request: ContentDigest) -> Option<ChangeAnswer> {
         let recorded = self.answers.get(change_id)?;
         if recorded.request == request {
             return Some(recorded.answer.clone());
@@ -125,15 +126,16 @@
         now: ReplicatedTime,
     ) -> ChangeDecision {
         let mut canonical = self.canonical.clone();
-        canonical.set(&request.changes);
+        canonical.apply_without_undo(&request.changes);
         let file = request.change_id.as_str();
         let text: Arc<str> = canonical.text().into();
         let parsed = match ParsedConfiguration::parse_after(file, &text, &mut self.cache) {
             Ok(parsed) => parsed,
             Err(findings) => return ChangeDecision::refused(&findings),
         };
-        let is_named = canonical.digest() == request.digest && *parsed.canonical() == canonical;
-        if !is_named {
+        let has_stated_content =
+            canonical.digest() == request.digest && *parsed.canonical() == canonical;
+        if !has_stated_content {
             let mut findings = FindingList::default();
             let message = "the edit leads to another content than it names";
             findings.error(
@@ -203,7 +205,7 @@
     }
 }
 
-/// Digest of all that makes a resend the same change: content, number and operator.
+/// Digest of the properties that identify a resend: content, base revision and operator.
 fn request_digest(
     based_on: Revision,
     content: ContentDigest,
--- a/crates/coordination/src/configuration/checked.rs
+++ b/crates/coordination/src/configuration/checked.rs
@@ -1,4 +1,4 @@
-//! One checked document, and those of the last text, so that an edit costs what it changes.
+//! Checked documents, and a cache of those of the last text, so that an edit is cheap to check.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 use super::canonical::{write_rule, write_selector, write_source};
 use super::model::{DocumentKey, LabelRule, PublishedSource, Selector};
 
-/// What a document says.
+/// Parsed content of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DocumentContent {
-    /// Labels on something.
+    /// A label rule.
     Rule(Arc<LabelRule>),
     /// A selector.
     Selector(Arc<Selector>),
@@ -20,11 +20,11 @@
 /// A document without findings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckedDocument {
-    /// What makes it the same document in another text.
+    /// Identifies the document across texts.
     pub key: DocumentKey,
-    /// Its canonical text.
+    /// Canonical text of the document.
     pub canonical: Arc<str>,
-    /// What it says.
+    /// Parsed content.
     pub content: DocumentContent,
 }
 
@@ -50,7 +50,7 @@
         Self::canonical_source(source, canonical)
     }
 
-    /// A source that was read from its canonical text.
+    /// A source whose canonical text is already known.
     pub(super) fn canonical_source(source: PublishedSource, canonical: Arc<str>) -> Self {
         Self {
             key: DocumentKey::Source,
@@ -62,15 +62,15 @@
 
 /// Checked documents by their exact text.
 ///
-/// A document's meaning depends on its own text alone, so a text that was checked before need not
-/// be read again. Reading YAML is most of the cost of a change; at 1,600 customers an edit touches
-/// one document of thousands.
+/// The content of a document depends only on its own text, so a document that was checked before is
+/// not parsed again. Parsing YAML is most of the cost of a change; with 1,600 customers, an edit
+/// changes one document of thousands.
 #[derive(Clone, Debug, Default)]
 pub struct DocumentCache {
     documents: HashMap<Arc<str>, CachedDocument>,
 }
 
-/// A checked document and where it begins in its own text.
+/// A checked document and its start position, relative to its own text.
 #[derive(Clone, Debug)]
 pub(super) struct CachedDocument {
     pub(super) document: Arc<CheckedDocument>,
@@ -87,12 +87,12 @@
         self.documents.insert(text, document);
     }
 
-    /// Number of documents.
+    /// Number of cached documents.
     pub fn len(&self) -> usize {
         self.documents.len()
     }
 
-    /// Whether it holds none.
+    /// Whether no document is cached.
     pub fn is_empty(&self) -> bool {
         self.documents.is_empty()
     }
--- a/crates/coordination/src/configuration/chunk.rs
+++ b/crates/coordination/src/configuration/chunk.rs
@@ -1,15 +1,15 @@
-//! Splits a YAML stream into its documents without reading them.
+//! Splits a YAML stream into its documents without parsing them.
 
 /// The text of one document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TextChunk<'a> {
-    /// Line of the stream that the chunk begins on, from 1.
+    /// Line of the stream on which the chunk starts, counted from 1.
     pub(super) first_line: u32,
     pub(super) text: &'a str,
 }
 
-/// Splits at lines that begin with `---`, which YAML allows nowhere inside a document, not even in
-/// a quoted or block scalar.
+/// Splits at lines that start with a `---` marker. YAML allows such a line nowhere inside a
+/// document, not even in a quoted or block scalar.
 pub(super) fn split_documents(text: &str) -> Vec<TextChunk<'_>> {
     let mut chunks = Vec::new();
     let mut start = 0;
@@ -36,7 +36,7 @@
     }
 }
 
-/// What follows the marker of a line that begins a document.
+/// Text after the `---` marker of a line; `None` if the line starts no document.
 fn after_marker(line: &str) -> Option<&str> {
     let rest = line.strip_prefix("---")?;
     (rest.is_empty() || rest.starts_with([' ', '\t', '\r', '\n'])).then_some(rest)
@@ -46,8 +46,9 @@
 mod tests {
     use super::split_documents;
 
+    /// Guards against findings on wrong lines: each chunk states its first line in the stream.
     #[test]
-    fn documents_keep_their_lines() {
+    fn chunks_state_their_first_line() {
         let cases: [(&str, &[(u32, &str)]); 6] = [
             ("", &[]),
             ("---\n---\n", &[]),
--- a/crates/coordination/src/configuration/constraint.rs
+++ b/crates/coordination/src/configuration/constraint.rs
@@ -1,4 +1,4 @@
-//! What an expression allows, key by key: finds contradictions and implications for warnings.
+//! Merges the requirements of an expression by key, to find contradictions and implications.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -51,7 +51,7 @@
         above && below && !self.denied.contains(value)
     }
 
-    /// The values that are left where they are a finite list.
+    /// Admitted values; `None` unless an `In` requirement limits them to a finite list.
     fn values(&self) -> Option<Vec<&LabelValue>> {
         let allowed = self.allowed.as_ref()?;
         Some(allowed.iter().filter(|value| self.admits(value)).collect())
@@ -69,7 +69,7 @@
         self.values().is_some_and(|values| values.is_empty())
     }
 
-    /// Whether every label that this constraint admits meets `test`.
+    /// Whether every label that meets this constraint also meets `test`.
     fn implies(&self, test: &RequirementTest) -> bool {
         if self.must_be_absent {
             return matches!(
@@ -84,9 +84,9 @@
         match test {
             RequirementTest::Exists => self.must_exist,
             RequirementTest::DoesNotExist => false,
-            RequirementTest::In(wanted) => all_values(&|value| wanted.contains(value)),
-            RequirementTest::NotIn(unwanted) => {
-                unwanted.is_subset(&self.denied) || all_values(&|value| !unwanted.contains(value))
+            RequirementTest::In(listed) => all_values(&|value| listed.contains(value)),
+            RequirementTest::NotIn(excluded) => {
+                excluded.is_subset(&self.denied) || all_values(&|value| !excluded.contains(value))
             }
             RequirementTest::Gt(bound) => {
                 self.above.is_some_and(|above| above >= *bound)
@@ -100,7 +100,7 @@
     }
 }
 
-/// An expression merged by key.
+/// Requirements of an expression, merged by key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct MergedConstraint {
     keys: BTreeMap<LabelKey, KeyConstraint>,
@@ -116,7 +116,7 @@
         merged
     }
 
-    /// A key whose requirements no label can meet together.
+    /// The first key whose requirements contradict each other.
     pub(super) fn contradiction(&self) -> Option<&LabelKey> {
         self.keys
             .iter()
@@ -124,7 +124,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Whether all labels that this constraint admits also match `other`.
+    /// Whether all label sets that meet this constraint also match `other`.
     pub(super) fn implies(&self, other: &LabelExpression) -> bool {
         other.requirements().all(|requirement| {
             self.keys
@@ -133,7 +133,7 @@
         })
     }
 
-    /// The finite list of values that `key` may have, if the expression gives one.
+    /// Admitted values of `key`; `None` unless the expression limits them to a finite list.
     pub(super) fn values(&self, key: &str) -> Option<Vec<&LabelValue>> {
         self.keys.get(key)?.values()
     }
--- a/crates/coordination/src/configuration/delta.rs
+++ b/crates/coordination/src/configuration/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between two configurations, document by document.
+//! Differences between two configurations, by document.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 use super::text_edit::TextEdit;
 use crate::base::Revision;
 
-/// Most documents that a difference names; the others are counted.
+/// Maximum number of documents named in a summary; further ones are only counted.
 pub const MAX_NAMED_DOCUMENTS: usize = 32;
 
-/// One document that differs.
+/// Change of one document: its removal, its new text or an edit of its text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentChange {
-    /// Which document.
+    /// Document that changes.
     pub key: DocumentKey,
-    /// Its canonical text; `None` where there is no such document, or an edit says what it is.
+    /// New canonical text; `None` if the document is removed or `edit` is set.
     pub text: Option<Arc<str>>,
-    /// How its text comes from the one before, where that takes far fewer bytes.
+    /// Edit of the previous text, if it takes less than half the bytes of the new text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub edit: Option<TextEdit>,
 }
 
 impl DocumentChange {
-    /// The change that turns `earlier` into `later`.
+    /// The change that leads from `earlier` to `later`; `None` is an absent document.
     pub(super) fn between(
         key: &DocumentKey,
         earlier: Option<&Arc<str>>,
@@ -41,14 +41,14 @@
         }
     }
 
-    /// About how many bytes its text or edit needs.
+    /// Approximate size of the text or edit in bytes.
     pub fn bytes(&self) -> usize {
         let text = self.text.as_ref().map_or(0, |text| text.len());
         text + self.edit.as_ref().map_or(0, TextEdit::bytes)
     }
 
-    /// The change that undoes this one, which led from `earlier` to `later`.
-    fn undone(&self, earlier: Option<&Arc<str>>, later: Option<&Arc<str>>) -> Self {
+    /// The change from `later` back to `earlier`; this change leads from `earlier` to `later`.
+    fn inverse(&self, earlier: Option<&Arc<str>>, later: Option<&Arc<str>>) -> Self {
         let edit = self.edit.as_ref().zip(earlier);
         let Some(edit) = edit.and_then(|(edit, earlier)| edit.inverse(earlier)) else {
             return Self::between(&self.key, later, earlier);
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Whether the document is there after the change.
+    /// Whether the document exists after the change.
     pub(super) fn is_set(&self) -> bool {
         self.text.is_some() || self.edit.is_some()
     }
 
-    /// The text after the change. An edit of another text gives none; the digest of the whole then
-    /// tells that the change does not fit.
+    /// The text after the change. An edit of another text returns `None`; the digest of the
+    /// complete text then reveals that the change does not apply.
     fn text_after(&self, earlier: Option<&Arc<str>>) -> Option<Arc<str>> {
         match &self.edit {
             Some(edit) => edit.apply(earlier?),
@@ -75,34 +75,35 @@
     }
 }
 
-/// All that turns one configuration into another.
+/// Changes that lead from one revision of the configuration to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationDelta {
-    /// Configuration that the delta starts from.
+    /// Revision that the delta starts from.
     pub from: Revision,
-    /// Configuration that it leads to.
+    /// Revision that it leads to.
     pub to: Revision,
     /// Documents to set or remove.
     pub changes: Vec<DocumentChange>,
-    /// Digest of the canonical text after it; a follower that gets another one pulls the whole.
+    /// Digest of the canonical text after the delta; a follower that computes another digest
+    /// fetches the complete text.
     pub digest: ContentDigest,
 }
 
-/// Names of the documents that differ.
+/// Keys of the documents that differ between two texts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DifferenceSummary {
-    /// Documents that only the later text has.
+    /// Documents that only the later text contains.
     pub added: Vec<DocumentKey>,
-    /// Documents that only the earlier text has.
+    /// Documents that only the earlier text contains.
     pub removed: Vec<DocumentKey>,
-    /// Documents with another content.
+    /// Documents whose content differs.
     pub changed: Vec<DocumentKey>,
-    /// Documents that differ beyond [`MAX_NAMED_DOCUMENTS`].
+    /// Number of differing documents beyond [`MAX_NAMED_DOCUMENTS`].
     pub unnamed: usize,
 }
 
 impl CanonicalText {
-    /// What turns this text into `later`.
+    /// Changes that lead from this text to `later`.
     pub fn changes_to(&self, later: &Self) -> Vec<DocumentChange> {
         let set = later
             .documents()
@@ -117,7 +118,7 @@
         set.chain(removed).collect()
     }
 
-    /// Sets and removes documents; gives the changes that undo it.
+    /// Sets and removes documents; returns the changes that undo it.
     pub fn apply(&mut self, changes: &[DocumentChange]) -> Vec<DocumentChange> {
         changes
             .iter()
@@ -125,26 +126,26 @@
                 let key = &change.key;
                 let after = change.text_after(self.documents().get(key));
                 let before = self.replace(key, after.clone());
-                change.undone(before.as_ref(), after.as_ref())
+                change.inverse(before.as_ref(), after.as_ref())
             })
             .collect()
     }
 
-    /// Sets and removes documents, for those who never go back: working out what undoes a change of
-    /// a large document costs as much as reading it.
-    pub(super) fn set(&mut self, changes: &[DocumentChange]) {
+    /// Sets and removes documents without computing the undo changes: for a large document they
+    /// cost as much as reading it.
+    pub(super) fn apply_without_undo(&mut self, changes: &[DocumentChange]) {
         for change in changes {
             let after = change.text_after(self.documents().get(&change.key));
             self.replace(&change.key, after);
         }
     }
 
-    /// Names of the documents that differ from `later`.
+    /// Summary of the documents that differ between this text and `later`.
     pub fn difference(&self, later: &Self) -> DifferenceSummary {
         self.summary_of(&self.changes_to(later))
     }
 
-    /// Names of the documents that `changes` would set or remove here.
+    /// Summary of the documents that `changes` would set or remove in this text.
     pub(super) fn summary_of(&self, changes: &[DocumentChange]) -> DifferenceSummary {
         let mut summary = DifferenceSummary::default();
         for (index, change) in changes.iter().enumerate() {
@@ -164,7 +165,7 @@
 }
 
 impl DifferenceSummary {
-    /// Whether nothing differs.
+    /// Whether no document differs.
     pub fn is_empty(&self) -> bool {
         self.added.is_empty() && self.removed.is_empty() && self.changed.is_empty()
     }
@@ -180,11 +181,11 @@
             ("-", &self.removed),
             ("~", &self.changed),
         ];
-        let mut joint = "";
+        let mut separator = "";
         for (mark, keys) in marked {
             for key in keys {
-                write!(formatter, "{joint}{mark} {key}")?;
-                joint = ", ";
+                write!(formatter, "{separator}{mark} {key}")?;
+                separator = ", ";
             }
         }
         if self.unnamed > 0 {
--- a/crates/coordination/src/configuration/document.rs
+++ b/crates/coordination/src/configuration/document.rs
@@ -1,7 +1,7 @@
-//! Reads a YAML stream into a tree that keeps the place of every node.
+//! Parses YAML documents into a tree that records the location of every node.
 //!
-//! A derived deserializer stops at its first error; operators want all findings at once, so the
-//! text is first read into this tree and then checked key by key.
+//! A derived deserializer stops at its first error. Operators need all findings at once, so the
+//! text is parsed into this tree first and then checked key by key.
 
 use std::fmt;
 use std::sync::Arc;
@@ -13,22 +13,22 @@
 use super::chunk::TextChunk;
 use crate::base::{FindingList, Place};
 
-/// Most bytes that a configuration text may hold.
+/// Maximum size of a configuration text, in bytes.
 pub const MAX_TEXT_BYTES: usize = 4 * 1024 * 1024;
-/// Most documents in one text.
+/// Maximum number of documents in one text.
 pub const MAX_DOCUMENTS: usize = 20_000;
-/// Deepest nesting of maps and lists in a document.
+/// Maximum nesting depth of maps and lists in a document.
 pub const MAX_DEPTH: usize = 8;
 const MAX_NODES: usize = 1_000_000;
 
-/// A node and where it stands.
+/// A node and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LocatedNode {
     pub(super) place: Place,
     pub(super) value: NodeValue,
 }
 
-/// Value of a node; scalars keep the spelling of the text, so `1.10` stays `1.10`.
+/// Value of a node. Scalars keep their spelling in the text, so `1.10` stays `1.10`.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum NodeValue {
     Empty,
@@ -37,7 +37,7 @@
     Map(Vec<LocatedEntry>),
 }
 
-/// One key of a map with its value; repeated keys are all kept.
+/// One key of a map and its value. A map keeps all entries of a repeated key.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct LocatedEntry {
     pub(super) key: String,
@@ -46,7 +46,7 @@
 }
 
 impl NodeValue {
-    /// What the node is, in the words of an error.
+    /// Kind of the node, as error messages name it.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             Self::Empty => "nothing",
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the document of a chunk; one that is no YAML or over a bound is one finding.
+/// Parses the documents of a chunk; invalid YAML or an exceeded limit adds one finding.
 pub(super) fn read_chunk(
     file: &Arc<str>,
     chunk: TextChunk<'_>,
@@ -101,14 +101,16 @@
     }
 }
 
-/// The library's words without the place that they end in: it counts from the document's start.
+/// First line of the YAML library's message, without the position at its end, which is relative to
+/// the chunk.
 fn first_line(text: &str) -> String {
     let line = text.lines().next().unwrap_or_default();
     line.rsplit_once(" at line ")
-        .map_or(line, |(words, _)| words)
+        .map_or(line, |(message, _)| message)
         .to_owned()
 }
 
+/// Location of findings that apply to the complete file: line and column 0.
 pub(super) fn whole_file(file: &Arc<str>) -> Place {
     Place {
         file: file.clone(),
@@ -182,7 +184,7 @@
 enum RawNode {
     Empty,
     Text(String),
-    /// A plain scalar that YAML types as a number or boolean, in the parser's spelling.
+    /// A plain scalar that YAML types as a number or boolean, in the spelling of the parser.
     Typed(String),
     List(Vec<Spanned<RawNode>>),
     Map(Vec<RawEntry>),
--- a/crates/coordination/src/configuration/expression.rs
+++ b/crates/coordination/src/configuration/expression.rs
@@ -1,4 +1,4 @@
-//! Label expressions in the manner of Kubernetes: all requirements must hold.
+//! Label expressions with the operators of Kubernetes; all requirements must hold.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,25 +8,25 @@
 
 use super::label::{LabelKey, LabelSet, LabelValue};
 
-/// How a requirement compares the label's value.
+/// Operator of a requirement and its operands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RequirementTest {
-    /// The label exists and its value is one of these.
+    /// The label exists and its value is in the set.
     In(BTreeSet<LabelValue>),
-    /// The label is absent, or its value is none of these.
+    /// The label is absent or its value is not in the set.
     NotIn(BTreeSet<LabelValue>),
     /// The label exists.
     Exists,
     /// The label is absent.
     DoesNotExist,
-    /// The label's value is a whole number above this one.
+    /// The label's value is an integer greater than the bound.
     Gt(i64),
-    /// The label's value is a whole number below this one.
+    /// The label's value is an integer less than the bound.
     Lt(i64),
 }
 
 impl RequirementTest {
-    /// All operators, in the words of an error.
+    /// All operators, as error messages list them.
     pub(super) const NAMES: &str = "In, NotIn, Exists, DoesNotExist, Gt or Lt";
 
     fn holds(&self, value: Option<&LabelValue>) -> bool {
@@ -46,8 +46,8 @@
 impl fmt::Display for RequirementTest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::In(values) => write!(formatter, "In [{}]", listed(values)),
-            Self::NotIn(values) => write!(formatter, "NotIn [{}]", listed(values)),
+            Self::In(values) => write!(formatter, "In [{}]", join_values(values)),
+            Self::NotIn(values) => write!(formatter, "NotIn [{}]", join_values(values)),
             Self::Exists => formatter.write_str("Exists"),
             Self::DoesNotExist => formatter.write_str("DoesNotExist"),
             Self::Gt(bound) => write!(formatter, "Gt {bound}"),
@@ -56,35 +56,35 @@
     }
 }
 
-fn listed(values: &BTreeSet<LabelValue>) -> String {
+fn join_values(values: &BTreeSet<LabelValue>) -> String {
     let texts: Vec<&str> = values.iter().map(LabelValue::as_str).collect();
     texts.join(", ")
 }
 
-/// One requirement on one label.
+/// A requirement on one label.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{key} {test}")]
 pub struct Requirement {
-    /// Label that is compared.
+    /// Key of the label.
     pub key: LabelKey,
-    /// How.
+    /// Test of its value.
     pub test: RequirementTest,
 }
 
-/// All of these requirements must hold; none holds for everything.
+/// Requirements that must all hold; an empty expression matches every label set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LabelExpression {
-    /// Sorted and without repeats, so that equal expressions compare equal.
+    /// Sorted and without duplicates, so that equal expressions compare equal.
     requirements: BTreeSet<Requirement>,
 }
 
-/// The requirement that did not hold.
+/// A requirement that does not hold, and the value found.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mismatch {
-    /// What was required.
+    /// The requirement.
     pub requirement: Requirement,
-    /// The value that was found; `None` where the label is absent.
+    /// Value of the label; `None` if the label is absent.
     pub found: Option<LabelValue>,
 }
 
@@ -98,17 +98,17 @@
 }
 
 impl LabelExpression {
-    /// Adds a requirement.
+    /// Adds a requirement on the label `key`.
     pub fn require(&mut self, key: LabelKey, test: RequirementTest) {
         self.requirements.insert(Requirement { key, test });
     }
 
-    /// The requirements in order.
+    /// The requirements in their sorted order.
     pub fn requirements(&self) -> impl Iterator<Item = &Requirement> {
         self.requirements.iter()
     }
 
-    /// Whether everything matches.
+    /// Whether there are no requirements, so that every label set matches.
     pub fn is_empty(&self) -> bool {
         self.requirements.is_empty()
     }
@@ -123,7 +123,7 @@
         self.mismatch(labels).is_none()
     }
 
-    /// The first requirement that `labels` do not meet.
+    /// The first requirement that `labels` does not meet.
     pub fn mismatch(&self, labels: &LabelSet) -> Option<Mismatch> {
         let failed = self
             .requirements
--- a/crates/coordination/src/configuration/facts.rs
+++ b/crates/coordination/src/configuration/facts.rs
@@ -1,4 +1,5 @@
-//! What is known of requests, backend servers and hosts apart from the operators' labels.
+//! Facts about requests, backend servers and hosts, which selectors match besides operators'
+//! labels.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,42 +12,42 @@
     VersionName,
 };
 
-/// What a request asks for.
+/// Model or service that a request names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RequestTarget {
     /// A draft by a model.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// The adapter that the caller names.
+        /// Adapter that the caller names.
         adapter: Option<AdapterName>,
     },
-    /// A call of a plain service.
+    /// A call to a plain service.
     Service(ServiceName),
 }
 
 /// Facts of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestFacts {
-    /// Whose request it is.
+    /// Customer that sent the request.
     pub customer: CustomerName,
-    /// What it asks for.
+    /// Requested model or service.
     pub target: RequestTarget,
-    /// Path of the HTTP request, without its query; empty where there is none.
+    /// Path of the HTTP request, without the query; empty if there is none.
     pub path: Arc<str>,
-    /// Further attributes such as header values, by a key without prefix; they become labels
-    /// `request/KEY`. A value that can be no label value is left out.
+    /// Further attributes such as header values, by key without prefix. They become labels
+    /// `request/KEY`; an attribute that is no valid label is skipped.
     pub attributes: BTreeMap<Arc<str>, Arc<str>>,
 }
 
 impl RequestFacts {
-    /// Facts of a draft.
+    /// A draft with no adapter, path or attributes.
     pub fn draft(customer: CustomerName, model: ModelName) -> Self {
         let adapter = None;
         Self::of(customer, RequestTarget::Model { model, adapter })
     }
 
-    /// Facts of a service call.
+    /// A service call with no path or attributes.
     pub fn call(customer: CustomerName, service: ServiceName) -> Self {
         Self::of(customer, RequestTarget::Service(service))
     }
@@ -86,11 +87,11 @@
 /// Facts that a backend server announced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerFacts {
-    /// Its name.
+    /// Name of the backend server.
     pub name: ServerName,
-    /// Kind of its accelerators; empty for a plain service.
+    /// Accelerator kind; empty for a plain service.
     pub kind: Arc<str>,
-    /// Model that it holds layers of.
+    /// Model whose layers it holds.
     pub model: Option<ModelName>,
     /// Version of that model.
     pub version: Option<VersionName>,
@@ -98,9 +99,9 @@
     pub adapters: Vec<AdapterName>,
     /// Plain service that it offers.
     pub service: Option<ServiceName>,
-    /// Where it stands.
+    /// Data centre of the machine.
     pub data_centre: DataCentreName,
-    /// Its role: `prefill`, `decode` or `both`; empty for a plain service.
+    /// Role: `prefill`, `decode` or `both`; empty for a plain service.
     pub role: Arc<str>,
 }
 
@@ -131,9 +132,9 @@
 /// Facts of a host, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostFacts {
-    /// Its name.
+    /// Name of the host.
     pub name: HostName,
-    /// Where it stands.
+    /// Data centre of the machine.
     pub data_centre: DataCentreName,
 }
 
--- a/crates/coordination/src/configuration/followed.rs
+++ b/crates/coordination/src/configuration/followed.rs
@@ -1,4 +1,4 @@
-//! A follower's copy of the configuration, kept current by deltas.
+//! A follower's copy of the configuration, updated by deltas.
 
 use std::sync::Arc;
 
@@ -11,61 +11,62 @@
 use super::table::Configuration;
 use crate::base::{FindingList, Revision};
 
-/// Why a delta or text was not taken; the copy is unchanged and the whole is to be pulled.
+/// Reason why a delta or text was not applied. The copy is unchanged; the follower has to fetch the
+/// complete text.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ApplyError {
     /// The delta starts from another revision.
     #[display("the delta starts from revision {from}, not {held}")]
     OtherStart {
-        /// Revision held.
+        /// Revision of the copy.
         held: Revision,
         /// Revision that the delta starts from.
         from: Revision,
     },
-    /// The revision held is newer.
+    /// The held revision is newer.
     #[display("revision {offered} is below {held}")]
     Older {
-        /// Revision held.
+        /// Revision of the copy.
         held: Revision,
         /// Revision offered.
         offered: Revision,
     },
-    /// The delta leads to another content than its sender has.
+    /// The result of the delta differs from the content of its sender.
     #[display("revision {offered} has another content than its digest says")]
     OtherContent {
         /// Revision offered.
         offered: Revision,
     },
-    /// The text is no configuration, such as one of a newer version of this software.
+    /// The text is not a valid configuration, such as a text for a newer version of this software.
     #[display("revision {offered} can't be read: {findings}")]
     NotReadable {
         /// Revision offered.
         offered: Revision,
-        /// What is wrong with it.
+        /// Findings of the text.
         findings: FindingList,
     },
 }
 
 /// The configuration that a follower holds.
 ///
-/// Invariant: the revision never falls.
+/// Invariant: the revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct FollowedConfiguration {
     current: Arc<Configuration>,
-    /// Documents of the current text; a delta costs what it changes.
+    /// Documents of the current text, so that a delta parses only the documents that it changes.
     cache: DocumentCache,
 }
 
 impl FollowedConfiguration {
-    /// The configuration held.
+    /// The current configuration; empty at revision 0 until the first update.
     pub fn current(&self) -> &Arc<Configuration> {
         &self.current
     }
 
-    /// Takes a configuration that was laid out in this process.
+    /// Replaces the copy with a configuration built in this process.
     ///
     /// # Errors
-    /// It is older than what is held.
+    /// [`ApplyError::Older`] if its revision is below that of the copy.
     pub fn adopt(
         &mut self,
         configuration: Arc<Configuration>,
@@ -78,10 +79,10 @@
         Ok(self.current.clone())
     }
 
-    /// Takes a whole text.
+    /// Replaces the copy with a complete text.
     ///
     /// # Errors
-    /// Why it was not taken.
+    /// [`ApplyError::Older`] or [`ApplyError::NotReadable`]; the copy is unchanged.
     pub fn apply_text(
         &mut self,
         revision: Revision,
@@ -92,13 +93,13 @@
             let offered = revision;
             return Err(ApplyError::Older { held, offered });
         }
-        self.take(revision, text)
+        self.replace(revision, text)
     }
 
-    /// Takes a delta that starts from the revision held.
+    /// Applies a delta that starts from the revision of the copy.
     ///
     /// # Errors
-    /// Why it was not taken.
+    /// [`ApplyError`] if the delta does not apply; the copy is unchanged.
     pub fn apply_delta(
         &mut self,
         delta: &ConfigurationDelta,
@@ -112,14 +113,18 @@
             return Err(ApplyError::OtherStart { held, from });
         }
         let mut canonical: CanonicalText = self.current.canonical().clone();
-        canonical.set(&delta.changes);
+        canonical.apply_without_undo(&delta.changes);
         if canonical.digest() != delta.digest {
             return Err(ApplyError::OtherContent { offered });
         }
-        self.take(offered, &canonical.text())
+        self.replace(offered, &canonical.text())
     }
 
-    fn take(&mut self, revision: Revision, text: &str) -> Result<Arc<Configuration>, ApplyError> {
+    fn replace(
+        &mut self,
+        revision: Revision,
+        text: &str,
+    ) -> Result<Arc<Configuration>, ApplyError> {
         let name = format!("revision {revision}");
         let parsed = ParsedConfiguration::parse_after(&name, text, &mut self.cache);
         let parsed = parsed.map_err(|findings| ApplyError::NotReadable {
--- a/crates/coordination/src/configuration/interface.rs
+++ b/crates/coordination/src/configuration/interface.rs
@@ -1,8 +1,8 @@
 //! Bodies of the operators' HTTP interface, shared by the daemon and pollenctl.
 //!
-//! `docs/interfaces/operators.md` describes them. They are written here rather than generated, as
-//! they nest findings, summaries and document keys of this crate, which a generated copy would
-//! double.
+//! `docs/interfaces/operators.md` describes them. They are written by hand instead of generated
+//! because they contain findings, summaries and document keys of this crate, which generated code
+//! would duplicate.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,18 +20,18 @@
     ServerName, ServiceName, WallTime,
 };
 
-/// Most changes in one answer to `GET /operator/v1/history`.
+/// Maximum number of changes in one answer to `GET /operator/v1/history`.
 pub const MAX_HISTORY_PAGE: usize = 1_000;
 
-/// Body of `POST /operator/v1/changes`. The operator is named by the credential.
+/// Body of `POST /operator/v1/changes`. The credential identifies the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeBody {
-    /// Identity; a resend carries the same.
+    /// Identity of the change; a resend carries the same id.
     pub change_id: ChangeId,
-    /// Revision that the operator saw.
+    /// Revision that the operator edited.
     pub based_on: Revision,
-    /// The whole new configuration.
+    /// The complete new configuration, a YAML stream.
     pub text: Arc<str>,
 }
 
@@ -39,24 +39,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum ChangeReply {
-    /// Status 200: it is in force from this revision on.
+    /// Status 200: the change is in force from this revision on.
     Accepted {
-        /// Number of the new configuration.
+        /// Revision of the new configuration.
         revision: Revision,
-        /// What is accepted but likely not meant.
+        /// Findings on content that is accepted but probably unintended.
         warnings: FindingList,
     },
-    /// Status 409: another change went first.
+    /// Status 409: another change was accepted first.
     Conflict {
-        /// What won, and how the refused text differs.
+        /// The accepted change and the differences of the refused text.
         conflict: Box<ChangeConflict>,
     },
     /// Status 422: the text is refused.
     Refused {
-        /// All that is wrong with it.
+        /// Findings of the text.
         findings: FindingList,
     },
-    /// Status 409: the change id stands for another change.
+    /// Status 409: the change id already belongs to another change.
     ChangeIdReused,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl ChangeReply {
-    /// HTTP status that the reply goes out with.
+    /// HTTP status of the reply.
     pub fn status(&self) -> u16 {
         match self {
             Self::Accepted { .. } => 200,
@@ -85,11 +85,11 @@
 /// Answer to `GET /operator/v1/configuration`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationView {
-    /// Number of the configuration.
+    /// Revision of the configuration.
     pub revision: Revision,
     /// Digest of its canonical text, in hexadecimal.
     pub digest: String,
-    /// Its text as the operator wrote it; canonical for a revision that is no longer in force.
+    /// Text as the operator wrote it; the canonical text for a revision that is no longer in force.
     pub text: Arc<str>,
 }
 
@@ -104,29 +104,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct InForceView {
-    /// What was in force at the time that was asked for; absent without `at` or before the
-    /// retained history.
+    /// Configuration in force at the requested time; absent without the parameter `at` and for a
+    /// time before the retained history.
     pub at: Option<InForceAnswer>,
-    /// Revision in force at each daemon now; absent with `at`.
+    /// Revision in force at each daemon now; empty with the parameter `at`.
     pub daemons: Vec<DaemonRevision>,
 }
 
 /// Revision in force at one daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DaemonRevision {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostName,
-    /// Revision that it serves by; absent where it has not been heard of.
+    /// Revision that it applies; absent if it has not reported one.
     pub revision: Option<Revision>,
-    /// Milliseconds since it was heard of; absent where it has not been.
+    /// Milliseconds since its last report; absent if it has not reported.
     pub heard_ms_ago: Option<u64>,
 }
 
-/// Body of `POST /operator/v1/explain`: one of `model` and `service`.
+/// Body of `POST /operator/v1/explain`, with either `model` or `service`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ExplainBody {
-    /// Whose request it would be.
+    /// Customer of the hypothetical request.
     pub customer: String,
     /// Model of a draft.
     pub model: Option<String>,
@@ -141,7 +141,8 @@
 }
 
 impl ExplainBody {
-    /// The facts that are asked about; `None` unless one of `model` and `service` is given.
+    /// Facts of the hypothetical request; `None` unless exactly one of `model` and `service` is
+    /// given.
     pub fn facts(&self) -> Option<RequestFacts> {
         let target = match (&self.model, &self.service) {
             (Some(model), None) => RequestTarget::Model {
@@ -163,33 +164,33 @@
 /// Answer to `POST /operator/v1/explain`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainView {
-    /// Configuration that was asked.
+    /// Revision of the configuration that gives the explanation.
     pub revision: Revision,
     /// The selector that would serve the request.
     pub serves: Option<SelectorName>,
     /// All selectors in the order in which they are tried.
     pub selectors: Vec<ExplainedSelector>,
-    /// Backend servers by the serving selector.
+    /// Backend servers, checked against the selector that serves the request.
     pub servers: Vec<ExplainedServer>,
 }
 
-/// One selector's part.
+/// Result of matching one selector.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainedSelector {
-    /// The selector.
+    /// Name of the selector.
     pub selector: SelectorName,
-    /// Its place in the order.
+    /// Order of the selector; lower orders are tried first.
     pub order: u32,
-    /// Why it does not match; absent if it does.
+    /// Reason for the mismatch; absent if the selector matches.
     pub reason: Option<String>,
 }
 
-/// One backend server's part.
+/// Result of checking one backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExplainedServer {
-    /// The backend server.
+    /// Name of the backend server.
     pub server: ServerName,
-    /// Why the selector does not allow it; absent if it does.
+    /// Reason why the selector does not allow it; absent if the selector allows it.
     pub reason: Option<String>,
 }
 
@@ -204,7 +205,7 @@
 }
 
 impl ExplainView {
-    /// Explains a request by a configuration; the caller adds the backend servers.
+    /// Matches a request against every selector; the caller adds the backend servers.
     pub fn of(configuration: &Configuration, facts: &RequestFacts) -> Self {
         let explained = configuration.explain(facts);
         let serving = explained.iter().find(|entry| entry.serves);
@@ -218,19 +219,19 @@
 }
 
 impl ConfigurationView {
-    /// The configuration in force, or a retained earlier one.
+    /// The configuration in force, or that of `revision`; `None` if it is not retained.
     pub fn of(changes: &ChangeLog, revision: Option<Revision>) -> Option<Self> {
-        let asked = revision.unwrap_or(changes.revision());
-        if asked == changes.revision() {
+        let requested = revision.unwrap_or(changes.revision());
+        if requested == changes.revision() {
             return Some(Self::new(
-                asked,
+                requested,
                 changes.canonical().digest(),
                 changes.text(),
             ));
         }
-        let canonical: CanonicalText = changes.canonical_at(asked)?;
+        let canonical: CanonicalText = changes.canonical_at(requested)?;
         let text = Arc::from(canonical.text());
-        Some(Self::new(asked, canonical.digest(), &text))
+        Some(Self::new(requested, canonical.digest(), &text))
     }
 
     fn new(revision: Revision, digest: ContentDigest, text: &Arc<str>) -> Self {
@@ -256,7 +257,7 @@
 }
 
 impl InForceView {
-    /// What was in force at a time.
+    /// Configuration in force at `time`, without daemons.
     pub fn at(changes: &ChangeLog, time: WallTime) -> Self {
         Self {
             at: changes.in_force_at(time),
--- a/crates/coordination/src/configuration/label.rs
+++ b/crates/coordination/src/configuration/label.rs
@@ -6,14 +6,14 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes in a label key.
+/// Maximum size of a label key, in bytes.
 pub const MAX_KEY_BYTES: usize = 128;
-/// Most bytes in a label value.
+/// Maximum size of a label value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 256;
-/// What a label key may be, in the words of an error.
+/// Valid label keys, as error messages describe them.
 pub(super) const KEY_RULE: &str =
     "letters, digits, '-', '_', '.' and '/' between parts, at most 128 bytes";
-/// What a label value may be, in the words of an error.
+/// Valid label values, as error messages describe them.
 pub(super) const VALUE_RULE: &str = "printable text of 1 to 256 bytes";
 
 /// Key of a label; `/` separates a prefix from the name.
@@ -22,10 +22,10 @@
 pub struct LabelKey(Arc<str>);
 
 impl LabelKey {
-    /// A key, or `None` if `text` is none.
+    /// Checks `text`; `None` if it is too long, or a part is empty or has an invalid character.
     pub fn new(text: &str) -> Option<Self> {
-        let whole_parts = text.split('/').all(is_key_part);
-        (whole_parts && text.len() <= MAX_KEY_BYTES).then(|| Self(Arc::from(text)))
+        let parts_are_valid = text.split('/').all(is_key_part);
+        (parts_are_valid && text.len() <= MAX_KEY_BYTES).then(|| Self(Arc::from(text)))
     }
 
     /// The key as text.
@@ -41,8 +41,8 @@
 }
 
 fn is_key_part(part: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    !part.is_empty() && part.bytes().all(plain)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    !part.is_empty() && part.bytes().all(is_allowed)
 }
 
 /// Value of a label.
@@ -51,11 +51,11 @@
 pub struct LabelValue(Arc<str>);
 
 impl LabelValue {
-    /// A value, or `None` if `text` is empty, too long or holds control characters.
+    /// Checks `text`; `None` if it is empty, too long or contains control characters.
     pub fn new(text: &str) -> Option<Self> {
-        let bounded = !text.is_empty() && text.len() <= MAX_VALUE_BYTES;
+        let has_valid_length = !text.is_empty() && text.len() <= MAX_VALUE_BYTES;
         let printable = !text.chars().any(char::is_control);
-        (bounded && printable).then(|| Self(Arc::from(text)))
+        (has_valid_length && printable).then(|| Self(Arc::from(text)))
     }
 
     /// The value as text.
@@ -63,7 +63,7 @@
         &self.0
     }
 
-    /// The value as a whole number, as the operators `Gt` and `Lt` compare it.
+    /// The value as an integer, for the operators `Gt` and `Lt`; `None` if it is none.
     pub fn as_number(&self) -> Option<i64> {
         self.0.parse().ok()
     }
@@ -81,13 +81,13 @@
 pub struct LabelSet(BTreeMap<LabelKey, LabelValue>);
 
 impl LabelSet {
-    /// Sets a label; an earlier value of the key is replaced.
+    /// Sets a label and replaces any previous value of the key.
     pub fn set(&mut self, key: LabelKey, value: LabelValue) {
         self.0.insert(key, value);
     }
 
-    /// Sets a label from text that comes from outside; what is no label is left out and `false`
-    /// returned, so a hostile attribute can never match a selector.
+    /// Sets a label from untrusted text. An invalid label is skipped and `false` returned, so that
+    /// a malicious attribute never matches a selector.
     pub fn set_text(&mut self, key: &str, value: &str) -> bool {
         match (LabelKey::new(key), LabelValue::new(value)) {
             (Some(key), Some(value)) => {
@@ -98,19 +98,19 @@
         }
     }
 
-    /// Value of `key`.
+    /// Value of the label `key`.
     pub fn get(&self, key: &str) -> Option<&LabelValue> {
         self.0.get(key)
     }
 
-    /// Sets all labels of `other`, over those of this set.
+    /// Sets all labels of `other`; they replace labels of this set with the same key.
     pub fn overlay(&mut self, other: &Self) {
         for (key, value) in &other.0 {
             self.0.insert(key.clone(), value.clone());
         }
     }
 
-    /// Labels in the order of their keys.
+    /// Labels in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&LabelKey, &LabelValue)> {
         self.0.iter()
     }
@@ -120,19 +120,19 @@
         self.0.len()
     }
 
-    /// Whether there is no label.
+    /// Whether the set contains no label.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// What a label is on.
+/// Kind of object that carries a label.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum LabelSubject {
-    /// A model engine or plain service instance.
+    /// A model engine or an instance of a plain service.
     #[display("backend-server")]
     BackendServer,
     /// A customer.
@@ -141,16 +141,16 @@
     /// A host that runs a daemon.
     #[display("host")]
     Host,
-    /// Requests, by their attributes.
+    /// A request, matched by its attributes.
     #[display("request")]
     Request,
 }
 
 impl LabelSubject {
-    /// All subjects, in the words of an error.
+    /// All subjects, as error messages list them.
     pub(super) const NAMES: &str = "backend-server, customer, host or request";
 
-    /// The subject of that name.
+    /// Parses the name of a subject.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "backend-server" => Some(Self::BackendServer),
@@ -162,13 +162,13 @@
     }
 }
 
-/// Exact name, or pattern in which each `*` stands for any text.
+/// Exact name, or pattern in which each `*` matches any text, including none.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NamePattern(Arc<str>);
 
 impl NamePattern {
-    /// A pattern, or `None` if `text` is empty, too long or holds control characters.
+    /// Checks `text`; `None` if it is empty, too long or contains control characters.
     pub fn new(text: &str) -> Option<Self> {
         LabelValue::new(text).map(|value| Self(value.0))
     }
@@ -178,17 +178,17 @@
         &self.0
     }
 
-    /// Whether it stands for one name only.
+    /// Whether the pattern contains no `*`.
     pub fn is_exact(&self) -> bool {
         !self.0.contains('*')
     }
 
-    /// Number of bytes that a name must share with the pattern; more is more specific.
+    /// Number of bytes other than `*`; a pattern with more of them is more specific.
     pub fn literal_bytes(&self) -> usize {
         self.0.bytes().filter(|byte| *byte != b'*').count()
     }
 
-    /// Whether `name` fits.
+    /// Whether the pattern matches the complete `name`.
     pub fn matches(&self, name: &str) -> bool {
         let mut parts = self.0.split('*');
         let first = parts.next().unwrap_or_default();
@@ -213,6 +213,7 @@
 mod tests {
     use super::{LabelKey, NamePattern};
 
+    /// Guards against patterns that match only a part of a name or let two parts overlap.
     #[test]
     fn patterns_match_whole_names() {
         let cases = [
@@ -230,8 +231,9 @@
         }
     }
 
+    /// Guards against keys with an empty part or an invalid character in any part.
     #[test]
-    fn keys_are_checked_by_part() {
+    fn keys_are_valid_only_if_each_part_is() {
         let cases = [
             ("limit/in-flight", true),
             ("a//b", false),
--- a/crates/coordination/src/configuration/label_settings.rs
+++ b/crates/coordination/src/configuration/label_settings.rs
@@ -1,4 +1,4 @@
-//! Labels with a meaning of their own: limits, weights, priorities, deadlines, service state.
+//! Well-known labels, which configure limits, weights, priorities, deadlines and service states.
 
 use std::time::Duration;
 
@@ -7,127 +7,127 @@
 
 use super::label::{LabelSet, LabelSubject};
 
-/// Prefixes whose labels come from facts; operators can't set them.
+/// Prefixes of labels that are derived from facts; operators can't set them.
 pub(super) const RESERVED_PREFIXES: [&str; 3] = ["announced/", "customer/", "request/"];
 /// Prefixes under which only well-known labels are accepted.
 const TYPED_PREFIXES: [&str; 2] = ["limit/", "retry/"];
 
-/// What a well-known label's value must be.
+/// Type of a well-known label's value.
 #[derive(Clone, Copy, Debug)]
-enum KnownType {
-    /// Whole number within bounds, both included.
-    Number { least: u64, most: u64 },
+enum ValueType {
+    /// Integer from `min` to `max`, both inclusive.
+    Number { min: u64, max: u64 },
     /// One of these words.
     Word(&'static [&'static str]),
 }
 
-impl KnownType {
+impl ValueType {
     fn accepts(self, text: &str) -> bool {
         match self {
             Self::Word(words) => words.contains(&text),
-            Self::Number { least, most } => text
+            Self::Number { min, max } => text
                 .parse::<u64>()
-                .is_ok_and(|number| (least..=most).contains(&number)),
+                .is_ok_and(|number| (min..=max).contains(&number)),
         }
     }
 
     fn expected(self) -> String {
         match self {
             Self::Word(words) => words.join(" or "),
-            Self::Number { least, most } => format!("a whole number from {least} to {most}"),
+            Self::Number { min, max } => format!("a whole number from {min} to {max}"),
         }
     }
 }
 
-struct KnownLabel {
+struct WellKnownLabel {
     key: &'static str,
     subjects: &'static [LabelSubject],
-    value: KnownType,
+    value: ValueType,
 }
 
-const MOST_COUNT: u64 = 1_000_000;
-const MOST_TOKENS: u64 = 1_000_000_000_000;
-const MOST_DEADLINE_MS: u64 = 86_400_000;
+const MAX_COUNT: u64 = 1_000_000;
+const MAX_TOKENS: u64 = 1_000_000_000_000;
+const MAX_DEADLINE_MS: u64 = 86_400_000;
 const SERVER: LabelSubject = LabelSubject::BackendServer;
 const CUSTOMER: LabelSubject = LabelSubject::Customer;
 const HOST: LabelSubject = LabelSubject::Host;
 const REQUEST: LabelSubject = LabelSubject::Request;
 
-const fn number(least: u64, most: u64) -> KnownType {
-    KnownType::Number { least, most }
+const fn number(min: u64, max: u64) -> ValueType {
+    ValueType::Number { min, max }
 }
 
 /// All well-known labels, alphabetically; `docs/operators/labels-and-selectors.md` describes them.
-const KNOWN_LABELS: [KnownLabel; 12] = [
-    KnownLabel {
+const WELL_KNOWN_LABELS: [WellKnownLabel; 12] = [
+    WellKnownLabel {
         key: "deadline-ms",
         subjects: &[CUSTOMER, REQUEST],
-        value: number(1, MOST_DEADLINE_MS),
+        value: number(1, MAX_DEADLINE_MS),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "idempotent",
         subjects: &[REQUEST],
-        value: KnownType::Word(&["true", "false"]),
+        value: ValueType::Word(&["true", "false"]),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/in-flight",
         subjects: &[SERVER, CUSTOMER],
-        value: number(0, MOST_COUNT),
+        value: number(0, MAX_COUNT),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/kv-tokens",
         subjects: &[SERVER, CUSTOMER],
-        value: number(0, MOST_TOKENS),
+        value: number(0, MAX_TOKENS),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/max-tokens",
         subjects: &[CUSTOMER, REQUEST],
-        value: number(1, MOST_COUNT),
+        value: number(1, MAX_COUNT),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/queue",
         subjects: &[CUSTOMER],
-        value: number(0, MOST_COUNT),
+        value: number(0, MAX_COUNT),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/requests-per-second",
         subjects: &[SERVER, CUSTOMER],
-        value: number(0, MOST_COUNT),
+        value: number(0, MAX_COUNT),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "limit/tokens-per-second",
         subjects: &[SERVER, CUSTOMER],
-        value: number(0, MOST_TOKENS),
+        value: number(0, MAX_TOKENS),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "priority",
         subjects: &[CUSTOMER, REQUEST],
         value: number(0, 100),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "retry/budget-percent",
         subjects: &[CUSTOMER],
         value: number(0, 100),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "state",
         subjects: &[SERVER, HOST],
-        value: KnownType::Word(&["in-service", "out-of-service"]),
+        value: ValueType::Word(&["in-service", "out-of-service"]),
     },
-    KnownLabel {
+    WellKnownLabel {
         key: "weight",
         subjects: &[SERVER, CUSTOMER],
         value: number(1, 1_000),
     },
 ];
 
-/// What is wrong with a label of an operator, and what would be accepted.
+/// Error of an operator's label, and what is accepted instead.
 pub(super) struct LabelError {
     pub(super) message: String,
     pub(super) expected: String,
 }
 
-/// Checks an operator's label against the reserved and well-known ones.
+/// Checks an operator's label against the reserved prefixes and the well-known labels.
 pub(super) fn check_label(subject: LabelSubject, key: &str, value: &str) -> Result<(), LabelError> {
     if let Some(prefix) = RESERVED_PREFIXES.iter().find(|p| key.starts_with(**p)) {
         return Err(LabelError {
@@ -135,7 +135,7 @@
             expected: "a key without a reserved prefix".to_owned(),
         });
     }
-    let Some(known) = KNOWN_LABELS.iter().find(|known| known.key == key) else {
+    let Some(known) = WELL_KNOWN_LABELS.iter().find(|known| known.key == key) else {
         return check_unknown(subject, key);
     };
     if !known.subjects.contains(&subject) {
@@ -158,7 +158,7 @@
     if !TYPED_PREFIXES.iter().any(|prefix| key.starts_with(prefix)) {
         return Ok(());
     }
-    let accepted: Vec<&str> = KNOWN_LABELS
+    let accepted: Vec<&str> = WELL_KNOWN_LABELS
         .iter()
         .filter(|known| known.subjects.contains(&subject) && known.key.contains('/'))
         .map(|known| known.key)
@@ -169,50 +169,50 @@
     })
 }
 
-/// Whether a host or backend server takes new work.
+/// Whether a host or backend server accepts new work.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceState {
-    /// It takes new work.
+    /// It accepts new work.
     #[default]
     #[display("in-service")]
     InService,
-    /// It takes no new work; what runs may finish.
+    /// It accepts no new work; running requests may finish.
     #[display("out-of-service")]
     OutOfService,
 }
 
-/// Typed well-known labels; `None` means that the operators set none and a default applies.
+/// Typed values of the well-known labels. For `None`, no label is set and a default applies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LabelSettings {
-    /// Time from arrival to the end of the answer.
+    /// Maximum time from the arrival of a request to the end of its answer.
     pub deadline: Option<Duration>,
-    /// Whether the caller's request may run more than once.
+    /// Whether a request may run more than once.
     pub idempotent: Option<bool>,
-    /// Most requests that run at one time.
+    /// Maximum number of requests that run concurrently.
     pub in_flight: Option<u64>,
-    /// Most tokens of KV cache in use at one time.
+    /// Maximum number of KV cache tokens in use at one time.
     pub kv_tokens: Option<u64>,
-    /// Most tokens that one request may generate.
+    /// Maximum number of tokens that one request may generate.
     pub max_tokens: Option<u64>,
-    /// Most requests that wait.
+    /// Maximum number of queued requests.
     pub queue: Option<u64>,
-    /// Most requests begun in a second.
+    /// Maximum number of requests started per second.
     pub requests_per_second: Option<u64>,
-    /// Most tokens generated in a second.
+    /// Maximum number of tokens generated per second.
     pub tokens_per_second: Option<u64>,
-    /// Priority from 0 to 100; the higher goes first.
+    /// Priority from 0 to 100; higher priorities run first.
     pub priority: Option<u8>,
-    /// Most retries, as a percentage of first tries.
+    /// Maximum number of retries, as a percentage of first attempts.
     pub retry_budget_percent: Option<u8>,
-    /// Whether new work is taken.
+    /// Whether new work is accepted.
     pub state: ServiceState,
-    /// Share of capacity relative to others, 1 to 1000.
+    /// Share of capacity relative to others, from 1 to 1000.
     pub weight: Option<u32>,
 }
 
 impl LabelSettings {
-    /// Reads the well-known labels of a checked set.
+    /// Reads the well-known labels of a set; a value of the wrong type counts as unset.
     pub fn of(labels: &LabelSet) -> Self {
         let word = |key: &str| labels.get(key).map(|value| value.as_str());
         let count = |key: &str| word(key).and_then(|text| text.parse::<u64>().ok());
@@ -237,7 +237,7 @@
         }
     }
 
-    /// These settings, with those of `general` where these set nothing.
+    /// Fills unset values from `general`, except for the state.
     #[must_use]
     pub fn or(self, general: &Self) -> Self {
         Self {
--- a/crates/coordination/src/configuration/lint.rs
+++ b/crates/coordination/src/configuration/lint.rs
@@ -1,4 +1,4 @@
-//! Warns about selectors that can never serve a request.
+//! Warns about selectors that never serve a request.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,8 +18,8 @@
     serves: MergedConstraint,
 }
 
-/// Adds a warning for each selector that matches nothing or stands behind one that takes all of
-/// its requests.
+/// Adds a warning for each selector that matches nothing, or whose requests an earlier selector all
+/// serves.
 pub(super) fn warn_selectors(
     documents: &[Arc<CheckedDocument>],
     places: &[Place],
@@ -30,7 +30,7 @@
         let DocumentContent::Selector(selector) = &document.content else {
             continue;
         };
-        let serves = MergedConstraint::of(&with_facts(selector));
+        let serves = MergedConstraint::of(&with_target_requirements(selector));
         if let Some(reason) = never_matches(selector, &serves) {
             let message = format!("selector {} never matches: {reason}", selector.name);
             findings.warning(
@@ -54,8 +54,8 @@
     }
 }
 
-/// What a selector asks of requests, with what its target alone says of them.
-fn with_facts(selector: &Selector) -> LabelExpression {
+/// Requirements of a selector on requests, with those that its target implies.
+fn with_target_requirements(selector: &Selector) -> LabelExpression {
     let (key, name) = match &selector.target {
         SelectorTarget::Model { model, .. } => ("request/model", model.as_str()),
         SelectorTarget::Service(service) => ("request/service", service.as_str()),
@@ -70,6 +70,7 @@
     expression
 }
 
+/// Reason why the selector matches no request or allows no backend server; `None` if there is none.
 fn never_matches(selector: &Selector, serves: &MergedConstraint) -> Option<String> {
     if let Some(key) = serves.contradiction() {
         return Some(format!("no request meets all that for says of {key}"));
@@ -89,16 +90,16 @@
     excluded.then(|| format!("allow asks for another {announced} than {name}"))
 }
 
-/// Looks for each selector at those before it that name no customer or one of its customers: no
-/// other one can take all of its requests.
-fn warn_shadowed(group: &[LintedSelector<'_>], findings: &mut FindingList) {
+/// Compares each selector with the earlier ones that name no customer or the first of its
+/// customers: no other selector can serve all of its requests.
+fn warn_shadowed(selectors: &[LintedSelector<'_>], findings: &mut FindingList) {
     let mut general: Vec<&LintedSelector<'_>> = Vec::new();
     let mut by_customer: BTreeMap<&LabelValue, Vec<&LintedSelector<'_>>> = BTreeMap::new();
-    for later in group {
+    for later in selectors {
         let customers = later.serves.values(CUSTOMER_NAME).unwrap_or_default();
         let own = customers.first().and_then(|first| by_customer.get(*first));
         let mut candidates = own.into_iter().flatten().chain(&general);
-        let earlier = candidates.find(|earlier| takes_all(earlier, later));
+        let earlier = candidates.find(|earlier| shadows(earlier, later));
         if let Some(earlier) = earlier {
             let message = format!(
                 "selector {} is shadowed: {} stands before it and takes all of its requests",
@@ -116,13 +117,14 @@
     }
 }
 
-fn takes_all(earlier: &LintedSelector<'_>, later: &LintedSelector<'_>) -> bool {
+/// Whether `earlier` serves every request that `later` matches.
+fn shadows(earlier: &LintedSelector<'_>, later: &LintedSelector<'_>) -> bool {
     serves_adapters_of(&earlier.selector.target, &later.selector.target)
         && later.serves.implies(&earlier.selector.serves)
 }
 
-/// A selector with an adapter takes requests that name it and those that name none; one without
-/// takes only those that name none.
+/// Whether `earlier` serves every adapter that `later` serves. A selector with an adapter serves
+/// requests that name that adapter or none; one without serves only requests that name none.
 fn serves_adapters_of(earlier: &SelectorTarget, later: &SelectorTarget) -> bool {
     let adapter = |target: &SelectorTarget| match target {
         SelectorTarget::Model { adapter, .. } => adapter.clone(),
--- a/crates/coordination/src/configuration/model.rs
+++ b/crates/coordination/src/configuration/model.rs
@@ -1,4 +1,4 @@
-//! What operators write: label rules and selectors, checked and without places.
+//! Documents of a configuration: checked label rules, selectors and sources, without locations.
 
 use std::sync::Arc;
 
@@ -10,30 +10,30 @@
 use crate::base::{AdapterName, ModelName, SelectorName, ServiceName, VersionName};
 use crate::routes::SourceVersion;
 
-/// Order of a selector that names none.
+/// Order of a selector without an `order` field.
 pub const DEFAULT_ORDER: u32 = 100;
 
-/// Labels that operators put on what the rule names or matches.
+/// Labels that operators set on the objects that the rule names or matches.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LabelRule {
-    /// What the labels are on.
+    /// Kind of object that carries the labels.
     pub subject: LabelSubject,
-    /// Names that the rule is for; `None` for all.
+    /// Names that the rule applies to; `None` for all.
     pub name: Option<NamePattern>,
-    /// Facts that must match besides.
+    /// Requirements on facts that must hold as well.
     pub matching: LabelExpression,
-    /// The labels.
+    /// Labels that the rule sets.
     pub labels: LabelSet,
 }
 
-/// What makes two label rules the same document.
+/// Identity of a document within a configuration.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DocumentKey {
-    /// A label rule: its subject, name pattern and matching expression in canonical form.
+    /// A label rule, identified by its subject, name pattern and matching expression.
     #[display("labels on {}", [subject.to_string().as_str(), name, matching].join(" ").trim_end())]
     Labels {
-        /// What the labels are on.
+        /// Kind of object that carries the labels.
         subject: LabelSubject,
         /// Name pattern; empty for all.
         name: String,
@@ -48,30 +48,30 @@
     Source,
 }
 
-/// A document that operators wrote in a platform's own form, kept as they sent it.
+/// A document in a platform's own format, stored exactly as operators sent it.
 ///
-/// It stands beside labels and selectors in one configuration, so that it has a revision, a history
-/// and a place in the evidence like them, and is read back just as it was sent.
+/// It is part of the configuration like labels and selectors, so that it has a revision, a history
+/// and evidence records as well.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedSource {
-    /// Version that its operators gave it.
+    /// Version that operators assigned.
     pub version: SourceVersion,
-    /// The text.
+    /// Text of the document, as operators sent it.
     pub text: Arc<str>,
 }
 
-/// What a selector serves.
+/// Model or service that a selector serves.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum SelectorTarget {
     /// Pipelines over one model.
     #[display("model {model}")]
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// The version that every stage must hold; `None` leaves the choice to placement, still one
-        /// version in a pipeline.
+        /// Version that every stage must hold. `None` leaves the choice to placement; a pipeline
+        /// still holds a single version.
         version: Option<VersionName>,
-        /// The adapter that is applied; requests that ask for another one are not served.
+        /// Adapter that is applied; requests that name another one are not served.
         adapter: Option<AdapterName>,
     },
     /// A plain service.
@@ -79,35 +79,35 @@
     Service(ServiceName),
 }
 
-/// Which requests may be served by which backend servers.
+/// Rule that allows backend servers to serve matching requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Selector {
     /// Unique name.
     pub name: SelectorName,
-    /// Selectors are tried in rising order, those of one order by name.
+    /// Selectors are tried in ascending order; those of equal order are tried by name.
     pub order: u32,
-    /// What it serves.
+    /// Model or service that it serves.
     pub target: SelectorTarget,
-    /// Requests that it is for, over request and customer labels.
+    /// Requirements on the labels of the request and its customer.
     pub serves: LabelExpression,
-    /// Backend servers that it allows, over their announced facts and labels.
+    /// Requirements on the announced facts and labels of backend servers.
     pub allows: LabelExpression,
 }
 
 impl Selector {
-    /// Position among selectors: the lower is tried first.
+    /// Sort key of a selector; selectors of lower rank are tried first.
     pub(super) fn rank(&self) -> (u32, &SelectorName) {
         (self.order, &self.name)
     }
 
-    /// The document that this selector is.
+    /// Key of the selector's document.
     pub fn document_key(&self) -> DocumentKey {
         DocumentKey::Selector(self.name.clone())
     }
 }
 
 impl LabelRule {
-    /// The document that this rule is.
+    /// Key of the rule's document.
     pub fn document_key(&self) -> DocumentKey {
         let matching: Vec<String> = self
             .matching
@@ -124,7 +124,8 @@
         }
     }
 
-    /// How specific the rule is; labels of a more specific rule go over those of a less specific.
+    /// Sort key of a rule: exact names, then pattern length, then requirement count. Labels of a
+    /// more specific rule override those of a less specific one.
     pub(super) fn specificity(&self) -> (bool, usize, usize) {
         let exact = self.name.as_ref().is_some_and(NamePattern::is_exact);
         let literal = self.name.as_ref().map_or(0, NamePattern::literal_bytes);
--- a/crates/coordination/src/configuration/parse.rs
+++ b/crates/coordination/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! Checks a whole configuration text and gives what it says, or all that is wrong with it.
+//! Parses and checks a complete configuration text, and reports all findings together.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,31 +21,31 @@
 use crate::routes::SourceVersion;
 
 const KIND_RULE: &str = "kind: labels, kind: selector or kind: source";
-const MOST_ORDER: u32 = 1_000_000;
+const MAX_ORDER: u32 = 1_000_000;
 
 /// A checked configuration text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ParsedConfiguration {
     documents: Vec<Arc<CheckedDocument>>,
     canonical: CanonicalText,
-    /// What is accepted but likely not meant.
+    /// Findings on content that is accepted but probably unintended.
     pub warnings: FindingList,
 }
 
 impl ParsedConfiguration {
-    /// Checks `text` whole; `file` stands in the place of each finding.
+    /// Parses and checks `text`; the location of each finding names `file`.
     ///
     /// # Errors
-    /// All findings, warnings included, if any of them refuses the text.
+    /// All findings, including warnings, if any of them is an error.
     pub fn parse(file: &str, text: &str) -> Result<Self, FindingList> {
         Self::parse_after(file, text, &mut DocumentCache::default())
     }
 
-    /// Checks `text` whole, but reads only documents that `cache` does not hold. The outcome is the
-    /// same as that of [`ParsedConfiguration::parse`]. A good text's documents then are the cache.
+    /// Checks `text`, but parses only documents that `cache` does not contain. The result equals
+    /// that of [`ParsedConfiguration::parse`]. The documents of a valid text replace the cache.
     ///
     /// # Errors
-    /// All findings, warnings included, if any of them refuses the text; the cache is unchanged.
+    /// All findings, including warnings, if any of them is an error; the cache is unchanged.
     pub fn parse_after(
         file: &str,
         text: &str,
@@ -63,7 +63,7 @@
         Ok(parsed)
     }
 
-    /// The text in canonical form: equal for equal content, whatever its order and spelling.
+    /// The canonical text, which is equal for equal content regardless of order and spelling.
     pub fn canonical(&self) -> &CanonicalText {
         &self.canonical
     }
@@ -99,7 +99,7 @@
     }
 }
 
-/// Splits a text, or says which bound it passes.
+/// Splits a text into documents; a text over a limit is refused with a finding.
 fn bounded_chunks<'a>(file: &Arc<str>, text: &'a str) -> Result<Vec<TextChunk<'a>>, FindingList> {
     let mut findings = FindingList::default();
     if text.len() > MAX_TEXT_BYTES {
@@ -121,7 +121,7 @@
 #[derive(Default)]
 struct ConfigurationReader {
     documents: Vec<Arc<CheckedDocument>>,
-    /// Where each of `documents` begins.
+    /// Start of each document in `documents`.
     document_places: Vec<Place>,
     places: BTreeMap<DocumentKey, Place>,
     findings: FindingList,
@@ -143,7 +143,7 @@
     }
 
     fn read_chunk(&mut self, file: &Arc<str>, chunk: TextChunk<'_>, cache: &DocumentCache) {
-        // Sources are not cached: to look one up costs as much as to read it.
+        // Sources are not cached: a cache lookup costs as much as parsing the source.
         if let Some(source) = parse_canonical_source(chunk.text) {
             let place = Place {
                 file: file.clone(),
@@ -187,7 +187,7 @@
         self.findings.extend(own);
     }
 
-    /// Adds a document unless its key is given already.
+    /// Adds a document; one whose key already exists adds a finding instead.
     fn add(&mut self, document: Arc<CheckedDocument>, place: Place) {
         let key = &document.key;
         if let Some(first) = self.places.get(key) {
@@ -221,7 +221,7 @@
         let name = self.read_name(&mut reader, subject);
         let matching = read_expression(reader.take("match"), &mut self.findings);
         let labels = self.read_label_set(&mut reader, subject);
-        let named = name.is_some() || !matching.is_empty();
+        let has_condition = name.is_some() || !matching.is_empty();
         reader.close(&mut self.findings);
         let subject = subject?;
         if subject == LabelSubject::Customer && !matching.is_empty() {
@@ -229,7 +229,7 @@
             self.findings
                 .error(place.clone(), message, "name: a customer or a pattern");
         }
-        if subject != LabelSubject::Request && !named {
+        if subject != LabelSubject::Request && !has_condition {
             let message = format!("the {subject} is not named");
             self.findings
                 .error(place.clone(), message, "name: a name or a pattern with *");
@@ -286,12 +286,12 @@
             return labels;
         };
         for label in read_pairs(entry.node, "labels", &mut self.findings) {
-            let fault = subject
+            let error = subject
                 .and_then(|on| check_label(on, label.key.as_str(), label.value.as_str()).err());
-            match fault {
-                Some(fault) => self
+            match error {
+                Some(error) => self
                     .findings
-                    .error(label.place, fault.message, fault.expected),
+                    .error(label.place, error.message, error.expected),
                 None => labels.set(label.key, label.value),
             }
         }
@@ -336,10 +336,10 @@
         let Some(text) = reader.take_text("order", &mut self.findings) else {
             return DEFAULT_ORDER;
         };
-        let order = text.text.parse().ok().filter(|order| *order <= MOST_ORDER);
+        let order = text.text.parse().ok().filter(|order| *order <= MAX_ORDER);
         if order.is_none() {
             let message = format!("order can't be {}", text.text);
-            let expected = format!("a whole number from 0 to {MOST_ORDER}");
+            let expected = format!("a whole number from 0 to {MAX_ORDER}");
             self.findings.error(text.place, message, expected);
         }
         order.unwrap_or(DEFAULT_ORDER)
@@ -394,10 +394,10 @@
     }
 }
 
-/// Refuses a text whose canonical form is over the bound.
+/// Refuses a text whose canonical form exceeds [`MAX_TEXT_BYTES`].
 ///
-/// Failure: keepers restore a configuration from its canonical text, which can be longer than what
-/// the operator wrote; over the bound a keeper could not come back from its own snapshot.
+/// Keepers restore a configuration from its canonical text, which can be longer than the operator's
+/// text. Above the limit, a keeper could not restore its own snapshot.
 fn check_canonical_size(
     mut parsed: ParsedConfiguration,
     file: &Arc<str>,
@@ -412,21 +412,21 @@
     Err(parsed.warnings)
 }
 
-/// A label as written.
+/// A label and the location of its value.
 pub(super) struct LocatedLabel {
     pub(super) place: Place,
     pub(super) key: LabelKey,
     pub(super) value: LabelValue,
 }
 
-/// Reads a map of labels; each entry that is no label is a finding.
+/// Reads a map of labels; each entry that is no valid label adds a finding.
 pub(super) fn read_pairs(
     node: LocatedNode,
-    what: &str,
+    name: &str,
     findings: &mut FindingList,
 ) -> Vec<LocatedLabel> {
     let super::document::NodeValue::Map(entries) = node.value else {
-        let message = format!("{what} is {}", node.value.kind());
+        let message = format!("{name} is {}", node.value.kind());
         findings.error(node.place, message, "a map of keys and values");
         return Vec::new();
     };
--- a/crates/coordination/src/configuration/parse_expression.rs
+++ b/crates/coordination/src/configuration/parse_expression.rs
@@ -1,4 +1,4 @@
-//! Reads `matchLabels` and `matchExpressions`.
+//! Parses `matchLabels` and `matchExpressions`.
 
 use std::collections::BTreeSet;
 
@@ -9,12 +9,12 @@
 use super::reader::{FieldReader, LocatedText, texts_of};
 use crate::base::{FindingList, Place};
 
-/// Most requirements in one expression.
+/// Maximum number of requirements in one expression.
 const MAX_REQUIREMENTS: usize = 64;
-/// Most values in one requirement.
+/// Maximum number of values in one requirement.
 const MAX_VALUES: usize = 4_096;
 
-/// Reads an expression; an absent one matches everything.
+/// Parses an expression; an absent one matches everything.
 pub(super) fn read_expression(
     entry: Option<LocatedEntry>,
     findings: &mut FindingList,
@@ -23,8 +23,8 @@
     let Some(entry) = entry else {
         return expression;
     };
-    let what = entry.key;
-    let Some(mut reader) = FieldReader::open(entry.node, &what, findings) else {
+    let name = entry.key;
+    let Some(mut reader) = FieldReader::open(entry.node, &name, findings) else {
         return expression;
     };
     if let Some(entry) = reader.take("matchLabels") {
@@ -39,7 +39,7 @@
     let place = reader.place().clone();
     reader.close(findings);
     if expression.len() > MAX_REQUIREMENTS {
-        let message = format!("{what} holds {} requirements", expression.len());
+        let message = format!("{name} holds {} requirements", expression.len());
         findings.error(place, message, format!("at most {MAX_REQUIREMENTS}"));
     }
     expression
@@ -94,12 +94,18 @@
 ) -> Option<RequirementTest> {
     let place = operator.place;
     match operator.text.as_str() {
-        "In" => Some(RequirementTest::In(need_values(place, values, findings)?)),
-        "NotIn" => Some(RequirementTest::NotIn(need_values(
+        "In" => Some(RequirementTest::In(require_values(
+            place, values, findings,
+        )?)),
+        "NotIn" => Some(RequirementTest::NotIn(require_values(
+            place, values, findings,
+        )?)),
+        "Gt" => Some(RequirementTest::Gt(require_number(
+            place, values, findings,
+        )?)),
+        "Lt" => Some(RequirementTest::Lt(require_number(
             place, values, findings,
         )?)),
-        "Gt" => Some(RequirementTest::Gt(need_number(place, values, findings)?)),
-        "Lt" => Some(RequirementTest::Lt(need_number(place, values, findings)?)),
         "Exists" | "DoesNotExist" if values.is_some() => {
             let message = format!("{} takes no values", operator.text);
             findings.error(values?.0, message, "no values, or In or NotIn");
@@ -115,7 +121,7 @@
     }
 }
 
-fn need_values(
+fn require_values(
     place: Place,
     values: Option<(Place, Option<Vec<LocatedText>>)>,
     findings: &mut FindingList,
@@ -142,7 +148,7 @@
     Some(checked)
 }
 
-fn need_number(
+fn require_number(
     place: Place,
     values: Option<(Place, Option<Vec<LocatedText>>)>,
     findings: &mut FindingList,
--- a/crates/coordination/src/configuration/reader.rs
+++ b/crates/coordination/src/configuration/reader.rs
@@ -1,19 +1,19 @@
-//! Takes the fields of a placed map; whatever is left over, repeated or mistyped is a finding.
+//! Reads the fields of a YAML map; unknown, repeated and mistyped fields add findings.
 
 use std::collections::BTreeMap;
 
 use super::document::{LocatedEntry, LocatedNode, NodeValue};
 use crate::base::{FindingList, Place};
 
-/// The fields of one map, taken one by one.
+/// Unread fields of one map.
 pub(super) struct FieldReader {
     place: Place,
     entries: Vec<LocatedEntry>,
-    /// Keys asked for so far; what an unknown key could have been.
+    /// Keys requested so far, which the finding on an unknown key lists as accepted.
     accepted: Vec<&'static str>,
 }
 
-/// A scalar and its place.
+/// A scalar and its location.
 #[derive(Clone, Debug)]
 pub(super) struct LocatedText {
     pub(super) place: Place,
@@ -21,10 +21,10 @@
 }
 
 impl FieldReader {
-    /// A reader of `node`, or a finding that says what it is instead of a map.
-    pub(super) fn open(node: LocatedNode, what: &str, findings: &mut FindingList) -> Option<Self> {
+    /// Reads `node`, which `name` names in findings; a node that is no map adds a finding.
+    pub(super) fn open(node: LocatedNode, name: &str, findings: &mut FindingList) -> Option<Self> {
         let NodeValue::Map(entries) = node.value else {
-            let message = format!("{what} is {}", node.value.kind());
+            let message = format!("{name} is {}", node.value.kind());
             findings.error(node.place, message, "a map of keys and values");
             return None;
         };
@@ -35,19 +35,19 @@
         })
     }
 
-    /// Where the map begins.
+    /// Start of the map.
     pub(super) fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Takes a field.
+    /// Removes and returns the field `key`.
     pub(super) fn take(&mut self, key: &'static str) -> Option<LocatedEntry> {
         self.accepted.push(key);
         let index = self.entries.iter().position(|entry| entry.key == key)?;
         Some(self.entries.remove(index))
     }
 
-    /// Takes a field that must be a scalar.
+    /// Removes and returns the field `key`; a value that is no scalar adds a finding.
     pub(super) fn take_text(
         &mut self,
         key: &'static str,
@@ -57,7 +57,8 @@
         text_of(entry.node, key, findings)
     }
 
-    /// Takes a scalar that must be there.
+    /// Removes and returns the field `key`; an absent field or one that is no scalar adds a
+    /// finding.
     pub(super) fn require_text(
         &mut self,
         key: &'static str,
@@ -72,7 +73,7 @@
         None
     }
 
-    /// Ends the reading: every field that was not taken is unknown.
+    /// Adds a finding for each remaining field, which is unknown.
     pub(super) fn close(self, findings: &mut FindingList) {
         let expected = self.accepted.join(", ");
         for entry in self.entries {
@@ -82,7 +83,7 @@
     }
 }
 
-/// The entries of a map without repeated keys, each of which is a finding.
+/// Entries of a map with the first value of each key; each repetition adds a finding.
 pub(super) fn without_duplicates(
     entries: Vec<LocatedEntry>,
     findings: &mut FindingList,
@@ -101,10 +102,10 @@
     kept
 }
 
-/// The scalar in `node`, or a finding.
+/// The scalar in `node`; any other node adds a finding.
 pub(super) fn text_of(
     node: LocatedNode,
-    what: &str,
+    name: &str,
     findings: &mut FindingList,
 ) -> Option<LocatedText> {
     match node.value {
@@ -113,27 +114,27 @@
             text,
         }),
         other => {
-            let message = format!("{what} is {}", other.kind());
+            let message = format!("{name} is {}", other.kind());
             findings.error(node.place, message, "one plain value");
             None
         }
     }
 }
 
-/// The scalars of a list, or findings for each that is none.
+/// The scalars of a list; each element that is no scalar adds a finding.
 pub(super) fn texts_of(
     node: LocatedNode,
-    what: &str,
+    name: &str,
     findings: &mut FindingList,
 ) -> Option<Vec<LocatedText>> {
     let NodeValue::List(nodes) = node.value else {
-        let message = format!("{what} is {}", node.value.kind());
+        let message = format!("{name} is {}", node.value.kind());
         findings.error(node.place, message, "a list of plain values");
         return None;
     };
     let texts = nodes
         .into_iter()
-        .filter_map(|node| text_of(node, what, findings))
+        .filter_map(|node| text_of(node, name, findings))
         .collect();
     Some(texts)
 }
--- a/crates/coordination/src/configuration/select.rs
+++ b/crates/coordination/src/configuration/select.rs
@@ -1,4 +1,4 @@
-//! Decides which selector serves a request, and which backend servers it allows.
+//! Finds the selector of a request, and checks backend servers against a selector.
 
 use std::fmt;
 
@@ -13,16 +13,16 @@
 use super::table::{Configuration, SelectorKey, TargetName};
 use crate::base::{AdapterName, Revision, SelectorName};
 
-/// Most selectors that a refusal names; the others are counted.
+/// Maximum number of selectors that a refusal names; further ones are only counted.
 pub const MAX_NAMED_SELECTORS: usize = 16;
 
-/// Why a selector does not serve a request.
+/// Reason why a selector does not serve a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SelectMismatch {
-    /// It serves another model or service.
+    /// The selector serves another model or service.
     #[display("it serves {_0}")]
     Target(SelectorTarget),
-    /// The request names an adapter that the selector does not.
+    /// The request names an adapter that the selector does not apply.
     #[display("the request asks for adapter {_0}")]
     Adapter(AdapterName),
     /// A requirement of `for` does not hold.
@@ -34,46 +34,46 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{selector}: {reason}")]
 pub struct ConsideredSelector {
-    /// The selector.
+    /// Name of the selector.
     pub selector: SelectorName,
-    /// Why it does not serve the request.
+    /// Reason why it does not serve the request.
     pub reason: SelectMismatch,
 }
 
-/// What was decided about a request.
+/// Result of selecting for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SelectionVerdict {
-    /// A selector serves it.
+    /// A selector serves the request.
     Selected(Box<SelectedRequest>),
-    /// No selector serves it.
+    /// No selector serves the request.
     Refused(SelectionRefusal),
 }
 
 /// A request that a selector serves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SelectedRequest {
-    /// Configuration that decided.
+    /// Revision of the configuration that made the decision.
     pub revision: Revision,
-    /// The selector, in that configuration.
+    /// Key of the selector in that configuration.
     pub key: SelectorKey,
-    /// Its name.
+    /// Name of the selector.
     pub selector: SelectorName,
-    /// What is served; the adapter is the one to apply.
+    /// Model or service that serves the request, with the adapter to apply.
     pub target: SelectorTarget,
     /// All labels of the request.
     pub labels: LabelSet,
-    /// Limits, priority and deadline of the request: its own labels before its customer's.
+    /// Limits, priority and deadline; labels of the request override those of its customer.
     pub settings: LabelSettings,
 }
 
 /// A request that no selector serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SelectionRefusal {
-    /// Configuration that decided.
+    /// Revision of the configuration that made the decision.
     pub revision: Revision,
-    /// Selectors that were considered, in order, at most [`MAX_NAMED_SELECTORS`].
+    /// Mismatching selectors in the order tried, at most [`MAX_NAMED_SELECTORS`].
     pub considered: Vec<ConsideredSelector>,
-    /// Selectors of the model or service that are not named above.
+    /// Number of selectors of the model or service that `considered` does not contain.
     pub unnamed: usize,
 }
 
@@ -82,8 +82,8 @@
         write!(formatter, "no selector of revision {}", self.revision)?;
         formatter.write_str(" serves this request")?;
         for (index, considered) in self.considered.iter().enumerate() {
-            let joint = if index == 0 { ": " } else { "; " };
-            write!(formatter, "{joint}{considered}")?;
+            let separator = if index == 0 { ": " } else { "; " };
+            write!(formatter, "{separator}{considered}")?;
         }
         if self.unnamed > 0 {
             write!(formatter, "; {} more do not serve it", self.unnamed)?;
@@ -92,19 +92,19 @@
     }
 }
 
-/// Why a selector does not allow a backend server.
+/// Reason why a selector does not allow a backend server.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AllowMismatch {
-    /// An operator's label took it out of service.
+    /// An operator's label takes the backend server out of service.
     #[display("it is out of service")]
     OutOfService,
-    /// It offers another model or service.
+    /// The backend server offers another model or service.
     #[display("it does not offer {_0}")]
     Target(SelectorTarget),
-    /// It holds another version.
+    /// The backend server holds another version.
     #[display("it does not hold the selector's version")]
     Version,
-    /// It can't apply the adapter.
+    /// The backend server can't apply the adapter.
     #[display("it can't apply adapter {_0}")]
     Adapter(AdapterName),
     /// A requirement of `allow` does not hold.
@@ -112,23 +112,23 @@
     Label(Mismatch),
 }
 
-/// One selector's part in an explanation.
+/// Result of matching one selector against a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SelectorExplanation {
-    /// The selector.
+    /// Name of the selector.
     pub selector: SelectorName,
-    /// Its place in the order.
+    /// Order of the selector.
     pub order: u32,
-    /// Why it does not match; `None` if it matches.
+    /// Reason for the mismatch; `None` if the selector matches.
     pub mismatch: Option<SelectMismatch>,
-    /// Whether it is the one that serves the request.
+    /// Whether it is the first match, which serves the request.
     pub serves: bool,
 }
 
 impl Configuration {
-    /// The first selector that serves the request, or those that were considered.
+    /// Finds the first selector that matches the request, or reports the mismatches.
     ///
-    /// Looks only at selectors of the request's model or service that name its customer or none.
+    /// Tries only selectors of the request's model or service that name its customer or none.
     pub fn select(&self, facts: &RequestFacts) -> SelectionVerdict {
         let labels = self.request_labels(facts);
         let target = TargetName::of_request(&facts.target);
@@ -137,7 +137,7 @@
         };
         let (own, general) = selectors.candidates(&facts.customer);
         let mut considered = Vec::new();
-        for key in self.in_order(own, general) {
+        for key in self.merge_by_rank(own, general) {
             let Some(selector) = self.selector(key) else {
                 continue;
             };
@@ -155,7 +155,7 @@
         SelectionVerdict::Refused(self.refusal(considered, selectors.total))
     }
 
-    /// Each selector in order with its reason; looks at all of them.
+    /// Matches the request against every selector, in order, without the index.
     pub fn explain(&self, facts: &RequestFacts) -> Vec<SelectorExplanation> {
         let labels = self.request_labels(facts);
         let mut ordered: Vec<&Selector> = self.selectors.values().map(AsRef::as_ref).collect();
@@ -175,10 +175,10 @@
         ordered.into_iter().map(explain_one).collect()
     }
 
-    /// Whether the selector allows the backend server, by its facts and present labels.
+    /// Checks the selector against the facts and current labels of a backend server.
     ///
     /// # Errors
-    /// Why it does not.
+    /// [`AllowMismatch`] if the selector does not allow the backend server.
     pub fn allows(&self, selector: &Selector, facts: &ServerFacts) -> Result<(), AllowMismatch> {
         selector.allows_server(facts, &self.server_labels(facts))
     }
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Merges two lists, each in order, into one in order.
-    fn in_order<'a>(
+    /// Merges two lists that are sorted by rank.
+    fn merge_by_rank<'a>(
         &'a self,
         own: &'a [SelectorKey],
         general: &'a [SelectorKey],
@@ -235,11 +235,12 @@
 }
 
 impl Selector {
-    /// Why the selector does not serve a request with these labels; `None` if it does.
+    /// Reason why the selector does not serve a request with these labels; `None` if it does.
     pub fn mismatch(&self, facts: &RequestFacts, labels: &LabelSet) -> Option<SelectMismatch> {
         let other_target = || Some(SelectMismatch::Target(self.target.clone()));
         match (&self.target, &facts.target) {
-            (SelectorTarget::Service(own), RequestTarget::Service(asked)) if own == asked => {}
+            (SelectorTarget::Service(own), RequestTarget::Service(requested))
+                if own == requested => {}
             (
                 SelectorTarget::Model {
                     model: own,
@@ -248,13 +249,13 @@
                 },
                 RequestTarget::Model {
                     model,
-                    adapter: asked,
+                    adapter: requested,
                 },
             ) if own == model => {
-                if let Some(asked) = asked
-                    && adapter.as_ref() != Some(asked)
+                if let Some(requested) = requested
+                    && adapter.as_ref() != Some(requested)
                 {
-                    return Some(SelectMismatch::Adapter(asked.clone()));
+                    return Some(SelectMismatch::Adapter(requested.clone()));
                 }
             }
             _ => return other_target(),
@@ -262,10 +263,10 @@
         self.serves.mismatch(labels).map(SelectMismatch::Label)
     }
 
-    /// Whether the selector allows a backend server with these labels.
+    /// Checks the selector against a backend server with these labels.
     ///
     /// # Errors
-    /// Why it does not.
+    /// [`AllowMismatch`] if the selector does not allow the backend server.
     pub fn allows_server(
         &self,
         facts: &ServerFacts,
--- a/crates/coordination/src/configuration/table.rs
+++ b/crates/coordination/src/configuration/table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, laid out for matching.
+//! An accepted configuration, indexed for matching.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use crate::base::{CustomerName, Revision};
 
 new_key_type! {
-    /// Key of a selector in one [`Configuration`].
+    /// Key of a selector; valid only in its own [`Configuration`].
     pub struct SelectorKey;
-    /// Key of a label rule in one [`Configuration`].
+    /// Key of a label rule; valid only in its own [`Configuration`].
     pub struct RuleKey;
 }
 
-/// One accepted configuration, immutable.
+/// One accepted configuration, immutable and indexed for matching.
 ///
-/// Invariant: each selector stands in exactly one list of `index`, and each list is in the order
-/// in which selectors are tried.
+/// Invariant: each selector is in the general list of its target in `index`, or in the lists of the
+/// customers that it names; each list is in the order in which selectors are tried.
 #[derive(Debug, Default)]
 pub struct Configuration {
     revision: Revision,
@@ -36,7 +36,7 @@
     source: Option<Arc<PublishedSource>>,
 }
 
-/// Selectors by what they need of a request.
+/// Selectors by target and customer.
 #[derive(Debug, Default)]
 pub(super) struct SelectorIndex {
     targets: HashMap<TargetName, TargetSelectors>,
@@ -45,22 +45,22 @@
 /// Selectors of one model or service.
 #[derive(Debug, Default)]
 pub(super) struct TargetSelectors {
-    /// Those that name customers, once under each of these customers.
+    /// Selectors that name customers, listed under each of these customers.
     by_customer: HashMap<CustomerName, Vec<SelectorKey>>,
-    /// Those for any customer.
+    /// Selectors for any customer.
     general: Vec<SelectorKey>,
-    /// Number of selectors.
+    /// Number of selectors, each counted once.
     pub(super) total: usize,
 }
 
-/// Name of a model or service, the first thing that decides which selectors can match.
+/// Name of a model or service, the first key of the selector index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum TargetName {
     Model(String),
     Service(String),
 }
 
-/// Label rules by whom they are for.
+/// Label rules by subject and exact name, or by subject alone for patterns.
 #[derive(Debug, Default)]
 struct RuleIndex {
     exact: HashMap<(LabelSubject, String), Vec<RuleKey>>,
@@ -68,7 +68,7 @@
 }
 
 impl Configuration {
-    /// Lays out a checked configuration.
+    /// Indexes a checked configuration.
     pub fn build(revision: Revision, parsed: &ParsedConfiguration) -> Self {
         let mut configuration = Self {
             revision,
@@ -81,12 +81,12 @@
         configuration
     }
 
-    /// Number of this configuration.
+    /// Revision of this configuration.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Its canonical text.
+    /// Canonical text of this configuration.
     pub fn canonical(&self) -> &CanonicalText {
         &self.canonical
     }
@@ -101,12 +101,12 @@
         self.source.as_ref()
     }
 
-    /// A selector.
+    /// The selector of `key`.
     pub fn selector(&self, key: SelectorKey) -> Option<&Selector> {
         self.selectors.get(key).map(AsRef::as_ref)
     }
 
-    /// All selectors, in no order.
+    /// All selectors, in no particular order.
     pub fn selectors(&self) -> impl Iterator<Item = (SelectorKey, &Selector)> {
         self.selectors
             .iter()
@@ -118,7 +118,7 @@
         self.selectors.len()
     }
 
-    /// Operators' labels of a customer.
+    /// Labels that operators set on a customer.
     pub fn customer_labels(&self, customer: &CustomerName) -> LabelSet {
         self.operator_labels(
             LabelSubject::Customer,
@@ -132,7 +132,7 @@
         LabelSettings::of(&self.customer_labels(customer))
     }
 
-    /// All labels of a backend server: what it announced, and the operators' labels.
+    /// All labels of a backend server: its announced facts, overridden by operators' labels.
     pub fn server_labels(&self, facts: &ServerFacts) -> LabelSet {
         let mut labels = facts.labels();
         let own = self.operator_labels(LabelSubject::BackendServer, facts.name.as_str(), &labels);
@@ -145,7 +145,7 @@
         LabelSettings::of(&self.server_labels(facts))
     }
 
-    /// All labels of a host.
+    /// All labels of a host: its facts, overridden by operators' labels.
     pub fn host_labels(&self, facts: &HostFacts) -> LabelSet {
         let mut labels = facts.labels();
         let own = self.operator_labels(LabelSubject::Host, facts.name.as_str(), &labels);
@@ -153,8 +153,8 @@
         labels
     }
 
-    /// All labels of a request: its facts, those of its customer under `customer/`, and what the
-    /// operators derive from the request's facts.
+    /// All labels of a request: its facts, the labels of its customer under `customer/`, and labels
+    /// that operators' rules derive from both.
     pub fn request_labels(&self, facts: &RequestFacts) -> LabelSet {
         let mut labels = facts.labels();
         for (key, value) in self.customer_labels(&facts.customer).iter() {
@@ -167,12 +167,12 @@
         labels
     }
 
-    /// Well-known settings of a request: its own labels before those of its customer.
+    /// Well-known labels of a request; its own labels override those of its customer.
     pub fn request_settings(&self, facts: &RequestFacts, labels: &LabelSet) -> LabelSettings {
         LabelSettings::of(labels).or(&self.customer_settings(&facts.customer))
     }
 
-    /// Labels by the rules that fit; the more specific rule goes over the less specific one.
+    /// Labels of all matching rules; a more specific rule overrides a less specific one.
     fn operator_labels(&self, subject: LabelSubject, name: &str, facts: &LabelSet) -> LabelSet {
         let exact = self.rule_index.exact.get(&(subject, name.to_owned()));
         let patterns = self.rule_index.patterns.get(&subject);
@@ -182,11 +182,11 @@
             .chain(exact.into_iter().flatten());
         let mut labels = LabelSet::default();
         for rule in keys.filter_map(|key| self.rules.get(*key)) {
-            let named = rule
+            let name_matches = rule
                 .name
                 .as_ref()
                 .is_none_or(|pattern| pattern.matches(name));
-            if named && rule.matching.matches(facts) {
+            if name_matches && rule.matching.matches(facts) {
                 labels.overlay(&rule.labels);
             }
         }
@@ -207,8 +207,12 @@
             let key = self.rules.insert(rule.clone());
             match &rule.name {
                 Some(name) if name.is_exact() => {
-                    let place = (rule.subject, name.as_str().to_owned());
-                    self.rule_index.exact.entry(place).or_default().push(key);
+                    let exact_key = (rule.subject, name.as_str().to_owned());
+                    self.rule_index
+                        .exact
+                        .entry(exact_key)
+                        .or_default()
+                        .push(key);
                 }
                 _ => self
                     .rule_index
@@ -243,7 +247,8 @@
 }
 
 impl TargetSelectors {
-    /// Selectors that name the customer, and selectors for any customer, each list in order.
+    /// Selectors that name the customer, and selectors for any customer; both lists are in the
+    /// order in which selectors are tried.
     pub(super) fn candidates(&self, customer: &CustomerName) -> (&[SelectorKey], &[SelectorKey]) {
         let own = self
             .by_customer
--- a/crates/coordination/src/configuration/text_edit.rs
+++ b/crates/coordination/src/configuration/text_edit.rs
@@ -1,26 +1,26 @@
-//! A text as pieces of an earlier one.
+//! Edits that build a text from pieces of an earlier one.
 //!
-//! Failure: a published source is one document, and each change of one of its routes carried the whole
-//! to every host. Symptom: links between data centres and keepers' memory full of copies that differ by
-//! a few hundred bytes each. An edit carries just these. Whoever applies one checks the digest of what
-//! comes out.
+//! A published source is one document. When each change of a route carried the complete source to
+//! every host, copies that differed by a few hundred bytes filled the links between data centres
+//! and the memory of keepers. An edit carries only the differences. Code that applies an edit
+//! checks the digest of the result.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Ends of the pieces in which texts are compared: objects and lines.
+/// Characters that end a piece, the unit of comparison: the end of a JSON object or of a line.
 const PIECE_ENDS: [char; 2] = ['}', '\n'];
-/// Bytes that a step is taken to need besides its text.
+/// Estimated encoding overhead of a step, in bytes.
 const STEP_BYTES: usize = 16;
 
 /// One step of an edit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum EditStep {
-    /// Bytes of the earlier text, from `start` on.
+    /// Copies `len` bytes of the earlier text, from byte `start` on.
     Keep { start: usize, len: usize },
-    /// New text.
+    /// Inserts new text.
     Insert(Arc<str>),
 }
 
@@ -32,45 +32,46 @@
 }
 
 impl TextEdit {
-    /// The edit that leads from `earlier` to `later`; `None` where it saves less than half.
+    /// The edit that leads from `earlier` to `later`; `None` unless it takes less than half the
+    /// bytes of `later`.
     pub(super) fn between(earlier: &str, later: &str) -> Option<Self> {
-        let places = find_places(earlier);
+        let offsets = index_pieces(earlier);
         let mut builder = EditBuilder::new(later);
-        let mut at = 0;
+        let mut offset = 0;
         for piece in later.split_inclusive(PIECE_ENDS) {
-            match builder.next_place(earlier, piece, &places) {
+            match builder.find_piece(earlier, piece, &offsets) {
                 Some(start) => builder.keep(start, piece.len()),
-                None => builder.insert(at, at + piece.len()),
+                None => builder.insert(offset, offset + piece.len()),
             }
-            at += piece.len();
+            offset += piece.len();
         }
         builder.finish().if_smaller_than(later)
     }
 
-    /// The edit that leads back from the later text to `earlier`, without comparing the two; `None`
-    /// where pieces changed their order, or where it saves less than half.
+    /// The edit that leads from the later text back to `earlier`, without comparing the two. `None`
+    /// if pieces changed their order, or unless it takes less than half the bytes of `earlier`.
     pub(super) fn inverse(&self, earlier: &str) -> Option<Self> {
         let mut builder = EditBuilder::new(earlier);
-        let (mut earlier_at, mut later_at) = (0, 0);
+        let (mut earlier_offset, mut later_offset) = (0, 0);
         for step in &self.steps {
             match step {
                 EditStep::Keep { start, len } => {
-                    // Text that an edit of another order had passed would be lost.
-                    let is_ahead = earlier_at <= *start;
+                    // A step that goes back in the earlier text would lose the text in between.
+                    let is_ahead = earlier_offset <= *start;
                     let end = start.checked_add(*len).filter(|_| is_ahead)?;
-                    builder.insert(earlier_at, *start);
-                    builder.keep(later_at, *len);
-                    earlier_at = end;
-                    later_at += len;
+                    builder.insert(earlier_offset, *start);
+                    builder.keep(later_offset, *len);
+                    earlier_offset = end;
+                    later_offset += len;
                 }
-                EditStep::Insert(new) => later_at += new.len(),
+                EditStep::Insert(new) => later_offset += new.len(),
             }
         }
-        builder.insert(earlier_at, earlier.len());
+        builder.insert(earlier_offset, earlier.len());
         builder.finish().if_smaller_than(earlier)
     }
 
-    /// The later text; `None` if `earlier` is not the text that the edit was made from.
+    /// Builds the later text; `None` if a step refers to bytes that `earlier` does not contain.
     pub(super) fn apply(&self, earlier: &str) -> Option<Arc<str>> {
         let mut text = String::with_capacity(earlier.len());
         for step in &self.steps {
@@ -84,7 +85,7 @@
         Some(text.into())
     }
 
-    /// About how many bytes it needs in a frame or in memory.
+    /// Approximate size in a frame or in memory, in bytes.
     pub(super) fn bytes(&self) -> usize {
         let sizes = self.steps.iter().map(|step| match step {
             EditStep::Keep { .. } => STEP_BYTES,
@@ -93,19 +94,19 @@
         sizes.sum()
     }
 
-    fn if_smaller_than(self, whole: &str) -> Option<Self> {
-        (self.bytes() * 2 < whole.len()).then_some(self)
+    fn if_smaller_than(self, text: &str) -> Option<Self> {
+        (self.bytes() * 2 < text.len()).then_some(self)
     }
 }
 
-/// A step whose new text is still a range of the text that the edit leads to.
+/// A step whose new text is a byte range of the later text.
 enum BuilderStep {
     Keep { start: usize, len: usize },
     Insert { start: usize, end: usize },
 }
 
-/// An edit in the making. Neighbouring steps of a kind are joined by their ranges alone: copied
-/// together piece by piece, a thousand new routes in a row cost the square of their length.
+/// Builds an edit. It merges adjacent steps of the same kind by extending their ranges:
+/// concatenating texts piece by piece took quadratic time for a thousand new routes in a row.
 struct EditBuilder<'later> {
     later: &'later str,
     steps: Vec<BuilderStep>,
@@ -119,12 +120,12 @@
         }
     }
 
-    /// Where `piece` stands in the earlier text: best right behind the piece before it.
-    fn next_place(
+    /// Offset of `piece` in the earlier text, preferably directly after the last kept range.
+    fn find_piece(
         &self,
         earlier: &str,
         piece: &str,
-        places: &HashMap<&str, usize>,
+        offsets: &HashMap<&str, usize>,
     ) -> Option<usize> {
         if let Some(BuilderStep::Keep { start, len }) = self.steps.last() {
             let next = start + len;
@@ -133,17 +134,17 @@
                 return Some(next);
             }
         }
-        places.get(piece).copied()
+        offsets.get(piece).copied()
     }
 
-    fn keep(&mut self, from: usize, more: usize) {
+    fn keep(&mut self, from: usize, added: usize) {
         if let Some(BuilderStep::Keep { start, len }) = self.steps.last_mut()
             && *start + *len == from
         {
-            *len += more;
+            *len += added;
             return;
         }
-        let (start, len) = (from, more);
+        let (start, len) = (from, added);
         self.steps.push(BuilderStep::Keep { start, len });
     }
 
@@ -174,13 +175,13 @@
     }
 }
 
-/// First place of each piece of a text.
-fn find_places(text: &str) -> HashMap<&str, usize> {
-    let mut places = HashMap::new();
+/// Byte offset of the first occurrence of each piece of a text.
+fn index_pieces(text: &str) -> HashMap<&str, usize> {
+    let mut offsets = HashMap::new();
     let mut start = 0;
     for piece in text.split_inclusive(PIECE_ENDS) {
-        places.entry(piece).or_insert(start);
+        offsets.entry(piece).or_insert(start);
         start += piece.len();
     }
-    places
+    offsets
 }
