--- a/crates/coordination/src/routes.rs
+++ b/crates/coordination/src/routes.rs
@@ -1,7 +1,7 @@
-//! Routes: which service serves which requests of callers, under which bounds, and whose keys hold.
+//! Routes of callers' requests to services, limits on callers, and customers' keys.
 //!
-//! A document of routes is what operators of a platform publish as a whole, under a version of
-//! their own. [`RouteTable`] is the document laid out for requests.
+//! Operators of a platform publish all routes as one versioned [`RouteDocument`]. [`RouteTable`] is
+//! the document indexed for lookups.
 
 mod document;
 mod generations;
--- a/crates/coordination/src/routes/document.rs
+++ b/crates/coordination/src/routes/document.rs
@@ -1,4 +1,4 @@
-//! What operators publish.
+//! Route documents, as operators publish them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use crate::base::{CustomerName, ModelName, ServiceName, number_type};
 
 number_type!(
-    /// Version that operators give a document; the highest is in force.
+    /// Version that operators assign to a document; the highest version is in force.
     SourceVersion(u64)
 );
 
-/// What may be done with a request besides sending it once.
+/// Whether a request may be sent more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     NonIdempotent,
-    /// Its answer is a stream of events; it may run at most once unless it can be resumed.
+    /// The answer is a stream of events; the request may run at most once unless it is resumable.
     Stream {
-        /// Whether another server can go on after the last event.
+        /// Whether another server can continue after the last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again when its first send may have run.
+    /// Whether a request may be sent again although its first attempt may have run.
     pub fn may_repeat(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -38,39 +38,39 @@
     }
 }
 
-/// A part of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// Service that takes the part.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Share relative to the other parts.
+    /// Share relative to the other services of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// Assigns requests for a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for logs.
+    /// Name that logs show.
     pub name: Arc<str>,
-    /// Host that requests name.
+    /// Host name of the requests.
     pub host: Arc<str>,
-    /// Beginning of their paths; of several that fit, the longest counts.
+    /// Prefix of the request paths; the route with the longest matching prefix applies.
     pub prefix: Arc<str>,
-    /// What may be done with them.
+    /// Whether requests may be sent more than once.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Target time of an answer; a later answer is worth less to the caller.
     pub target: Duration,
-    /// Longest pause within a stream that is of full use.
+    /// Target for the longest pause within a stream; a longer pause makes it worth less.
     pub pause_target: Option<Duration>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services that share its requests. Invariant: the weights add up to more than 0.
+    /// Services that share the requests. Invariant: the sum of the weights is greater than 0.
     pub split: Vec<WeightedService>,
-    /// Most servers that one attempt of a caller is sent to.
+    /// Maximum number of servers that one caller request is sent to.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
@@ -81,59 +81,60 @@
     pub name: Arc<str>,
     /// Memory, in megabytes.
     pub memory_mb: f64,
-    /// Time of a step, relative to the reference accelerator; 2 is half as fast.
+    /// Duration of a step relative to the reference accelerator; 2 means half as fast.
     pub step_pace: f64,
-    /// Time for reading a prompt, relative to the reference accelerator.
+    /// Duration of processing a prompt relative to the reference accelerator.
     pub read_pace: f64,
 }
 
-/// Engines of a service that share a model by layers. Times are for all layers on the reference
-/// accelerator and scale with the share of the layers that are run.
+/// Engines of a service that split a model by layers. Times apply to all layers on the reference
+/// accelerator and scale with the share of the layers that run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that run at a time on the first engine of a pipeline.
+    /// Maximum number of concurrent requests on the first engine of a pipeline.
     pub slots: u32,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     /// Memory of one layer, in megabytes.
     pub layer_mb: f64,
-    /// Request memory of one token over all layers, in bytes.
+    /// KV memory of one token over all layers, in bytes.
     pub kv_bytes: f64,
-    /// Bytes per token between two stages.
+    /// Size of the activations of one token between two stages, in bytes.
     pub activation_bytes: f64,
-    /// Rate of an engine's link, in megabits a second.
+    /// Bandwidth of an engine's link, in megabits per second.
     pub link_mbps: f64,
-    /// Rate of the pipe between two data centres, shared by all, in megabits a second.
+    /// Bandwidth between two data centres, shared by all engines, in megabits per second.
     pub pipe_mbps: f64,
-    /// One step.
+    /// Base duration of a decoding step.
     pub step: Duration,
-    /// Added to a step for each request that writes.
+    /// Additional step duration for each decoding request.
     pub step_per_request: Duration,
-    /// Added to a step for each 1,000 tokens of context of each request that writes.
+    /// Additional step duration for each 1,000 tokens of context of each decoding request.
     pub step_per_context: Duration,
-    /// Prompt tokens read a second.
+    /// Prompt tokens processed per second.
     pub read_per_second: f64,
-    /// Time of loading all layers.
+    /// Time to load all layers.
     pub load: Duration,
-    /// Loads that the weight store serves at full speed.
+    /// Number of concurrent loads that the weight store serves at full speed.
     pub loads_at_once: u32,
-    /// Tokens of a usual prompt.
+    /// Number of tokens of a typical prompt.
     pub usual_prompt: u32,
-    /// Tokens of a usual answer.
+    /// Number of tokens of a typical answer.
     pub usual_answer: u32,
-    /// Models that it serves.
+    /// Models that the service offers.
     pub models: Vec<ModelName>,
-    /// Kinds of accelerator.
+    /// Accelerator kinds.
     pub kinds: Vec<AcceleratorSpec>,
 }
 
 impl EngineSpec {
-    /// The kind called `name`.
+    /// Looks up an accelerator kind by name.
     pub fn kind(&self, name: &str) -> Option<&AcceleratorSpec> {
         self.kinds.iter().find(|kind| &*kind.name == name)
     }
 
-    /// Tokens of request memory, over the layers held, of an engine that holds `layers` of them.
+    /// KV memory of an engine that holds `layers` layers, in tokens; 0 if the layers leave no
+    /// memory.
     pub fn kv_tokens(&self, kind: &AcceleratorSpec, layers: u32) -> u64 {
         let free = kind.memory_mb - self.layer_mb * f64::from(layers);
         let per_token = self.kv_bytes * f64::from(layers) / f64::from(self.layers.max(1)) / 1e6;
@@ -144,52 +145,52 @@
     }
 }
 
-/// A service.
+/// A service and its engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one of its servers takes from all callers together.
+    /// Maximum number of connections that one server accepts from all callers together.
     pub max_connections: u32,
-    /// Engines; `None` for a plain service.
+    /// Specification of the engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what callers send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerBounds {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time in which the head must have come.
+    /// Maximum time until the head is complete.
     pub head_timeout: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 /// A customer and its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CustomerKeys {
-    /// The customer.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// Keys that name it.
+    /// Keys that identify the customer.
     pub keys: Vec<Arc<str>>,
-    /// Rank of its requests, in place of their routes'; 0 goes first.
+    /// Priority of its requests, which overrides that of their routes; 0 is the highest.
     pub priority: Option<u8>,
 }
 
-/// A whole document.
+/// A complete document of routes, services and customers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteDocument {
-    /// Version.
+    /// Version that operators assigned.
     pub version: SourceVersion,
-    /// Routes.
+    /// Routes of all hosts.
     pub routes: Vec<Route>,
-    /// Services.
+    /// Services that routes refer to by name.
     pub services: Vec<ServiceSpec>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub bounds: CallerBounds,
-    /// Customers; `None` where no keys are asked for.
+    /// Customers and their keys; `None` if keys are not checked.
     pub customers: Option<Vec<CustomerKeys>>,
 }
--- a/crates/coordination/src/routes/generations.rs
+++ b/crates/coordination/src/routes/generations.rs
@@ -1,4 +1,4 @@
-//! Which published specifications differ from those before.
+//! Tracks which published specifications of services changed.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,44 +8,46 @@
 use crate::base::{ServiceName, number_type};
 
 number_type!(
-    /// Number of a specification; equal for equal specifications that follow each other.
+    /// Number of a specification; consecutive equal specifications have the same number.
     SpecGeneration(u64)
 );
 
-/// Editions of the specifications in force.
+/// Generations of the specifications in force.
 ///
-/// Most changes of a document touch a few routes and no specification of a service. Told of all engines
-/// anew at each of them, a host worked out all its pipelines again, and its streams paused.
+/// Most changes of a document affect a few routes and no specification. When each change updated
+/// all engines, a host planned all its pipelines again, and its streams paused.
 #[derive(Clone, Debug, Default)]
 pub struct SpecGenerations {
     version: Option<SourceVersion>,
-    editions: HashMap<ServiceName, (Arc<ServiceSpec>, SpecGeneration)>,
+    generations: HashMap<ServiceName, (Arc<ServiceSpec>, SpecGeneration)>,
     last: SpecGeneration,
 }
 
 impl SpecGenerations {
-    /// Follows the table in force; says whether it is another one than before.
+    /// Updates the generations from the table in force; returns whether its version changed.
     pub fn follow(&mut self, table: &RouteTable) -> bool {
         if self.version == Some(table.version()) {
             return false;
         }
         self.version = Some(table.version());
-        let mut former = std::mem::take(&mut self.editions);
+        let mut previous = std::mem::take(&mut self.generations);
         let mut specs: Vec<&Arc<ServiceSpec>> = table.services().collect();
         specs.sort_by(|a, b| a.name.cmp(&b.name));
         for spec in specs {
-            let known = former.remove(&spec.name);
-            let same = known.filter(|(former, _)| former == spec);
-            let edition = same.map_or_else(|| self.next(), |(_, edition)| edition);
-            let entry = (Arc::clone(spec), edition);
-            self.editions.insert(spec.name.clone(), entry);
+            let known = previous.remove(&spec.name);
+            let unchanged = known.filter(|(previous, _)| previous == spec);
+            let generation = unchanged.map_or_else(|| self.next(), |(_, generation)| generation);
+            let entry = (Arc::clone(spec), generation);
+            self.generations.insert(spec.name.clone(), entry);
         }
         true
     }
 
-    /// Edition of a service's specification; `None` where it is not published.
+    /// Generation of a service's specification; `None` if the service is not published.
     pub fn get(&self, service: &ServiceName) -> Option<SpecGeneration> {
-        self.editions.get(service).map(|(_, edition)| *edition)
+        self.generations
+            .get(service)
+            .map(|(_, generation)| *generation)
     }
 
     fn next(&mut self) -> SpecGeneration {
--- a/crates/coordination/src/routes/table.rs
+++ b/crates/coordination/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! A document laid out for requests.
+//! A route document, indexed for lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,23 +10,23 @@
 };
 use crate::base::ServiceName;
 
-/// Why a request gets no route.
+/// Reason why a request has no route or customer.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum TableError {
-    /// No route serves the host and path.
+    /// No route matches the host and path.
     #[display("no route serves this host and path")]
     UnknownRoute,
-    /// The route asks for a key, and none was sent.
+    /// The route requires a key, and the request has none.
     #[display("the route asks for a key")]
     KeyMissing,
-    /// No customer holds the key.
+    /// The route requires a key, and no customer has this one.
     #[display("no customer holds the key")]
     KeyUnknown,
 }
 
-/// A document laid out for requests.
+/// A route document, indexed for lookups by host, service and key.
 ///
-/// Invariant: routes of a host stand by falling length of their prefixes.
+/// Invariant: the routes of a host are sorted by descending length of their prefixes.
 #[derive(Debug)]
 pub struct RouteTable {
     version: SourceVersion,
@@ -37,7 +37,7 @@
 }
 
 impl RouteTable {
-    /// Lays a checked document out.
+    /// Indexes a checked document.
     pub fn build(document: RouteDocument) -> Self {
         let mut routes: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in document.routes {
@@ -55,7 +55,7 @@
             services: services
                 .map(|service| (service.name.clone(), Arc::new(service)))
                 .collect(),
-            customers: document.customers.map(by_key),
+            customers: document.customers.map(index_by_key),
         }
     }
 
@@ -64,15 +64,15 @@
         self.version
     }
 
-    /// Bounds on callers.
+    /// Limits on callers.
     pub fn bounds(&self) -> &CallerBounds {
         &self.bounds
     }
 
-    /// The route of a request.
+    /// Finds the route with the longest prefix of `path`.
     ///
     /// # Errors
-    /// [`TableError::UnknownRoute`].
+    /// [`TableError::UnknownRoute`] if no route of `host` matches.
     pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, TableError> {
         let routes = self.routes.get(host).into_iter().flatten();
         routes
@@ -81,11 +81,11 @@
             .ok_or(TableError::UnknownRoute)
     }
 
-    /// The customer of a request to `route`. A key is looked up on public routes too, since the
-    /// server is told whose request it is wherever that is known.
+    /// The customer of a request to `route`. Public routes look up keys as well, since the server
+    /// receives the customer's name whenever it is known.
     ///
     /// # Errors
-    /// The route asks for a key, and there is none, or none that anybody holds.
+    /// [`TableError::KeyMissing`] or [`TableError::KeyUnknown`] if the route requires a key.
     pub fn customer(
         &self,
         route: &Route,
@@ -103,32 +103,33 @@
         }
     }
 
-    /// The service that takes a request of `route`; `draw` is any number, drawn anew for each.
+    /// Chooses a service of `route` by weight. `draw` is a random number, a new one for each
+    /// request.
     pub fn service(&self, route: &Route, draw: u64) -> Option<&Arc<ServiceSpec>> {
         let total: u64 = route.split.iter().map(|part| u64::from(part.weight)).sum();
-        let mut mark = draw.checked_rem(total)?;
+        let mut remaining = draw.checked_rem(total)?;
         for part in &route.split {
             let weight = u64::from(part.weight);
-            if mark < weight {
+            if remaining < weight {
                 return self.services.get(&part.service);
             }
-            mark -= weight;
+            remaining -= weight;
         }
         None
     }
 
-    /// A service by its name.
+    /// Looks up a service by name.
     pub fn service_named(&self, name: &ServiceName) -> Option<&Arc<ServiceSpec>> {
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceSpec>> {
         self.services.values()
     }
 }
 
-fn by_key(customers: Vec<CustomerKeys>) -> HashMap<Arc<str>, Arc<CustomerKeys>> {
+fn index_by_key(customers: Vec<CustomerKeys>) -> HashMap<Arc<str>, Arc<CustomerKeys>> {
     let mut by_key = HashMap::new();
     for customer in customers {
         let customer = Arc::new(customer);
