--- a/crates/coordination/benches/configuration.rs
+++ b/crates/coordination/benches/configuration.rs
@@ -1,8 +1,8 @@
-//! What labels, selectors, changes and claims cost as customers grow.
+//! Cost of labels, selectors, changes and claims as the number of customers grows.
 //!
-//! Each customer has a label rule and a selector of its own, over five models; besides there are a
-//! few general ones. `select` is the decision for one request by the index, `explain` the same by a
-//! scan over all selectors. The printed lines give bytes, which criterion does not measure.
+//! Each customer has its own label rule and selector for one of five models; there are also a few
+//! general ones. `select` finds the selector of one request by the index, `explain` by a scan over
+//! all selectors. The printed lines report sizes, which criterion does not measure.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -30,7 +30,7 @@
 const CLAIMS: [u64; 3] = [1_000, 10_000, 100_000];
 const MODELS: usize = 5;
 
-/// The text for so many customers; `weight` is that of the last one.
+/// Configuration text for `customers` customers; `weight` varies the label of the last one.
 fn text_for(customers: usize, weight: usize) -> String {
     let mut text = String::from("kind: labels\non: customer\nname: '*'\nlabels: {tier: basic}\n");
     for model in 0..MODELS {
@@ -57,7 +57,7 @@
     text
 }
 
-fn built(customers: usize) -> Configuration {
+fn build_configuration(customers: usize) -> Configuration {
     let parsed = ParsedConfiguration::parse("bench", &text_for(customers, 0));
     match parsed {
         Ok(parsed) => Configuration::build(Revision(1), &parsed),
@@ -89,7 +89,7 @@
     }
 }
 
-fn stamped(command: ReplicatedCommand) -> StampedCommand {
+fn stamp(command: ReplicatedCommand) -> StampedCommand {
     StampedCommand {
         stamp: CommandStamp {
             host: "k1".into(),
@@ -103,7 +103,7 @@
 
 fn change(number: u64, customers: usize) -> StampedCommand {
     let weight = usize::try_from(number % 9).unwrap_or(0);
-    stamped(ReplicatedCommand::ChangeConfiguration(ChangeRequest {
+    stamp(ReplicatedCommand::ChangeConfiguration(ChangeRequest {
         change_id: format!("c{number}").into(),
         based_on: Revision(number),
         operator: "anna".into(),
@@ -111,7 +111,7 @@
     }))
 }
 
-fn take(number: u64) -> TakeClaim {
+fn take_claim(number: u64) -> TakeClaim {
     TakeClaim {
         scope: ClaimScope {
             customer: format!("c{}", number % 1_600).into(),
@@ -128,7 +128,7 @@
     }
 }
 
-fn settle(take: &TakeClaim) -> SettleClaim {
+fn settle_claim(take: &TakeClaim) -> SettleClaim {
     SettleClaim {
         scope: take.scope.clone(),
         ticket: take.ticket.clone(),
@@ -143,13 +143,10 @@
 fn with_claims(count: u64) -> ReplicatedState {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
     for number in 0..count {
-        let take = take(number);
-        let settle = settle(&take);
-        state.apply_command(LogIndex(0), &stamped(ReplicatedCommand::TakeClaim(take)));
-        state.apply_command(
-            LogIndex(0),
-            &stamped(ReplicatedCommand::SettleClaim(settle)),
-        );
+        let take = take_claim(number);
+        let settle = settle_claim(&take);
+        state.apply_command(LogIndex(0), &stamp(ReplicatedCommand::TakeClaim(take)));
+        state.apply_command(LogIndex(0), &stamp(ReplicatedCommand::SettleClaim(settle)));
     }
     state
 }
@@ -157,7 +154,7 @@
 fn selecting(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("selecting");
     for customers in CUSTOMERS {
-        let configuration = built(customers);
+        let configuration = build_configuration(customers);
         let request = request(customers);
         group.bench_function(BenchmarkId::new("select", customers), |bencher| {
             bencher.iter(|| configuration.select(black_box(&request)));
@@ -200,16 +197,16 @@
         let mut restored = ReplicatedState::new(ReplicatedSettings::default());
         let _ = restored.restore(&bytes);
         let command = change(number, customers);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         restored.apply_command(LogIndex(number), &command);
-        let first = begun.elapsed();
+        let first = started_at.elapsed();
         println!("first change after a restart, {customers} customers: {first:?}");
         println!("snapshot after {number} changes, {customers} customers: {snapshot} bytes");
     }
     group.finish();
 }
 
-/// A change of one document: its delta, and what a follower spends on the delta or on the whole.
+/// Change of one document: size of its delta, and a follower's cost to apply the delta or the text.
 fn following(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("following");
     group.sample_size(10);
@@ -273,14 +270,11 @@
         let mut number = count;
         group.bench_function(BenchmarkId::new("take_and_settle", count), |bencher| {
             bencher.iter(|| {
-                let take = take(number);
-                let settle = settle(&take);
+                let take = take_claim(number);
+                let settle = settle_claim(&take);
                 number += 1;
-                state.apply_command(LogIndex(0), &stamped(ReplicatedCommand::TakeClaim(take)));
-                state.apply_command(
-                    LogIndex(0),
-                    &stamped(ReplicatedCommand::SettleClaim(settle)),
-                );
+                state.apply_command(LogIndex(0), &stamp(ReplicatedCommand::TakeClaim(take)));
+                state.apply_command(LogIndex(0), &stamp(ReplicatedCommand::SettleClaim(settle)));
             });
         });
     }
--- a/crates/coordination/tests/configuration_change.rs
+++ b/crates/coordination/tests/configuration_change.rs
@@ -1,4 +1,4 @@
-//! Races, resends and history of configuration changes.
+//! Concurrent changes, resends, history and deltas of the configuration.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     }
 }
 
-fn described(answer: &ChangeAnswer) -> String {
+fn describe(answer: &ChangeAnswer) -> String {
     match answer {
         ChangeAnswer::Accepted { revision, warnings } => {
             format!(
@@ -44,16 +44,17 @@
     }
 }
 
-fn restarted(log: &ChangeLog) -> ChangeLog {
+fn restore(log: &ChangeLog) -> ChangeLog {
     let mut bytes = Vec::new();
     ciborium::into_writer(log, &mut bytes).unwrap();
     ciborium::from_reader(bytes.as_slice()).unwrap()
 }
 
-/// Each line is one call in order; the operator sees the text after the arrow. Lost answers are
-/// resent after later changes and after a restart, and get what the first call got.
+/// Guards against a resend that takes effect twice or gets another answer than the first call.
+/// Operators resend after a lost answer, also after later changes and after a restart of the
+/// keeper. Each line of the snapshot is one call and its answer, in order.
 #[test]
-fn operators_race_and_resend() {
+fn one_concurrent_change_wins_and_resends_repeat_the_first_answer() {
     let a = weight("a", 1);
     let b = weight("b", 2);
     let calls = [
@@ -84,8 +85,8 @@
     let mut report = String::new();
     for (name, request) in &calls {
         let answer = log.decide(request, WallTime(0), NOW);
-        let _ = writeln!(report, "{name} -> {}", described(&answer));
-        log = restarted(&log);
+        let _ = writeln!(report, "{name} -> {}", describe(&answer));
+        log = restore(&log);
         assert!(log.answer(&request.change_id).is_some(), "{name}");
     }
     insta::assert_snapshot!(report, @r#"
@@ -105,9 +106,10 @@
     "#);
 }
 
-/// An inspector asks what was in force at a time, also where a proposer's clock jumped.
+/// Guards against a wrong or unmarked answer on the revision in force at a time. The clock of a
+/// proposer can jump, so that times and revisions are in different order.
 #[test]
-fn history_tells_what_was_in_force() {
+fn history_finds_the_revision_in_force_and_reports_clock_jumps() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     let times = [1_000, 2_000, 9_000, 3_000, 4_000];
     for (index, time) in times.into_iter().enumerate() {
@@ -143,9 +145,10 @@
     "#);
 }
 
-/// Both bounds hold, and a change whose answer is forgotten still can't take effect twice.
+/// Guards against unbounded answers and history, and against a change that takes effect twice: a
+/// resend can arrive after its answer has expired.
 #[test]
-fn retention_is_bounded_by_count_and_by_time() {
+fn retention_limits_answers_and_history_by_count_and_age() {
     let retention = ChangeRetention {
         answers: 3,
         answer_age: Duration::from_secs(60),
@@ -168,25 +171,23 @@
     assert!(log.canonical_at(Revision(2)).is_none());
     assert!(log.canonical_at(Revision(3)).is_some());
 
-    let forgotten = log.decide(&request(0), WallTime(9), NOW);
-    assert!(
-        matches!(forgotten, ChangeAnswer::Conflict(_)),
-        "{forgotten:?}"
-    );
+    let resent = log.decide(&request(0), WallTime(9), NOW);
+    assert!(matches!(resent, ChangeAnswer::Conflict(_)), "{resent:?}");
 
     let later = NOW.after(Duration::from_secs(61));
     let answer = log.decide(&request(5), WallTime(9), later);
-    assert_eq!(described(&answer), "accepted as 6, 0 warnings");
+    assert_eq!(describe(&answer), "accepted as 6, 0 warnings");
     assert_eq!(log.answer_count(), 1);
 }
 
-/// Followers hold the same content whether they take each delta, skip some or pull the whole. A
-/// delta that is late, comes twice, starts elsewhere or was altered on the way changes nothing.
+/// Guards against followers with different content at the same revision. A follower applies each
+/// delta, skips some or fetches the complete text; a delta that is repeated, starts from another
+/// revision or was altered in transit must not change its copy.
 #[test]
-fn deltas_lead_to_the_same_content() {
+fn deltas_and_complete_texts_lead_to_the_same_content() {
     let mut log = ChangeLog::new(ChangeRetention::default());
-    let mut steady = FollowedConfiguration::default();
-    let mut held = vec![steady.clone()];
+    let mut follower_by_deltas = FollowedConfiguration::default();
+    let mut followers = vec![follower_by_deltas.clone()];
     let texts = ["a b c", "a c", "a c d", "d"];
     for (index, customers) in texts.iter().enumerate() {
         let documents: Vec<String> = customers
@@ -201,32 +202,35 @@
             &documents.join("---\n"),
         );
         log.decide(&request, WallTime(0), NOW);
-        steady
+        follower_by_deltas
             .apply_delta(&log.delta_since(Revision(based_on)).unwrap())
             .unwrap();
-        held.push(steady.clone());
+        followers.push(follower_by_deltas.clone());
     }
-    for (from, mut follower) in held.into_iter().enumerate() {
+    for (from, mut follower) in followers.into_iter().enumerate() {
         let delta = log.delta_since(Revision(from as u64)).unwrap();
         follower.apply_delta(&delta).unwrap();
         assert_eq!(follower.current().canonical(), log.canonical());
         assert_eq!(follower.current().revision(), Revision(4));
     }
-    let mut whole = FollowedConfiguration::default();
-    whole
+    let mut from_text = FollowedConfiguration::default();
+    from_text
         .apply_text(Revision(4), &log.canonical().text())
         .unwrap();
-    assert_eq!(whole.current().digest(), steady.current().digest());
+    assert_eq!(
+        from_text.current().digest(),
+        follower_by_deltas.current().digest()
+    );
 
     let mut altered = log.delta_since(Revision(3)).unwrap();
     altered.from = Revision(4);
     altered.to = Revision(5);
     altered.changes[0].text = None;
     let refusals = [
-        steady.apply_delta(&log.delta_since(Revision(3)).unwrap()),
-        steady.apply_delta(&altered),
-        steady.apply_text(Revision(3), ""),
-        steady.apply_text(Revision(5), "kind: pipeline\n"),
+        follower_by_deltas.apply_delta(&log.delta_since(Revision(3)).unwrap()),
+        follower_by_deltas.apply_delta(&altered),
+        follower_by_deltas.apply_text(Revision(3), ""),
+        follower_by_deltas.apply_text(Revision(5), "kind: pipeline\n"),
     ];
     let refusals: Vec<String> = refusals
         .map(|refusal| refusal.unwrap_err().to_string())
@@ -239,14 +243,15 @@
         "revision 5 can't be read: revision 5:1:7: error: there is no kind pipeline (accepted: kind: labels, kind: selector or kind: source)\n",
     ]
     "#);
-    assert_eq!(steady.current().revision(), Revision(4));
+    assert_eq!(follower_by_deltas.current().revision(), Revision(4));
     assert!(log.delta_since(Revision(5)).is_none());
 }
 
-/// A keeper restarts under a version of this software that no longer accepts the operator's text,
-/// or reads it otherwise. It serves what was accepted, by the canonical text.
+/// Guards against a keeper that loses or changes the accepted configuration after an upgrade. A new
+/// version of this software can refuse the operator's text or read other content from it, so that
+/// the keeper has to fall back to the canonical text.
 #[test]
-fn what_was_accepted_outlives_its_spelling() {
+fn a_restart_builds_the_accepted_content_from_the_canonical_text() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     log.decide(&change("c1", 0, "anna", &weight("a", 3)), WallTime(0), NOW);
     let accepted = log.build().unwrap().digest();
@@ -272,10 +277,11 @@
         ..Config::default()
     })]
 
-    /// Fifty operators race with the number they last saw, lose answers and resend, while keepers
-    /// restart. Each number has one winner, and each change id keeps its first answer.
+    /// Guards against two changes that create the same revision, and against a change id whose
+    /// answer changes. Fifty operators send changes based on recent revisions and resend them while
+    /// the log is restored.
     #[test]
-    fn one_winner_for_each_number(
+    fn each_revision_has_one_change_and_each_change_id_one_answer(
         calls in proptest::collection::vec((0..50_u8, any::<bool>()), 1..200),
     ) {
         let mut log = ChangeLog::new(ChangeRetention::default());
@@ -298,7 +304,7 @@
             }
             seen.insert(operator, (number, request, answer));
             if operator % 8 == 0 {
-                log = restarted(&log);
+                log = restore(&log);
             }
         }
         let kept: Vec<u64> = log.history().map(|change| change.revision.0).collect();
@@ -307,11 +313,11 @@
     }
 }
 
-/// A follower sees: what one route of 1,400 changed costs it some hundred bytes, however often and in
-/// whatever order routes come, go and move; what comes out is what was published, to the letter. As
-/// whole texts the changes of a busy minute were 2 GB between hosts.
+/// Guards against deltas that carry the complete source of 1,400 routes when one route is added,
+/// removed or moved; such deltas added up to 2 GB between hosts in a busy minute. The follower has
+/// to get exactly the published text.
 #[test]
-fn a_change_of_one_route_costs_what_it_changes() {
+fn a_delta_for_one_route_of_many_is_small() {
     let source = |version: u64, routes: &[u64]| {
         let routes: Vec<String> = routes
             .iter()
@@ -328,15 +334,15 @@
     let mut routes: Vec<u64> = (0..1_400).collect();
     let mut log = ChangeLog::new(ChangeRetention::default());
     let mut follower = FollowedConfiguration::default();
-    let mut seen = Vec::new();
-    for (version, what) in [
+    let mut report = Vec::new();
+    for (version, step) in [
         (1, "first"),
         (2, "one less"),
         (3, "one more"),
         (4, "one moved"),
         (5, "reversed"),
     ] {
-        match what {
+        match step {
             "one less" => drop(routes.remove(700)),
             "one more" => routes.push(5_000),
             "one moved" => routes.swap(3, 1_200),
@@ -357,14 +363,14 @@
         } else {
             "more"
         };
-        seen.push(format!("{what}: {size}, equal {is_equal}"));
+        report.push(format!("{step}: {size}, equal {is_equal}"));
     }
-    let first = restarted(&log).canonical_at(Revision(1)).unwrap().text();
-    seen.push(format!(
+    let first = restore(&log).canonical_at(Revision(1)).unwrap().text();
+    report.push(format!(
         "history holds the first text: {}",
         first == source(1, &(0..1_400).collect::<Vec<u64>>())
     ));
-    insta::assert_snapshot!(seen.join("\n"), @r"
+    insta::assert_snapshot!(report.join("\n"), @r"
     first: more, equal true
     one less: below 2 kB, equal true
     one more: below 2 kB, equal true
@@ -394,8 +400,8 @@
     }
 }
 
-/// An operator's call is repeated, races another, or names another content than it carries: an edit
-/// is decided as the whole text would be.
+/// Guards against an edit that is decided differently from the complete text that it produces. The
+/// calls include resends, a concurrent change and an edit whose digest does not match its content.
 #[test]
 fn an_edit_is_decided_as_its_whole_text() {
     let mut log = ChangeLog::new(ChangeRetention::default());
@@ -415,13 +421,13 @@
     ];
     for (name, request) in calls {
         let answer = log.decide_edit(request, WallTime(0), NOW).answer;
-        let _ = writeln!(report, "{name} -> {}", described(&answer));
-        log = restarted(&log);
+        let _ = writeln!(report, "{name} -> {}", describe(&answer));
+        log = restore(&log);
     }
     let whole = log.canonical().text();
     let resent = change("e1", first.based_on.0, "anna", &whole);
     let answer = log.decide(&resent, WallTime(0), NOW);
-    let _ = writeln!(report, "first as a whole -> {}", described(&answer));
+    let _ = writeln!(report, "first as a whole -> {}", describe(&answer));
     insta::assert_snapshot!(report, @r"
     wrong digest -> refused: e3:0:0: error: the edit leads to another content than it names (accepted: the digest of its content)
     first -> accepted as 2, 0 warnings
@@ -441,8 +447,8 @@
         ..Config::default()
     })]
 
-    /// Keepers apply edits where they applied whole texts before: both lead to the same text, history
-    /// and deltas, whatever is added, removed and moved.
+    /// Guards against keepers whose log differs between edits and complete texts: both have to lead
+    /// to the same text, history and deltas for any added, removed and moved routes.
     #[test]
     fn edits_and_whole_texts_lead_to_the_same_log(
         steps in proptest::collection::vec(proptest::collection::vec(0_u64..60, 0..40), 1..8)
@@ -473,9 +479,8 @@
     }
 }
 
-/// Thousands of routes are added at once: the change is worked out in time that grows with them, not
-/// with their square. Keepers stood still for seconds, hosts lost their leases, and half of all
-/// requests were refused.
+/// Guards against quadratic time to compare two texts when thousands of routes are added at once.
+/// Keepers blocked for seconds, hosts lost their leases, and half of all requests were refused.
 #[test]
 fn many_new_routes_in_a_row_cost_linear_time() {
     let before = CanonicalText::default().with_source(&routes(1, &[1]));
@@ -484,6 +489,6 @@
     let begun = std::time::Instant::now();
     let changes = before.changes_to(&after);
     assert_eq!(changes.len(), 1);
-    // The square of their length, 8 MB, takes minutes to copy.
+    // Copying 8 MB in quadratic time takes minutes.
     assert!(begun.elapsed() < Duration::from_secs(20));
 }
--- a/crates/coordination/tests/configuration_interface.rs
+++ b/crates/coordination/tests/configuration_interface.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operators' interface, as they go over the wire.
+//! JSON bodies of the operators' HTTP interface.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use pollendrift_coordination::base::{Revision, WallTime};
@@ -23,8 +23,9 @@
     ChangeReply::from(answer)
 }
 
+/// Guards against changes of the JSON replies and statuses that operators and pollenctl rely on.
 #[test]
-fn replies_read_as_the_page_says() {
+fn change_replies_keep_their_json_and_status() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     let selector = "kind: selector\nname: s\nmodel: m\n";
     let replies = [
@@ -47,8 +48,10 @@
     "#);
 }
 
+/// Guards against history pages with the wrong revisions, answers on revisions or times that do not
+/// exist, and explanations that lack the reason of a mismatch.
 #[test]
-fn views_page_and_explain() {
+fn views_select_revisions_and_explain_mismatches() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     for number in 0..3 {
         let text = format!(
--- a/crates/coordination/tests/configuration_parse.rs
+++ b/crates/coordination/tests/configuration_parse.rs
@@ -1,4 +1,4 @@
-//! What operators' texts mean and what is found wrong with them.
+//! Parsing of configuration texts: findings, canonical form and caching.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use std::fmt::Write;
@@ -17,7 +17,8 @@
     }
 }
 
-/// All findings of a text come at once, each with its place and what would be accepted.
+/// Guards against checks that stop at the first error, which makes operators correct a text one
+/// error at a time. Each finding has to state its location and the accepted values.
 #[test]
 fn all_findings_are_reported_together() {
     let text = "\
@@ -94,8 +95,9 @@
     "#);
 }
 
+/// Guards against texts that are no YAML, or exceed a limit, and add several findings or none.
 #[test]
-fn what_is_no_yaml_or_over_a_bound_is_one_finding() {
+fn invalid_yaml_and_exceeded_limits_add_one_finding_per_document() {
     let deep = format!("kind: {}{}\n", "[".repeat(9), "]".repeat(9));
     let cases = [
         ("truncated", "kind: labels\nlabels: {a: b\n".to_owned()),
@@ -120,8 +122,9 @@
     "#);
 }
 
+/// Guards against a repeated document that silently replaces the first one.
 #[test]
-fn a_document_given_twice_is_refused() {
+fn a_repeated_document_is_refused() {
     let text = "\
 kind: labels
 on: host
@@ -147,8 +150,10 @@
     "#);
 }
 
+/// Guards against selectors that never serve a request and get no warning: their requirements
+/// contradict each other, or an earlier selector serves all of their requests.
 #[test]
-fn selectors_that_serve_nothing_are_warned_of() {
+fn selectors_that_never_serve_get_a_warning() {
     let text = "\
 kind: selector
 name: a-all-gold
@@ -221,8 +226,8 @@
     "#);
 }
 
-/// Order, comments, quoting and shorthand do not change the content; the canonical text parses to
-/// the same content.
+/// Guards against a canonical text that depends on order, comments, quoting or shorthand, or that
+/// parses to other content.
 #[test]
 fn equal_content_has_one_canonical_text() {
     let first = "\
@@ -279,6 +284,7 @@
     "#);
 }
 
+/// Guards against errors on texts without documents, which are valid.
 #[test]
 fn an_empty_text_is_an_empty_configuration() {
     for text in ["", "# nothing yet\n", "---\n"] {
@@ -309,10 +315,10 @@
         ..Config::default()
     })]
 
-    /// Edits follow one another, good and bad. What is known of earlier texts changes no verdict, no
-    /// finding, no place and no content.
+    /// Guards against a document cache that changes the content, the findings or their locations.
+    /// Valid and invalid texts follow each other and share documents.
     #[test]
-    fn a_cache_changes_nothing_but_the_time(
+    fn a_cache_does_not_change_the_result(
         edits in proptest::collection::vec(
             proptest::collection::vec((0..DOCUMENTS.len(), 0..3_usize), 0..6),
             1..6,
@@ -327,8 +333,8 @@
                     format!("{marker}{}", DOCUMENTS[document])
                 })
                 .collect();
-            let known = ParsedConfiguration::parse_after("f", &text, &mut cache);
-            assert_eq!(known, ParsedConfiguration::parse("f", &text), "{text}");
+            let cached = ParsedConfiguration::parse_after("f", &text, &mut cache);
+            assert_eq!(cached, ParsedConfiguration::parse("f", &text), "{text}");
         }
     }
 }
--- a/crates/coordination/tests/configuration_select.rs
+++ b/crates/coordination/tests/configuration_select.rs
@@ -1,4 +1,4 @@
-//! Which selector serves a request, which backend servers it allows, and why not.
+//! Selectors of requests, the backend servers that they allow, and the reasons of mismatches.
 #![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
 
 use std::fmt::Write;
@@ -85,8 +85,11 @@
             .attributes
             .insert("header.x-class".into(), class.into());
     }
-    if let RequestTarget::Model { adapter: asked, .. } = &mut facts.target {
-        *asked = adapter.map(AdapterName::from);
+    if let RequestTarget::Model {
+        adapter: requested, ..
+    } = &mut facts.target
+    {
+        *requested = adapter.map(AdapterName::from);
     }
     facts
 }
@@ -104,8 +107,10 @@
     }
 }
 
+/// Guards against a request served by a selector other than the first match, with the wrong
+/// settings, or refused without the reasons.
 #[test]
-fn the_first_selector_that_matches_serves() {
+fn the_first_matching_selector_serves_the_request() {
     let configuration = configuration();
     let cases = [
         (
@@ -158,8 +163,10 @@
     "#);
 }
 
+/// Guards against a backend server that is allowed although it is out of service, lacks the target
+/// or misses a requirement, and against a wrong reason.
 #[test]
-fn a_selector_says_why_a_backend_server_is_not_allowed() {
+fn a_disallowed_backend_server_gets_a_reason() {
     let configuration = configuration();
     let selector = |name: &str| {
         let mut selectors = configuration.selectors().map(|(_, selector)| selector);
@@ -167,17 +174,24 @@
             .find(|selector| selector.name.as_str() == name)
             .unwrap()
     };
-    let mut slow = engine("e3");
-    slow.kind = "l4".into();
-    let mut old = engine("e4");
-    old.version = Some("v1".into());
-    let mut bare = engine("e5");
-    bare.adapters.clear();
+    let mut other_kind = engine("e3");
+    other_kind.kind = "l4".into();
+    let mut other_version = engine("e4");
+    other_version.version = Some("v1".into());
+    let mut no_adapters = engine("e5");
+    no_adapters.adapters.clear();
     let mut portal = engine("p1");
     portal.model = None;
     portal.service = Some("portal".into());
     let mut report = String::new();
-    for facts in [&engine("e1"), &engine("e2"), &slow, &old, &bare, &portal] {
+    for facts in [
+        &engine("e1"),
+        &engine("e2"),
+        &other_kind,
+        &other_version,
+        &no_adapters,
+        &portal,
+    ] {
         for name in ["urgent", "inn-only", "portal"] {
             let verdict = match configuration.allows(selector(name), facts) {
                 Ok(()) => "allowed".to_owned(),
@@ -208,8 +222,9 @@
     "#);
 }
 
+/// Guards against explanations that leave out a selector or its reason.
 #[test]
-fn explain_names_every_selector() {
+fn explain_reports_every_selector_in_order() {
     let mut report = String::new();
     for entry in configuration().explain(&draft("plant-isar", None, None)) {
         let reason = entry
@@ -230,8 +245,9 @@
     "#);
 }
 
+/// Guards against a host label that is ignored or applies to another host.
 #[test]
-fn a_host_is_taken_out_of_service_by_its_label() {
+fn a_label_takes_only_its_host_out_of_service() {
     let facts = |name: &str| HostFacts {
         name: name.into(),
         data_centre: "brest".into(),
@@ -244,9 +260,10 @@
     assert_eq!(state("h2"), None);
 }
 
-/// The index must not change the decision: it agrees with the scan over all selectors.
+/// Guards against an index that changes the decision: `select` uses it, `explain` scans all
+/// selectors.
 #[test]
-fn the_index_agrees_with_a_scan() {
+fn the_index_selects_the_same_selector_as_a_scan() {
     let configuration = configuration();
     for customer in ["plant-inn", "plant-isar", "architect"] {
         for class in [None, Some("urgent")] {
--- a/crates/coordination/tests/routes_editions.rs
+++ b/crates/coordination/tests/routes_editions.rs
@@ -1,4 +1,4 @@
-//! Changes of published routes, and what hosts work out anew for them.
+//! Generations of service specifications across changes of published routes.
 
 use std::time::Duration;
 
@@ -49,10 +49,11 @@
     })
 }
 
-/// Operators change routes many times a second, and every stream of a small host pauses at each change,
-/// since its engines are told to the planner anew. Only a specification that differs leads to that.
+/// Guards against a new generation for an unchanged specification. Operators change routes many
+/// times a second, and a new generation updates the engines in the planner, which pauses every
+/// stream of a small host.
 #[test]
-fn a_change_of_routes_leaves_specifications_as_they_are() {
+fn only_a_changed_specification_gets_a_new_generation() {
     let changes = [
         ("first", 1, 3, vec![service("x", 10), service("y", 10)]),
         (
@@ -81,13 +82,13 @@
             vec![service("x", 10), service("y", 20)],
         ),
     ];
-    let mut editions = SpecGenerations::default();
+    let mut generations = SpecGenerations::default();
     let lines = changes.map(|(name, version, routes, services)| {
         let table = table(version, routes, services);
-        let is_other = editions.follow(&table);
-        let again = editions.follow(&table);
-        let numbers = ["x", "y"].map(|service| editions.get(&service.into()).map(|e| e.0));
-        format!("{name}: other {is_other}, again {again}, x and y {numbers:?}")
+        let is_new_version = generations.follow(&table);
+        let again = generations.follow(&table);
+        let numbers = ["x", "y"].map(|service| generations.get(&service.into()).map(|e| e.0));
+        format!("{name}: other {is_new_version}, again {again}, x and y {numbers:?}")
     });
     insta::assert_snapshot!(lines.join("\n"), @r"
     first: other true, again false, x and y [Some(1), Some(2)]
