--- a/crates/daemon/src/relay/answer.rs
+++ b/crates/daemon/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! One send to a server, and what its answer proves.
+//! Sends a request to a server once and classifies the answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 
 use super::context::RelayContext;
 
-/// Largest answer that is held in memory.
+/// Largest answer body that is buffered in memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
-/// Time in which the rest of an answer that says "not run" is read, so that its connection can be
-/// used again.
-const REST_TIMEOUT: Duration = Duration::from_millis(50);
-/// Headers that concern one connection; hyper writes its own.
-const CONNECTION_HEADERS: [HeaderName; 5] = [
+/// Time for reading the body of an answer that says "not run", so that its connection can be
+/// reused.
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(50);
+/// Hop-by-hop headers, which are not forwarded; hyper writes its own.
+const HOP_BY_HOP_HEADERS: [HeaderName; 5] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::TE,
@@ -31,14 +31,14 @@
     header::UPGRADE,
 ];
 
-/// A send that gave no answer that may be passed on.
+/// A send without an answer that may be forwarded to the caller.
 #[derive(Clone, Debug)]
 pub(super) struct FailedSend {
     pub(super) outcome: SendOutcome,
     pub(super) reason: String,
-    /// Server at fault, where the answer names another than the one that was asked.
+    /// Server at fault, if the answer names another than the one that sent it.
     pub(super) culprit: Option<SocketAddr>,
-    /// Engines at fault for a silence.
+    /// Engines that are suspected to have caused a silence.
     pub(super) suspects: Vec<ServerName>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The head of an answer that is the server's own, to this request.
+/// An answer that the server itself sent to this request, with its body not read yet.
 pub(super) struct OpenAnswer {
     pub(super) parts: response::Parts,
     pub(super) body: Incoming,
@@ -62,7 +62,9 @@
 }
 
 impl OpenAnswer {
-    /// Reads the whole body, and keeps the connection if nothing was wrong with it.
+    /// Reads the complete body and returns the connection to the pool.
+    ///
+    /// Fails if the body is incomplete or too large.
     pub(super) async fn read(self) -> Result<Response<ResponseBody>, FailedSend> {
         let bytes =
             read_bounded(self.body, MAX_ANSWER_BYTES)
@@ -78,19 +80,20 @@
     }
 }
 
-/// Sends a request and reads the head of the answer, within `left`.
+/// Sends a request and reads the head of the answer, within `time_left`.
 ///
-/// What is returned is the server's own answer to this very request. Anything else has spoiled its
-/// connection, which is closed: a late answer to another request would else meet the next one.
+/// Returns only an answer that the server itself sent to this request. After any other answer but a
+/// refusal the connection is closed, because a late answer to another request could otherwise be
+/// matched with the next request.
 pub(super) async fn send(
     context: &RelayContext,
     address: SocketAddr,
     request: http::Request<Full<Bytes>>,
     attempt: &RequestId,
-    left: Duration,
+    time_left: Duration,
 ) -> Result<OpenAnswer, FailedSend> {
     let sending = context.pool.send(address, request);
-    let answer = match timeout(left, sending).await {
+    let answer = match timeout(time_left, sending).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(error)) => return Err(FailedSend::new(outcome_of(&error), error.to_string())),
         Err(_) => {
@@ -98,7 +101,7 @@
             return Err(FailedSend::new(SendOutcome::TimedOut, reason));
         }
     };
-    judge(context, answer, attempt).await
+    check_answer(context, answer, attempt).await
 }
 
 fn outcome_of(error: &ClientError) -> SendOutcome {
@@ -108,7 +111,7 @@
     }
 }
 
-async fn judge(
+async fn check_answer(
     context: &RelayContext,
     answer: PooledAnswer,
     attempt: &RequestId,
@@ -144,21 +147,20 @@
 }
 
 async fn keep_after_refusal(headers: &HeaderMap, body: Incoming, connection: PooledConnection) {
-    let read = timeout(REST_TIMEOUT, read_bounded(body, MAX_ANSWER_BYTES)).await;
+    let read = timeout(REFUSAL_BODY_TIMEOUT, read_bounded(body, MAX_ANSWER_BYTES)).await;
     if matches!(read, Ok(Ok(_))) {
         connection.keep(headers);
     }
 }
 
-/// Headers of an answer as the caller gets them.
+/// Headers of an answer without the hop-by-hop ones, as the caller receives them.
 pub(super) fn end_to_end_headers(from: &HeaderMap) -> HeaderMap {
-    let mut own = HeaderMap::with_capacity(from.len());
+    let mut headers = HeaderMap::with_capacity(from.len());
     for (name, value) in from {
-        let concerns_connection =
-            CONNECTION_HEADERS.contains(name) || name.as_str() == "keep-alive";
-        if !concerns_connection {
-            own.append(name.clone(), value.clone());
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(name) || name.as_str() == "keep-alive";
+        if !is_hop_by_hop {
+            headers.append(name.clone(), value.clone());
         }
     }
-    own
+    headers
 }
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -1,9 +1,9 @@
-//! Chains of engines that run a draft: what the planner knows of them, and which one is taken.
+//! Selects the chain of engines for a draft, with a planner that knows the announced engines.
 
-mod following;
+mod refresh;
 mod repair;
 
-pub(super) use following::run_chains;
+pub(super) use refresh::run_chains;
 pub(super) use repair::ChainRepair;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,51 +29,54 @@
 use super::request::RelayRequest;
 use crate::fleet::{BackendFleet, WorkerView};
 
-/// Time between two looks at the fleet. A server that leaves is asked about right before each send
-/// as well, so this only bounds how soon a new one is used. Of 98 engines a look takes 1.1 ms of a
-/// host's processor, which at 100 ms was nearly all that a host with 0.12 cores did on a calm day.
+/// Time between two updates from the fleet. Each send also checks that its servers may take work,
+/// so this period only bounds how soon a new engine is used. An update of 98 engines takes 1.1 ms
+/// of CPU time; at a period of 100 ms that was most of the load of an otherwise idle host with 0.12
+/// cores.
 const CHAIN_TICK: Duration = Duration::from_millis(200);
-/// Age of what an engine tells of its load.
+/// Age of the load figures in an engine's report when it sends them.
 const REPORT_LAG: Duration = Duration::from_millis(200);
-/// Prompt tokens that a waiting request counts for.
+/// Prompt tokens that the planner assumes for each waiting request.
 ///
-/// It waits for memory, not for its turn to be read: with 45 drafts of 3 s each on an engine, one ends
-/// every 65 ms, in which the engine would read so many. Counted by its own 760 tokens, a full data
-/// centre was predicted to answer within 30 ms and took 3 s, and all entries sent there together.
+/// A waiting request waits for KV memory rather than for prefill: an engine with 45 drafts of 3 s
+/// each finishes one every 65 ms, in which it could prefill 13,000 tokens. With the 760 tokens of
+/// an actual prompt, a full data centre was predicted to answer within 30 ms but took 3 s, and all
+/// entries sent their requests there at the same time.
 const WAITING_TOKENS: u64 = 13_000;
-/// Part of the expected answer that room is asked for: over its time a draft that grows holds half
-/// of it, and many drafts of all ages share an engine.
-const GROWTH_PART: u32 = 2;
-/// Part of the time from first to last event that counts like the wait for the first: a slow stream
-/// holds memory that others wait for.
-const STREAM_PART: u32 = 8;
+/// Divisor of the expected answer tokens for which KV memory is requested. Averaged over its run, a
+/// draft holds half of its answer, and an engine runs many drafts of different progress.
+const GROWTH_DIVISOR: u32 = 2;
+/// Divisor with which the time from the first to the last event is added to the time to the first
+/// event. It counts because a slow stream holds memory that other requests wait for.
+const STREAM_TIME_DIVISOR: u32 = 8;
 
-/// A chain that was taken, and counts as running until it is ended.
+/// A chain that the planner counts as running until it is recorded as finished or failed.
 #[derive(Clone, Debug)]
 pub(super) struct ReservedChain {
     pub(super) plan: RoutePlan,
     pub(super) flight: FlightKey,
     pub(super) hops: Vec<StageHop>,
-    /// Server of the first stage, which takes the request.
+    /// Server of the first stage, which receives the request.
     pub(super) first: ServerName,
-    /// Data centre of all its engines, where that is another than this host's.
+    /// Data centre of all engines of the chain if it is not this host's; `None` too if the chain
+    /// crosses data centres.
     pub(super) remote_data_centre: Option<DataCentreName>,
 }
 
 impl ReservedChain {
-    /// Servers of all stages.
+    /// Servers of all stages, in order of the stages.
     pub(super) fn servers(&self) -> impl Iterator<Item = &ServerName> {
         self.plan.stages.iter().map(|stage| &stage.server)
     }
 
-    /// Address of a stage's server.
+    /// Address of `server`, if it runs a stage of the chain.
     pub(super) fn address_of(&self, server: &ServerName) -> Option<SocketAddr> {
         let mut stages = self.plan.stages.iter().zip(&self.hops);
         let found = stages.find(|(stage, _)| stage.server == *server);
         found.map(|(_, hop)| hop.address)
     }
 
-    /// Server of the stage at `address`.
+    /// Server of the first stage at `address`.
     pub(super) fn server_at(&self, address: SocketAddr) -> Option<&ServerName> {
         let stages = self.plan.stages.iter().zip(&self.hops);
         let mut found = stages.filter(|(_, hop)| hop.address == address);
@@ -81,34 +84,34 @@
     }
 }
 
-/// What the planner was told of an engine.
+/// State of an engine as last announced to the planner.
 #[derive(Clone, Debug, PartialEq)]
 struct KnownEngine {
     incarnation: Incarnation,
     layers: WorkerLayers,
     address: SocketAddr,
-    /// Specification that its figures were made from.
-    edition: Option<SpecGeneration>,
-    /// How many times slower than its kind it is.
+    /// Generation of the service specification that the announcement was computed from.
+    generation: Option<SpecGeneration>,
+    /// Factor by which the engine is slower than its kind.
     slowness: u32,
 }
 
-/// Engines that hold layers, and the planner over them.
+/// Engines with loaded layers, and the planner that selects chains of them.
 pub(super) struct ChainTable {
     planner: FleetPlanner,
     known: BTreeMap<ServerName, KnownEngine>,
     data_centre: DataCentreName,
-    /// How streams over other data centres fared.
+    /// Penalties of other data centres, raised when streams from there are late.
     links: DegradedLinks,
-    /// Data centres with engines.
+    /// Data centres that have engines.
     centres: BTreeSet<DataCentreName>,
-    /// Specifications that the planner's figures were made from.
-    editions: SpecGenerations,
+    /// Generations of the service specifications that the planner uses.
+    generations: SpecGenerations,
     sequence: u64,
 }
 
 impl ChainTable {
-    /// A table of a host in `data_centre` that knows no engine.
+    /// Creates a table without engines for a host in `data_centre`; `seed` seeds the planner.
     pub(super) fn new(data_centre: DataCentreName, seed: u64) -> Self {
         Self {
             planner: FleetPlanner::new(routing_settings(), seed),
@@ -116,12 +119,13 @@
             data_centre,
             links: DegradedLinks::new(DegradedSettings::default()),
             centres: BTreeSet::new(),
-            editions: SpecGenerations::default(),
+            generations: SpecGenerations::default(),
             sequence: 0,
         }
     }
 
-    /// Brings the planner in line with what engines announced and operators published.
+    /// Updates the planner with announced engines, published routes and survey results, and removes
+    /// engines that no longer hold layers.
     pub(super) fn sync_engines(
         &mut self,
         now: MonotonicTime,
@@ -130,32 +134,33 @@
         fleet: &BackendFleet,
     ) {
         self.centres = workers.iter().map(|w| w.data_centre.clone()).collect();
-        if self.editions.follow(table) {
+        if self.generations.follow(table) {
             self.set_links(table, workers);
         }
-        let mut held = BTreeSet::new();
+        let mut announced = BTreeSet::new();
         for worker in workers {
             let surveyed = fleet.surveyed(now, worker);
-            if self.follow_one(now, table, worker, surveyed) {
-                held.insert(worker.server.clone());
-                self.report(worker, surveyed);
+            if self.sync_engine(now, table, worker, surveyed) {
+                announced.insert(worker.server.clone());
+                self.report_load(worker, surveyed);
             }
         }
-        let gone: Vec<ServerName> = self
+        let removed: Vec<ServerName> = self
             .known
             .keys()
-            .filter(|server| !held.contains(*server))
+            .filter(|server| !announced.contains(*server))
             .cloned()
             .collect();
-        for server in gone {
+        for server in removed {
             self.known.remove(&server);
             self.planner.remove(&server);
         }
         self.planner.tick(now);
     }
 
-    /// Tells the planner of one engine where it changed; false if it holds nothing to run.
-    fn follow_one(
+    /// Announces an engine to the planner if it changed. Returns false if the engine holds no
+    /// layers, its service or kind is not published, or the planner rejects it.
+    fn sync_engine(
         &mut self,
         now: MonotonicTime,
         table: &RouteTable,
@@ -173,7 +178,7 @@
             incarnation: worker.incarnation,
             layers: layers.clone(),
             address: worker.address,
-            edition: self.editions.get(&worker.offer.service),
+            generation: self.generations.get(&worker.offer.service),
             slowness: slowness_of(surveyed),
         };
         if self.known.get(&worker.server) == Some(&known) {
@@ -183,20 +188,21 @@
         let sequence = SequenceNumber(self.sequence);
         let Some(announcement) = announcement_for(worker, layers, spec, sequence, known.slowness)
         else {
-            log::warn!(server:% = worker.server, kind = worker.offer.kind.as_str(); "engine of a kind that is not published");
+            log::warn!(server:% = worker.server, kind = worker.offer.kind.as_str(); "engine ignored: its kind is not published");
             return false;
         };
-        // A life that is told anew must not look older than the one before it.
+        // A repeated announcement of an incarnation needs a higher sequence number than the one
+        // before, or it would count as older.
         if let Err(findings) = self.planner.announce(now, announcement) {
-            log::warn!(server:% = worker.server, findings:% = findings; "engine not routed to");
+            log::warn!(server:% = worker.server, findings:% = findings; "engine ignored: the planner rejected its announcement");
             return false;
         }
         self.known.insert(worker.server.clone(), known);
         true
     }
 
-    /// Passes on what a survey found of an engine's load.
-    fn report(&mut self, worker: &WorkerView, surveyed: Option<SurveyedEngine>) {
+    /// Reports an engine's surveyed load to the planner.
+    fn report_load(&mut self, worker: &WorkerView, surveyed: Option<SurveyedEngine>) {
         let Some(surveyed) = surveyed else {
             return;
         };
@@ -235,13 +241,14 @@
         }
     }
 
-    /// Takes a chain for a request: the one that is predicted to end first, among those that lie in
-    /// one data centre each. This data centre's own is preferred unless another is much quicker.
+    /// Reserves a chain for a request: the one with the lowest predicted cost among the best chains
+    /// of each data centre. Other data centres get a penalty, so this host's own is preferred
+    /// unless another is much faster.
     ///
-    /// A chain that crosses data centres carries 20 to 30 MB of activations for each request, and
-    /// the pipe that all share takes about 40 of those a second; a caller's request and events are a
-    /// few kilobytes. So whole requests go to another data centre, and chains cross only where none
-    /// lies in one.
+    /// A chain that crosses data centres sends 20 to 30 MB of activations per request over a shared
+    /// link that carries about 40 such requests a second, whereas a caller's request and events are
+    /// a few kilobytes. So a request is preferably sent as a whole to another data centre, and a
+    /// chain crosses data centres only if no data centre has a complete one.
     pub(super) fn reserve<F, H>(
         &mut self,
         now: MonotonicTime,
@@ -255,20 +262,20 @@
         F: Fn(&ServerName) -> bool,
         H: Fn(&ServerName) -> bool,
     {
-        let is_good = |engine: &EngineRecord| {
+        let is_eligible = |engine: &EngineRecord| {
             let server = &engine.announcement.server;
             may_take_work(server) && is_healthy(server)
         };
         let model = pool_name(&request.service);
         let query = RouteQuery {
             excluded,
-            // The caller of a broken stream holds a part already, which would be lost.
+            // The caller of a broken stream has received part of the answer, which would be lost.
             priority: if is_resume {
                 RoutePriority::Urgent
             } else {
                 RoutePriority::Normal
             },
-            ..query_of(request, &model, &is_good)
+            ..query_of(request, &model, &is_eligible)
         };
         let mut best: Option<(Duration, RoutePlan, Option<DataCentreName>)> = None;
         for centre in self.centres.clone() {
@@ -284,7 +291,8 @@
                 .as_ref()
                 .map(|centre| self.links.penalty(now, centre));
             let stream = plan.finish.saturating_sub(plan.first_token);
-            let cost = plan.first_token + stream / STREAM_PART + penalty.unwrap_or_default();
+            let cost =
+                plan.first_token + stream / STREAM_TIME_DIVISOR + penalty.unwrap_or_default();
             if best.as_ref().is_none_or(|(other, ..)| cost < *other) {
                 best = Some((cost, plan, remote_data_centre));
             }
@@ -308,15 +316,16 @@
         })
     }
 
-    /// A stream over a chain in another data centre broke its pauses.
+    /// Records that a stream from `centre` paused for longer than its route allows.
     pub(super) fn record_late(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.links.late(now, centre);
     }
 
-    /// Counts a chain as running, once it is proved whole.
+    /// Counts a planned chain as running, after a check that its stages cover all `layers`.
     ///
-    /// Engines run the stages that they are named and report no chain of layers with their tokens,
-    /// so a gap would go unseen, and the caller would get words of a model with layers left out.
+    /// Engines run the stages that a request names and do not report the layers that their tokens
+    /// passed through. An undetected gap would therefore give the caller output of a model with
+    /// missing layers.
     fn start(
         &mut self,
         now: MonotonicTime,
@@ -334,7 +343,7 @@
         let ranges: Vec<LayerRange> = hops.iter().map(|hop| hop.layers).collect();
         let first = plan.stages.first().map(|stage| stage.server.clone());
         let (Some(first), true) = (first, is_complete_chain(&ranges, layers)) else {
-            log::error!(stages:? = plan.stages; "chain with a gap was not sent");
+            log::error!(stages:? = plan.stages; "planned chain rejected: its stages do not cover all layers");
             let reasons = vec![NoRouteReason::NotServed];
             return Err(NoRoute { reasons });
         };
@@ -348,22 +357,22 @@
         })
     }
 
-    /// The first event of a running chain came.
+    /// Records the first event of a running chain.
     pub(super) fn record_first_event(&mut self, now: MonotonicTime, flight: FlightKey) {
         self.planner.first_token(now, flight);
     }
 
-    /// A chain ended well, or its caller went away.
+    /// Records that a chain finished or that its caller disconnected.
     pub(super) fn record_finished(&mut self, now: MonotonicTime, flight: FlightKey) {
         self.planner.finished(now, flight);
     }
 
-    /// An engine declined a draft: it is full, whatever it last told.
+    /// Records that an engine declined a draft: it is full, whatever load it last reported.
     pub(super) fn record_declined(&mut self, now: MonotonicTime, server: &ServerName) {
         self.planner.declined(now, server);
     }
 
-    /// A chain failed, by the fault of `culprit` where that is known.
+    /// Records that a chain failed; `culprit` is the engine at fault, if known.
     pub(super) fn record_failed(
         &mut self,
         now: MonotonicTime,
@@ -374,7 +383,8 @@
     }
 }
 
-/// What a request asks of its chain; the model is its service's, and no engine is excluded.
+/// Route query of a request, with normal priority and without excluded engines. `model` must be the
+/// pool name of the request's service.
 fn query_of<'query>(
     request: &RelayRequest,
     model: &'query ModelName,
@@ -392,7 +402,7 @@
         allowed,
         excluded: &[],
         prompt_tokens: draft.map_or(0, |draft| draft.prompt_tokens),
-        expected_tokens: (expected / GROWTH_PART).max(1),
+        expected_tokens: (expected / GROWTH_DIVISOR).max(1),
         prefixes: &[],
         deadline: None,
         priority: RoutePriority::Normal,
--- a/crates/daemon/src/relay/chains/following.rs
+++ b/crates/daemon/src/relay/chains/refresh.rs
@@ -1,4 +1,4 @@
-//! Keeps the chains in line with what engines announce and operators publish.
+//! Updates the chain table periodically from announced engines, published routes and surveys.
 
 use std::sync::Arc;
 
@@ -10,7 +10,8 @@
 use crate::peers::PeerHub;
 use crate::relay::context::RelayContext;
 
-/// Keeps the chains current for as long as the process lives.
+/// Updates the chain table, the load limits and the share of the retry budget every [`CHAIN_TICK`]
+/// until the process ends.
 pub(in crate::relay) async fn run_chains(context: Arc<RelayContext>, hub: PeerHub) {
     let mut ticks = interval(CHAIN_TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -35,7 +36,8 @@
     }
 }
 
-/// Clears engines that answered the latest survey after this host had no answer of them.
+/// Clears the suspicion of engines that answered the latest survey after this host missed their
+/// answer to a probe.
 fn clear_suspects(context: &RelayContext, now: MonotonicTime, workers: &[Arc<WorkerView>]) {
     let suspects = context.health().suspects(now);
     for server in suspects {
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -1,4 +1,4 @@
-//! Drafts: a chain of engines, and its events to the caller as they come.
+//! Serves drafts: sends each to a chain of engines and streams its events to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,58 +22,62 @@
 use super::stream::{StreamRun, run_stream};
 use crate::clock::millis;
 
-/// Time that must be left for a send to be of use.
-const MIN_LEFT: Duration = Duration::from_millis(50);
-/// Advice to a caller for whom no chain had room while it was waited for: about the time in which
-/// all drafts that run now have ended.
-const RETRY_FULL: Duration = Duration::from_millis(2_500);
-/// Time between two looks for room.
+/// Least time before the request's deadline for which a draft is still sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(50);
+/// Retry-after value of a refusal because no chain has capacity: about the time in which all
+/// currently running drafts end.
+const RETRY_AFTER_NO_CAPACITY: Duration = Duration::from_millis(2_500);
+/// Time between two attempts to find a chain with capacity.
 pub(super) const CAPACITY_POLL_PERIOD: Duration = Duration::from_millis(40);
-/// Events that wait for a caller that reads slowly.
-const EVENT_QUEUE: usize = 32;
-/// Time for which an engine that declined a draft is left out of its next chains.
-const DECLINED_PAUSE: Duration = Duration::from_millis(200);
-/// Time for which the engines of a chain that broke by no known fault are left out. Longer, there
-/// may be no other whole chain to go on.
-const BROKEN_PAUSE: Duration = Duration::from_millis(700);
-/// Longer than any draft.
-const FOR_GOOD: Duration = Duration::from_secs(3_600);
-/// Sends that engines declined before a request is given up; each named another engine at fault.
+/// Capacity, in chunks of events, of the queue to a caller that reads slowly.
+const EVENT_QUEUE_LENGTH: usize = 32;
+/// Time for which an engine that declined a draft is excluded from the draft's next chains.
+const DECLINED_EXCLUSION: Duration = Duration::from_millis(200);
+/// Time for which the engines of a chain that broke without a known culprit are excluded. With a
+/// longer time there may be no other complete chain to continue on.
+const BROKEN_EXCLUSION: Duration = Duration::from_millis(700);
+/// Exclusion for the rest of a draft: longer than any draft takes.
+const DRAFT_EXCLUSION: Duration = Duration::from_secs(3_600);
+/// Declined sends after which a request fails. Each of them excludes another engine: the one that
+/// the answer names, else the first of the chain.
 const MAX_DECLINED: u32 = 6;
-/// The same for a draft that the caller holds a part of: its caller waits two seconds for the next
-/// event and then leaves, and an engine that declined is asked again after a fifth of one.
+/// Same limit for a draft that may have run already. Its caller waits two seconds for the next
+/// event before it disconnects, and an engine that declined is tried again after 200 ms.
 const MAX_DECLINED_RESUMED: u32 = 12;
 
-/// A draft on its way: what was tried, and what came of it.
+/// A draft in progress, with its sends so far and their results.
 pub(super) struct DraftRun {
     pub(super) context: Arc<RelayContext>,
     pub(super) request: RelayRequest,
     pub(super) meter: RequestMeter,
-    /// Engines that failed it, and until when each is left out.
-    excluded: Vec<LeftOut>,
-    /// First engines of the chains that may have run it.
-    places: TriedServers,
-    /// Sends that an engine may have begun to run.
+    /// Engines that are excluded from the next chains.
+    excluded: Vec<ExcludedEngine>,
+    /// First engines of the chains that may have run the draft.
+    tried_servers: TriedServers,
+    /// Sends whose request an engine may have started.
     sends: u32,
     declined: u32,
     may_have_run: bool,
-    last: Option<FailedSend>,
+    last_failure: Option<FailedSend>,
     pub(super) reroutes: RerouteState,
 }
 
-/// An engine that is left out of a draft's next chains.
-struct LeftOut {
+/// An engine that is excluded from a draft's next chains.
+struct ExcludedEngine {
     server: ServerName,
     until: MonotonicTime,
 }
 
-/// A chain that answered.
+/// A chain that answered a draft, and its answer.
 pub(super) struct RunningDraft {
     pub(super) answer: OpenAnswer,
     pub(super) chain: ChainGuard,
 }
 
-/// Serves one draft.
+/// Sends a draft to a chain and returns the response to the caller. Events of a successful answer
+/// are streamed by a task that is spawned for them.
+///
+/// Fails if no chain answers before the sends, the declined sends or the time are used up.
 pub(super) async fn serve(
     context: &Arc<RelayContext>,
     request: RelayRequest,
@@ -86,24 +90,24 @@
         request,
         meter: meter.clone(),
         excluded: Vec::new(),
-        places: TriedServers::default(),
+        tried_servers: TriedServers::default(),
         sends: 0,
         declined: 0,
         may_have_run: false,
-        last: None,
+        last_failure: None,
         reroutes: RerouteState::default(),
     };
     let wait_until = context.queue_deadline(context.clock.now(), run.request.arrived);
     let running = match run.open(resume_after, wait_until).await {
         Some(running) => running,
-        None => return Err(run.conclude()),
+        None => return Err(run.refusal()),
     };
     if !running.answer.parts.status.is_success() {
         let read = running.answer.read().await;
         meter.ended(OutcomeKind::Complete);
         return read.map_err(|failed| refused(RefusalKind::UnknownOutcome, failed.reason));
     }
-    let (sender, body) = channel_body(EVENT_QUEUE);
+    let (sender, body) = channel_body(EVENT_QUEUE_LENGTH);
     let mut response = Response::new(body);
     *response.status_mut() = running.answer.parts.status;
     *response.headers_mut() = end_to_end_headers(&running.answer.parts.headers);
@@ -113,10 +117,10 @@
 }
 
 impl DraftRun {
-    /// Sends the draft until a chain answers it; `None` once no further send is allowed.
+    /// Sends the draft until a chain answers; returns `None` once no further send is allowed.
     ///
-    /// Where no chain has room, it waits for some until `wait_until`: drafts end many times a second,
-    /// and a caller that is refused uses up the one retry that it may have.
+    /// If no chain has capacity, waits for one until `wait_until`: drafts end many times a second,
+    /// and a refusal costs the caller its only retry.
     pub(super) async fn open(
         &mut self,
         resume_after: Option<EventId>,
@@ -125,10 +129,10 @@
         let is_resume = self.may_have_run;
         loop {
             let now = self.context.clock.now();
-            if self.request.time_left(now) < MIN_LEFT || self.is_over() {
+            if self.request.time_left(now) < MIN_TIME_LEFT || self.is_exhausted() {
                 return None;
             }
-            let Some(mut chain) = self.take_chain_in_budget(now, is_resume) else {
+            let Some(mut chain) = self.reserve_chain_in_budget(now, is_resume) else {
                 if now >= wait_until {
                     return None;
                 }
@@ -139,7 +143,7 @@
             self.context.metrics.request_sent();
             match self.send(&mut chain, resume_after).await {
                 Ok(answer) => {
-                    self.places.record(&chain.chain.first);
+                    self.tried_servers.record(&chain.chain.first);
                     self.sends += 1;
                     self.may_have_run = true;
                     let is_error = answer.parts.status.is_server_error();
@@ -147,42 +151,44 @@
                         return Some(RunningDraft { answer, chain });
                     }
                     let culprit = chain.chain.first.clone();
-                    self.leave_out([culprit.clone()], FOR_GOOD);
+                    self.exclude([culprit.clone()], DRAFT_EXCLUSION);
                     chain.failed(Some(&culprit));
                 }
                 Err(failed) => {
                     if !failed.outcome.proof().is_not_run() {
-                        self.places.record(&chain.chain.first);
+                        self.tried_servers.record(&chain.chain.first);
                     }
-                    let culprits = blame(&chain.chain, &failed);
+                    let culprits = culprits_of(&chain.chain, &failed);
                     log_failed_send(&self.request, &failed, &culprits);
-                    // One that declined is full, or was a moment ago; there may be no other.
+                    // An engine that declined is full, or was a moment ago. It is excluded only for a
+                    // short time, since there may be no other engine with its layers.
                     let time = match failed.outcome {
-                        SendOutcome::Declined => DECLINED_PAUSE,
-                        _ => FOR_GOOD,
+                        SendOutcome::Declined => DECLINED_EXCLUSION,
+                        _ => DRAFT_EXCLUSION,
                     };
                     chain.failed(culprits.first());
                     if failed.outcome == SendOutcome::Declined {
-                        self.note_full(&culprits);
+                        self.record_declined(&culprits);
                     }
-                    self.leave_out(culprits, time);
-                    self.note(failed);
+                    self.exclude(culprits, time);
+                    self.record_failure(failed);
                 }
             }
         }
     }
 
-    /// A chain, and the retry that it costs if it is not the first.
+    /// Reserves a chain and, if the draft was sent before, spends one retry of the budget.
     ///
-    /// The budget pays for a send, not for looking: a draft that paid at each look for room emptied
-    /// the host's budget within half a second, and running streams were cut for want of it.
-    fn take_chain_in_budget(&self, now: MonotonicTime, is_resume: bool) -> Option<ChainGuard> {
+    /// Only a send spends a retry, a search for capacity doesn't: when each search spent one, a
+    /// single draft used up the host's budget within half a second, and running streams that then
+    /// needed a retry were cut.
+    fn reserve_chain_in_budget(&self, now: MonotonicTime, is_resume: bool) -> Option<ChainGuard> {
         let service = &self.request.service.name;
         let is_repeat = self.sends + self.declined > 0;
         if is_repeat && !self.context.has_retry_budget(now, service) {
             return None;
         }
-        let chain = self.take_chain(now, is_resume, &[])?;
+        let chain = self.reserve_chain(now, is_resume, &[])?;
         if is_repeat && !self.context.spend_retry(now, service) {
             chain.failed(None);
             return None;
@@ -190,40 +196,44 @@
         Some(chain)
     }
 
-    /// Whether the draft could go on elsewhere if `suspects` were left.
+    /// Whether the draft can continue on another chain without `suspects`.
     ///
-    /// A silent chain is kept where it could not: its answer may still come, and giving it up would
-    /// end the caller's answer for certain.
+    /// If it can't, the draft stays on the silent chain: its events may still arrive, and without it
+    /// the caller's answer is certainly incomplete.
     pub(super) fn has_alternative(&self, suspects: &[ServerName]) -> bool {
         let now = self.context.clock.now();
-        let is_left = self
+        let has_budget = self
             .context
             .has_retry_budget(now, &self.request.service.name);
-        if self.is_over() || self.declined + 1 >= self.most_declined() || !is_left {
+        if self.is_exhausted() || self.declined + 1 >= self.max_declined() || !has_budget {
             return false;
         }
-        let Some(chain) = self.take_chain(now, true, suspects) else {
+        let Some(chain) = self.reserve_chain(now, true, suspects) else {
             return false;
         };
         chain.failed(None);
         true
     }
 
-    fn take_chain(
+    fn reserve_chain(
         &self,
         now: MonotonicTime,
         is_resume: bool,
         suspects: &[ServerName],
     ) -> Option<ChainGuard> {
-        let excluded = self.excluded.iter().filter(|left_out| left_out.until > now);
-        let excluded = excluded.map(|left_out| &left_out.server);
-        let spent = self.spent_places(now);
-        let excluded: Vec<ServerName> = excluded.chain(suspects).chain(&spent).cloned().collect();
+        let excluded = self.excluded.iter().filter(|engine| engine.until > now);
+        let excluded = excluded.map(|engine| &engine.server);
+        let exhausted = self.exhausted_first_engines(now);
+        let excluded: Vec<ServerName> = excluded
+            .chain(suspects)
+            .chain(&exhausted)
+            .cloned()
+            .collect();
         let fleet = &self.context.fleet;
         let may_take_work = |server: &ServerName| fleet.may_take(now, server);
         let health = self.context.health();
         let is_healthy = |server: &ServerName| !health.is_suspected(now, server);
-        let taken = self.context.chains().reserve(
+        let reserved = self.context.chains().reserve(
             now,
             &self.request,
             &excluded,
@@ -232,34 +242,35 @@
             is_healthy,
         );
         drop(health);
-        match taken {
+        match reserved {
             Ok(chain) => Some(ChainGuard::new(&self.context, chain)),
-            Err(none) => {
-                log::debug!(request = self.request.attempt.as_str(), reasons:% = none; "no chain");
+            Err(error) => {
+                log::debug!(request = self.request.attempt.as_str(), reasons:% = error; "no chain available for the draft");
                 None
             }
         }
     }
 
-    /// Engines that no chain of this draft may begin with any more.
-    fn spent_places(&self, now: MonotonicTime) -> Vec<ServerName> {
-        let most = self.request.route.max_attempts;
-        if !self.places.has_reached(most) {
+    /// Engines of the first layer that a chain of this draft must not start with any more.
+    fn exhausted_first_engines(&self, now: MonotonicTime) -> Vec<ServerName> {
+        let max_attempts = self.request.route.max_attempts;
+        if !self.tried_servers.has_reached(max_attempts) {
             return Vec::new();
         }
         let workers = self.context.fleet.workers(now);
         let health = self.context.health();
-        let is_there = |server: &ServerName| workers.iter().any(|worker| worker.server == *server);
-        let is_lost = |server: &ServerName| health.is_suspected(now, server) || !is_there(server);
-        let Some(allowed) = self.places.allowed(most, is_lost) else {
+        let is_known = |server: &ServerName| workers.iter().any(|worker| worker.server == *server);
+        let is_unavailable =
+            |server: &ServerName| health.is_suspected(now, server) || !is_known(server);
+        let Some(allowed) = self.tried_servers.allowed(max_attempts, is_unavailable) else {
             return Vec::new();
         };
         let first = workers.iter().filter(|worker| worker.holds_first_layer());
-        let spent = first.filter(|worker| !allowed.contains(&&worker.server));
-        spent.map(|worker| worker.server.clone()).collect()
+        let exhausted = first.filter(|worker| !allowed.contains(&&worker.server));
+        exhausted.map(|worker| worker.server.clone()).collect()
     }
 
-    fn note_full(&self, engines: &[ServerName]) {
+    fn record_declined(&self, engines: &[ServerName]) {
         let now = self.context.clock.now();
         let mut chains = self.context.chains();
         engines
@@ -267,97 +278,98 @@
             .for_each(|engine| chains.record_declined(now, engine));
     }
 
-    fn note(&mut self, failed: FailedSend) {
+    fn record_failure(&mut self, failed: FailedSend) {
         let proof = failed.outcome.proof();
-        // An engine that is gone does not count among those that a request was sent to.
+        // A send to an engine that is unreachable or silent does not count against `max_attempts`.
         if proof.is_not_run() || !failed.suspects.is_empty() {
             self.declined += 1;
         } else {
             self.sends += 1;
         }
         self.may_have_run |= !proof.is_not_run();
-        self.last = Some(failed);
+        self.last_failure = Some(failed);
     }
 
-    /// Notes how the draft ended.
+    /// Records and logs how the draft ended; `last` is the last event that the caller received.
     pub(super) fn log_end(&self, outcome: OutcomeKind, last: Option<EventId>) {
         self.meter.ended(outcome);
         let request = &self.request;
-        let taken = self.context.clock.now().since(request.arrived);
+        let elapsed = self.context.clock.now().since(request.arrived);
         let times = self.meter.event_times();
         log::info!(request = request.attempt.as_str(), route = &*request.route.name,
             customer = request.customer.as_ref().map_or("", |customer| customer.as_str()),
             outcome:% = outcome, last_event = last.map_or(0, |last| last.0),
             sends = self.sends, declined = self.declined, first_ms = times.first.map(millis),
-            pause_ms = millis(times.longest_pause), took_ms = millis(taken); "ended");
+            pause_ms = millis(times.longest_pause), took_ms = millis(elapsed); "draft ended");
     }
 
-    /// Whether no further send is allowed.
-    fn is_over(&self) -> bool {
-        let may_go_on = !self.may_have_run || self.request.route.kind.may_repeat();
-        !may_go_on
+    /// Whether no further send is allowed: the draft must not run twice, or a limit is reached.
+    fn is_exhausted(&self) -> bool {
+        let may_send = !self.may_have_run || self.request.route.kind.may_repeat();
+        !may_send
             || self.sends >= self.request.route.max_attempts
-            || self.declined >= self.most_declined()
+            || self.declined >= self.max_declined()
     }
 
-    fn most_declined(&self) -> u32 {
+    fn max_declined(&self) -> u32 {
         if self.may_have_run {
             return MAX_DECLINED_RESUMED;
         }
         MAX_DECLINED
     }
 
-    /// Gives a chain up that broke after it had begun. That tells nothing of which engine is at
-    /// fault, so all of them are left out of the next.
+    /// Releases a chain that broke after it started. The break does not show which engine is at
+    /// fault, so all engines of the chain are excluded from the next one.
     pub(super) fn abandon(&mut self, chain: ChainGuard) {
         let servers: Vec<ServerName> = chain.chain.servers().cloned().collect();
-        self.leave_out(servers, BROKEN_PAUSE);
+        self.exclude(servers, BROKEN_EXCLUSION);
         chain.failed(None);
     }
 
-    /// Gives a chain up whose engines are gone.
-    pub(super) fn abandon_unreachable(&mut self, chain: ChainGuard, gone: Vec<ServerName>) {
-        self.exclude_suspects(gone);
+    /// Releases a chain and excludes its `unreachable` engines.
+    pub(super) fn abandon_unreachable(&mut self, chain: ChainGuard, unreachable: Vec<ServerName>) {
+        self.exclude_suspects(unreachable);
         chain.failed(None);
     }
 
-    /// Leaves silent engines out of the next chain. A chain with engines that are gone does not
-    /// count among those that the draft was sent to.
+    /// Excludes silent engines from the next chain. The send to a chain with such engines counts as
+    /// declined and no longer against `max_attempts`.
     pub(super) fn exclude_suspects(&mut self, suspects: Vec<ServerName>) {
         self.sends = self.sends.saturating_sub(1);
         self.declined += 1;
-        self.leave_out(suspects, BROKEN_PAUSE);
+        self.exclude(suspects, BROKEN_EXCLUSION);
     }
 
-    /// The chain whose engines were suspected is kept, and counts again.
+    /// Counts the send again that [`DraftRun::exclude_suspects`] discounted, because the draft
+    /// stays on that chain.
     pub(super) fn count_kept_chain(&mut self) {
         self.sends += 1;
     }
 
-    fn leave_out<S>(&mut self, servers: S, time: Duration)
+    fn exclude<S>(&mut self, servers: S, time: Duration)
     where
         S: IntoIterator<Item = ServerName>,
     {
         let until = self.context.clock.now().after(time);
         let servers = servers.into_iter();
         self.excluded
-            .extend(servers.map(|server| LeftOut { server, until }));
+            .extend(servers.map(|server| ExcludedEngine { server, until }));
     }
 
     fn may_repeat(&self) -> bool {
         self.request.route.kind.may_repeat() && self.sends < self.request.route.max_attempts
     }
 
-    fn conclude(&self) -> Refused {
-        let reason = self.last.as_ref().map_or_else(
+    fn refusal(&self) -> Refused {
+        let reason = self.last_failure.as_ref().map_or_else(
             || "no chain of engines has room".to_owned(),
             |failed| failed.reason.clone(),
         );
         if !self.may_have_run {
-            return refused(RefusalKind::NotRun, reason).retry_after(RETRY_FULL);
+            return refused(RefusalKind::NotRun, reason).retry_after(RETRY_AFTER_NO_CAPACITY);
         }
         let is_late =
-            self.last.as_ref().map(|failed| failed.outcome) == Some(SendOutcome::TimedOut);
+            self.last_failure.as_ref().map(|failed| failed.outcome) == Some(SendOutcome::TimedOut);
         let kind = if is_late {
             RefusalKind::TimedOut
         } else {
@@ -370,11 +382,12 @@
 fn log_failed_send(request: &RelayRequest, failed: &FailedSend, culprits: &[ServerName]) {
     let engines: Vec<&str> = culprits.iter().map(ServerName::as_str).collect();
     log::info!(request = request.attempt.as_str(), engines = engines.join(" ").as_str(),
-        outcome:? = failed.outcome, reason = failed.reason.as_str(); "send failed");
+        outcome:% = failed.outcome, reason = failed.reason.as_str(); "sending the draft failed");
 }
 
-/// The engines that a failed send is laid to.
-fn blame(chain: &ReservedChain, failed: &FailedSend) -> Vec<ServerName> {
+/// Engines that are at fault for a failed send: the silent ones, the one that the answer names, or
+/// the first of the chain.
+fn culprits_of(chain: &ReservedChain, failed: &FailedSend) -> Vec<ServerName> {
     if !failed.suspects.is_empty() {
         return failed.suspects.clone();
     }
--- a/crates/daemon/src/relay/engine_estimates.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -1,4 +1,5 @@
-//! What the planner is told of engines, from what operators published of their kinds.
+//! Estimates the capacity and speed of engines for the planner, from the published figures of their
+//! kinds.
 
 use std::time::Duration;
 
@@ -13,26 +14,29 @@
 
 use crate::fleet::WorkerView;
 
-/// Requests that write at the same time on a busy engine, for its rate: about what a data centre's
-/// share of the usual load keeps running.
+/// Concurrent decoding requests for which the decode rate of an engine is estimated: about as many
+/// as a data centre's share of the typical load keeps running.
 const BUSY_BATCH: f64 = 16.0;
 /// Bytes a second in one megabit a second.
 pub(super) const MEGABIT: f64 = 125_000.0;
 
-/// How many times slower an engine is than its kind, in whole steps, so that the planner is not
-/// told anew at each survey.
+/// Factor by which an engine is slower than its kind, rounded to an integer of at least 1 so that
+/// small changes between surveys cause no new announcement to the planner.
 pub(super) fn slowness_of(surveyed: Option<SurveyedEngine>) -> u32 {
     let load = surveyed.and_then(|surveyed| surveyed.load);
     let percent = load.map_or(100, |load| load.slowness);
     (percent.saturating_add(50) / 100).max(1)
 }
 
-/// Engines of one service form one pool, whatever models they list.
+/// Model name of a service's pool in the planner. All engines of a service form one pool, whatever
+/// models they announce.
 pub(super) fn pool_name(service: &ServiceSpec) -> ModelName {
     ModelName::from(service.name.as_str())
 }
 
-/// What the planner is told of an engine: its share of the layers at the pace of its kind.
+/// Announcement of an engine to the planner: the figures of its kind, scaled to its share of the
+/// model's layers and its slowness. `None` if its kind is not published or a figure is out of
+/// range.
 pub(super) fn announcement_for(
     worker: &WorkerView,
     layers: &WorkerLayers,
@@ -44,9 +48,9 @@
     let share = f64::from(layers.range.len()) / f64::from(spec.layers.max(1));
     let slowness = f64::from(slowness);
     let floor = spec.step.as_secs_f64() * kind.step_pace * share * slowness;
-    let each = spec.step_per_request.as_secs_f64()
+    let per_request = spec.step_per_request.as_secs_f64()
         + spec.step_per_context.as_secs_f64() * f64::from(spec.usual_prompt) / 1_000.0;
-    let busy_step = floor + each * BUSY_BATCH * kind.step_pace * share * slowness;
+    let busy_step = floor + per_request * BUSY_BATCH * kind.step_pace * share * slowness;
     Some(EngineAnnouncement {
         server: worker.server.clone(),
         incarnation: worker.incarnation,
@@ -73,6 +77,7 @@
     TokenRate((per_second as u32).max(1))
 }
 
+/// Settings of the planner for drafts.
 pub(super) fn routing_settings() -> RoutingSettings {
     RoutingSettings {
         chain_scope: ChainScope::WithinDataCentre,
@@ -81,10 +86,10 @@
             output_tokens: 172,
             ..WorkloadMix::default()
         },
-        // Engines put the newest request back where memory runs out after all.
+        // Engines requeue the newest request if their memory runs out.
         kv_headroom_percent: 2,
         urgent_reserve_percent: 4,
-        // Engines are as fast after a load as ever.
+        // A freshly loaded engine runs at full speed at once.
         slow_start: SlowStartSettings {
             window: Duration::ZERO,
             first_percent: 100,
--- a/crates/daemon/src/relay/forwarding.rs
+++ b/crates/daemon/src/relay/forwarding.rs
@@ -1,4 +1,4 @@
-//! Events of one chain on their way to the caller.
+//! Forwards the events of one chain to the caller.
 
 use std::time::Duration;
 
@@ -13,61 +13,64 @@
 
 use super::drafts::{DraftRun, RunningDraft};
 
-/// Events over which the usual gap is smoothed: half a second of a stream of 16 events a second.
+/// Events over which the usual gap is smoothed: half a second of a stream with 16 events a second.
 const GAP_SMOOTHING: u32 = 8;
 
-/// What a chain sent next; `None` at its end.
+/// Next body frame of a chain; `None` at the end of the body.
 pub(super) type NextFrame = Option<Result<Frame<Bytes>, hyper::Error>>;
 
-/// How the events of one chain ended, or paused.
+/// Reason why forwarding from one chain stopped.
 pub(super) enum ChainEnd {
-    /// The whole stream came.
+    /// The stream is complete.
     Complete,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The chain broke off, or sent what can't be passed on.
+    /// The chain broke, or sent events that can't be forwarded.
     Broken(String),
-    /// Engines of it do not answer.
+    /// Engines of the chain do not answer.
     Silent(ChainVerdict),
 }
 
-/// State of the passing on of one chain's events.
+/// Forwards the events of one chain and measures the gaps between them.
 pub(super) struct EventForwarder {
     framer: EventFramer,
-    /// What came while somebody else listened.
+    /// Frame that was received outside of [`EventForwarder::run`] and is forwarded first.
     pending: Option<NextFrame>,
+    /// Whether no event has arrived yet.
     is_first: bool,
-    heard_at: MonotonicTime,
+    /// Time of the last event or, before the first, of the start.
+    last_event_at: MonotonicTime,
     /// Time between two events, smoothed; zero before the second one.
     usual_gap: Duration,
-    /// Whether a pause was longer than the route allows.
+    /// Whether a gap was longer than the route's `pause_target`.
     is_late: bool,
 }
 
 impl EventForwarder {
-    /// A pass before the first event.
+    /// Creates a forwarder that has received no event; its silence timer starts at `now`.
     pub(super) fn new(now: MonotonicTime) -> Self {
         Self {
             framer: EventFramer::default(),
             pending: None,
             is_first: true,
-            heard_at: now,
+            last_event_at: now,
             usual_gap: Duration::ZERO,
             is_late: false,
         }
     }
 
-    /// Takes what came while somebody else listened; it is passed on next.
+    /// Stores a frame that was received outside of [`EventForwarder::run`], to forward it next.
     pub(super) fn put_back(&mut self, frame: NextFrame) {
         self.pending = Some(frame);
     }
 
-    /// Other engines have taken the place of silent ones: the silence counts from now on.
-    pub(super) fn restart_silence(&mut self, now: MonotonicTime) {
-        self.heard_at = now;
+    /// Restarts the silence timer, after other engines replaced silent ones.
+    pub(super) fn restart_silence_timer(&mut self, now: MonotonicTime) {
+        self.last_event_at = now;
     }
 
-    /// Passes events on until the chain ends, or falls silent while another could go on.
+    /// Forwards events until the chain ends, or until it is silent and the draft can continue
+    /// elsewhere.
     pub(super) async fn run(
         &mut self,
         run: &DraftRun,
@@ -78,7 +81,7 @@
         loop {
             let frame = match self.pending.take() {
                 Some(frame) => frame,
-                None => match self.next(run, running).await {
+                None => match self.receive(run, running).await {
                     Ok(frame) => frame,
                     Err(end) => return end,
                 },
@@ -86,7 +89,9 @@
             let frame = match frame {
                 Some(Ok(frame)) => frame,
                 None if self.framer.has_partial_event() => {
-                    return ChainEnd::Broken("it ended within an event".to_owned());
+                    return ChainEnd::Broken(
+                        "the chain ended its stream within an event".to_owned(),
+                    );
                 }
                 None => return ChainEnd::Complete,
                 Some(Err(error)) => return ChainEnd::Broken(error.to_string()),
@@ -95,10 +100,10 @@
                 continue;
             };
             self.framer.push(&data);
-            match deliver(&mut self.framer, progress) {
+            match take_new_events(&mut self.framer, progress) {
                 Ok(events) if events.is_empty() => {}
                 Ok(events) => {
-                    self.note(run, running);
+                    self.record_events(run, running);
                     if !sender.send(events).await {
                         return ChainEnd::CallerGone;
                     }
@@ -108,27 +113,27 @@
         }
     }
 
-    async fn next(
+    async fn receive(
         &self,
         run: &DraftRun,
         running: &mut RunningDraft,
     ) -> Result<NextFrame, ChainEnd> {
-        let left = run.request.time_left(run.context.clock.now());
+        let time_left = run.request.time_left(run.context.clock.now());
         tokio::select! {
-            frame = timeout(left, next_frame(&mut running.answer.body)) => {
-                frame.map_err(|_| ChainEnd::Broken("its time is over".to_owned()))
+            frame = timeout(time_left, next_frame(&mut running.answer.body)) => {
+                frame.map_err(|_| ChainEnd::Broken("the deadline of the request has passed".to_owned()))
             }
-            verdict = run.watch_for_silence(&running.chain.chain, self.heard_at, self.usual_gap) => {
+            verdict = run.watch_for_silence(&running.chain.chain, self.last_event_at, self.usual_gap) => {
                 Err(ChainEnd::Silent(verdict))
             }
         }
     }
 
-    fn note(&mut self, run: &DraftRun, running: &RunningDraft) {
+    fn record_events(&mut self, run: &DraftRun, running: &RunningDraft) {
         let now = run.context.clock.now();
         run.meter.events_sent(now);
         if !self.is_first {
-            let gap = now.since(self.heard_at);
+            let gap = now.since(self.last_event_at);
             self.usual_gap = self.usual_gap - self.usual_gap / GAP_SMOOTHING + gap / GAP_SMOOTHING;
             let allowed = run.request.route.pause_target;
             if !self.is_late && allowed.is_some_and(|allowed| gap > allowed) {
@@ -136,25 +141,30 @@
                 running.chain.record_late(now);
             }
         }
-        self.heard_at = now;
+        self.last_event_at = now;
         running.chain.record_events(now, self.is_first);
         self.is_first = false;
     }
 }
 
-/// What a chain sends next. Nothing is lost if this is dropped before it is ready.
+/// Receives the next frame of a chain. Cancel-safe: no frame is lost if the future is dropped.
 pub(super) async fn next_frame(body: &mut Incoming) -> NextFrame {
     body.frame().await
 }
 
-/// Whole events that the caller lacks, in order.
-fn deliver(framer: &mut EventFramer, progress: &mut EventProgress) -> Result<Bytes, String> {
+/// Returns the complete events that the caller has not received yet, in order.
+///
+/// Fails on a malformed event and on a gap in the event ids.
+fn take_new_events(
+    framer: &mut EventFramer,
+    progress: &mut EventProgress,
+) -> Result<Bytes, String> {
     let mut events: Vec<Bytes> = Vec::new();
     while let Some(event) = framer.next_event().map_err(|error| error.to_string())? {
         match progress.take(event.id) {
             EventVerdict::Deliver => events.push(event.bytes),
             EventVerdict::Seen => {}
-            EventVerdict::Gap => return Err("events are missing".to_owned()),
+            EventVerdict::Gap => return Err("the chain skipped events".to_owned()),
         }
     }
     if events.len() == 1 {
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -1,4 +1,5 @@
-//! A chain in use: counted while it runs, and its end told to those who choose the next.
+//! Tracks a chain in use: counts it as running, and reports its end to the planner and to the
+//! health state of its engines.
 
 use std::sync::Arc;
 
@@ -9,11 +10,11 @@
 use super::request::RelayRequest;
 use crate::clock::millis;
 
-/// A chain that counts as running until this is ended or dropped.
+/// A chain that counts as running until the guard is dropped or consumed by [`ChainGuard::failed`].
 pub(super) struct ChainGuard {
     context: Arc<RelayContext>,
     pub(super) chain: ReservedChain,
-    ended: bool,
+    has_failed: bool,
 }
 
 impl ChainGuard {
@@ -22,11 +23,11 @@
         Self {
             context: Arc::clone(context),
             chain,
-            ended: false,
+            has_failed: false,
         }
     }
 
-    /// Notes that the draft goes to it.
+    /// Logs that the draft is sent to the chain.
     pub(super) fn log_sent(&self, request: &RelayRequest, now: MonotonicTime, attempt: u32) {
         let plan = &self.chain.plan;
         let stages: Vec<String> = plan
@@ -36,10 +37,10 @@
             .collect();
         log::info!(request = request.attempt.as_str(), route = &*request.route.name,
             try = attempt, chain = stages.join(" ").as_str(),
-            predicted_ms = millis(plan.first_token), left_ms = millis(request.time_left(now)); "sent");
+            predicted_ms = millis(plan.first_token), left_ms = millis(request.time_left(now)); "draft sent to a chain");
     }
 
-    /// Events came; `is_first` if none had before.
+    /// Records received events; `is_first` if they are the first of the chain.
     pub(super) fn record_events(&self, now: MonotonicTime, is_first: bool) {
         self.context.health().mark_alive(now, self.chain.servers());
         if is_first {
@@ -49,16 +50,17 @@
         }
     }
 
-    /// Its stream broke the pauses that its route allows, for the first time.
+    /// Records that the stream's first gap beyond the route's pause target occurred. Counts only
+    /// for chains in another data centre.
     pub(super) fn record_late(&self, now: MonotonicTime) {
         if let Some(centre) = &self.chain.remote_data_centre {
             self.context.chains().record_late(now, centre);
         }
     }
 
-    /// It failed, by the fault of `culprit` where that is known.
+    /// Ends the chain as failed; `culprit` is the engine at fault, if known.
     pub(super) fn failed(mut self, culprit: Option<&ServerName>) {
-        self.ended = true;
+        self.has_failed = true;
         let now = self.context.clock.now();
         self.context
             .chains()
@@ -70,7 +72,7 @@
     fn drop(&mut self) {
         let now = self.context.clock.now();
         self.context.health().ended(now, self.chain.servers());
-        if self.ended {
+        if self.has_failed {
             return;
         }
         self.context
--- a/crates/daemon/src/relay/liveness.rs
+++ b/crates/daemon/src/relay/liveness.rs
@@ -1,4 +1,4 @@
-//! Watches the chain of a draft for silence, and asks engines that nobody hears whether they are alive.
+//! Detects silent chains of drafts, and probes whether their engines are alive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,30 +15,30 @@
 use super::drafts::{CAPACITY_POLL_PERIOD, DraftRun};
 use super::survey::{EngineState, probe_engine};
 
-/// Time between two looks at a silent chain: a part of the pause that a caller may see.
+/// Time between two checks of a chain for silence: a fraction of the pause that a caller may see.
 const WATCH_PERIOD: Duration = Duration::from_millis(25);
-/// Longest pause of full use, where a route names none.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
-/// How much later than its time a question may be given up before this host is taken to be the late
-/// one: a few turns of its scheduler.
-const OWN_DELAY: Duration = Duration::from_millis(20);
-/// Part of the longest pause that a stream may be silent without its engines being asked. The rest
-/// is for their answers and for the next chain, whose first event takes about 60 ms.
-const PATIENCE_SHARE: f64 = 0.4;
-/// Silence that needs no explanation, in usual times between events. Chains that are full are slow by
-/// themselves; asked about after a fixed time, their engines got several questions for each request.
-const USUAL_GAPS: f64 = 2.5;
+/// Pause target of routes without one.
+const DEFAULT_PAUSE_TARGET: Duration = Duration::from_millis(200);
+/// Delay after the timeout of a probe above which this host itself is considered late: a few time
+/// slices of its scheduler.
+const MAX_LOCAL_DELAY: Duration = Duration::from_millis(20);
+/// Fraction of the pause target for which a stream may be silent before its engines are probed. The
+/// rest is left for their answers and for the next chain, whose first event takes about 60 ms.
+const SILENCE_SHARE: f64 = 0.4;
+/// Silence that causes no probes, in multiples of the expected gap between events. Full chains are
+/// slow without a fault; with a fixed time, their engines got several probes for each request.
+const MAX_SILENT_GAPS: f64 = 2.5;
 
 impl DraftRun {
-    /// As `watch`, once the draft could also go on over other engines.
+    /// Resolves like `watch`, but only once the draft can also continue on other engines.
     pub(super) async fn watch_for_silence(
         &self,
         chain: &ReservedChain,
         since: MonotonicTime,
-        usual: Duration,
+        expected_gap: Duration,
     ) -> ChainVerdict {
         loop {
-            let verdict = self.watch(chain, since, usual).await;
+            let verdict = self.watch(chain, since, expected_gap).await;
             if self.can_reroute(chain, &verdict.suspects) || self.has_alternative(&verdict.suspects)
             {
                 return verdict;
@@ -47,35 +47,42 @@
         }
     }
 
-    /// Resolves with the engines that are at fault, once a chain has been silent since `since` by
-    /// some fault. `usual` is the time that its next event usually takes.
+    /// Resolves with the suspected engines once the chain is silent because of a fault. The silence
+    /// started at `since`; `expected_gap` is the usual time until the next event.
     async fn watch(
         &self,
         chain: &ReservedChain,
         since: MonotonicTime,
-        usual: Duration,
+        expected_gap: Duration,
     ) -> ChainVerdict {
-        let pause = self.request.route.pause_target.unwrap_or(DEFAULT_PAUSE);
-        let patience = pause.mul_f64(PATIENCE_SHARE).max(usual.mul_f64(USUAL_GAPS));
+        let pause_target = self
+            .request
+            .route
+            .pause_target
+            .unwrap_or(DEFAULT_PAUSE_TARGET);
+        let silence_timeout = pause_target
+            .mul_f64(SILENCE_SHARE)
+            .max(expected_gap.mul_f64(MAX_SILENT_GAPS));
         loop {
             sleep(WATCH_PERIOD).await;
             let now = self.context.clock.now();
-            let judging = chain.servers();
+            let servers = chain.servers();
             let verdict = self
                 .context
                 .health()
-                .diagnose(now, since, patience, judging);
+                .diagnose(now, since, silence_timeout, servers);
             if !verdict.suspects.is_empty() {
                 return verdict;
             }
             for server in verdict.probe {
                 let address = chain.address_of(&server);
                 let context = Arc::clone(&self.context);
-                tokio::spawn(ask_alive(context, server, address));
+                tokio::spawn(probe_liveness(context, server, address));
             }
         }
     }
 
+    /// Failed send of a chain whose `suspects` are silent.
     pub(super) fn silence_failure(&self, suspects: &[ServerName]) -> FailedSend {
         let names: Vec<&str> = suspects.iter().map(ServerName::as_str).collect();
         let reason = format!("silent engines: {}", names.join(" "));
@@ -86,17 +93,24 @@
     }
 }
 
-/// Asks an engine whether it is alive, and notes its answer or that there is none.
-async fn ask_alive(context: Arc<RelayContext>, server: ServerName, address: Option<SocketAddr>) {
+/// Probes an engine and records whether it answered. A timeout that this host noticed late is not
+/// recorded, because the answer may have arrived in time.
+async fn probe_liveness(
+    context: Arc<RelayContext>,
+    server: ServerName,
+    address: Option<SocketAddr>,
+) {
     let answer_time = context.health().answer_time();
-    let asked_at = context.clock.now();
+    let probed_at = context.clock.now();
     let state = match address {
         Some(address) => probe_engine(&context, &context.pool, address, answer_time).await,
         None => EngineState::TimedOut,
     };
     let now = context.clock.now();
-    if matches!(state, EngineState::TimedOut) && now.since(asked_at) > answer_time + OWN_DELAY {
-        log::debug!(server:% = server; "question given up late; nothing is concluded from it");
+    if matches!(state, EngineState::TimedOut)
+        && now.since(probed_at) > answer_time + MAX_LOCAL_DELAY
+    {
+        log::debug!(server:% = server; "probe result ignored: this host noticed the timeout late");
         return;
     }
     let mut health = context.health();
@@ -107,7 +121,7 @@
     }
     drop(health);
     if matches!(state, EngineState::Unreachable | EngineState::TimedOut) {
-        let gone = matches!(state, EngineState::Unreachable);
-        log::warn!(server:% = server, gone = gone; "engine does not answer");
+        let is_unreachable = matches!(state, EngineState::Unreachable);
+        log::warn!(server:% = server, gone = is_unreachable; "engine did not answer a liveness probe");
     }
 }
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -1,7 +1,7 @@
 //! Placement of layers on the engines of published services.
 //!
-//! Each data centre is placed by itself, so that it serves its own callers: a chain that crosses
-//! data centres costs more on the pipe between them than anything that it could save.
+//! Each data centre gets a placement of its own, so that it can serve its own callers: a chain that
+//! crosses data centres costs more on the link between them than it can save.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -32,24 +32,24 @@
 use crate::peers::PeerHub;
 use crate::placement::RightKeeper;
 
-/// Time between two ticks.
-const PLACE_TICK: Duration = Duration::from_millis(200);
-/// Longest wait for an engine's answer to an order.
+/// Time between two ticks of the placer.
+const PLACEMENT_TICK: Duration = Duration::from_millis(200);
+/// Longest wait for an engine's answer to an order or a state query.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Questions in a row without an answer after which an engine is taken for lost. One may be lost on
-/// the way.
-const LOST_QUESTIONS: u32 = 2;
-/// Largest answer to an order or a question.
+/// Consecutive unanswered probes after which an engine is considered lost. A single probe or its
+/// answer may get lost on the network.
+const LOST_PROBES: u32 = 2;
+/// Largest body of an answer to an order or a probe, in bytes.
 const MAX_REPLY_BYTES: usize = 64 * 1024;
-/// Usual drafts for which an engine must have request memory beside its layers, to be of use in a
-/// chain: with less it would decline most of what it is sent.
-const LEAST_DRAFTS: u64 = 16;
+/// Typical drafts for which an engine must have KV memory beside its layers to be useful in a
+/// chain: with less it would decline most requests.
+const MIN_DRAFTS: u64 = 16;
 /// Bytes in a megabyte, as operators publish them.
 const MEGABYTE: f64 = 1e6;
-/// Version under which published layers are placed; engines name none before they hold some.
+/// Version of all weights in placement; engines announce no version before they hold layers.
 const PLACED_VERSION: &str = "published";
 
-/// What the placer works with.
+/// Dependencies of the placer.
 pub(crate) struct PlacerParts {
     pub(crate) host: HostName,
     pub(crate) lease: Duration,
@@ -59,10 +59,10 @@
     pub(crate) broadcaster: Arc<LeaseBroadcaster>,
 }
 
-/// Places layers for as long as the process lives.
+/// Surveys engines and places layers on them every [`PLACEMENT_TICK`] until the process ends.
 pub(crate) async fn run_placer(parts: PlacerParts) {
     let mut placer = LayerPlacer::new(parts);
-    let mut ticks = interval(PLACE_TICK);
+    let mut ticks = interval(PLACEMENT_TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -70,7 +70,7 @@
     }
 }
 
-/// A pool of engines that hold one model together.
+/// Key of a pool: the engines of one service in one data centre.
 type PoolKey = (ServiceName, DataCentreName);
 
 struct LayerPlacer {
@@ -79,24 +79,25 @@
     pools: BTreeMap<PoolKey, EnginePool>,
     orders: BTreeMap<ServerName, OrderCount>,
     client: ConnectionPool,
-    /// End of the right to order engines, on this host's clock.
+    /// End of this host's right to order engines, on its own clock.
     right_until: MonotonicTime,
     surveyed_at: MonotonicTime,
-    /// Questions of this host in a row that an engine left unanswered.
+    /// Consecutive probes by this host that each engine left unanswered.
     unanswered: BTreeMap<ServerName, u32>,
 }
 
 struct EnginePool {
     table: PlacementTable,
-    seen: BTreeSet<ServerName>,
+    /// Engines of the pool at the last update.
+    servers: BTreeSet<ServerName>,
 }
 
-/// Orders that an engine has taken in its present life.
+/// Number of orders that an engine has accepted in its current incarnation.
 #[derive(Clone, Copy)]
 struct OrderCount {
     incarnation: Incarnation,
-    /// `None` where it must be asked for.
-    taken: Option<SequenceNumber>,
+    /// `None` if the engine must be queried for it.
+    accepted: Option<SequenceNumber>,
 }
 
 impl LayerPlacer {
@@ -125,7 +126,7 @@
             .into_iter()
             .filter(|worker| !self.is_lost(worker))
             .collect();
-        self.look(&table, &workers);
+        self.update_pools(&table, &workers);
         let right = self
             .right
             .keep(self.parts.agreed.as_ref(), context.clock.as_ref())
@@ -149,69 +150,70 @@
         }
     }
 
-    /// Asks engines for their state: those of this host's area when it is time, and where it holds the right
-    /// to order engines, those that another keeper had no answer of.
+    /// Probes engines for their state: those in this host's area once per survey period and, while
+    /// this host holds the right to order engines, those that did not answer their latest probe.
     ///
-    /// A keeper that can't reach an engine is no proof that the engine is lost; its layers are placed
-    /// elsewhere only once the one that orders them had no answer either.
+    /// A keeper that can't reach an engine does not prove that the engine is lost. Its layers are
+    /// placed elsewhere only if the keeper that orders engines gets no answer either.
     async fn survey(&mut self, workers: &[Arc<WorkerView>]) {
         let context = Arc::clone(&self.parts.context);
         let now = context.clock.now();
         let area = context.fleet.in_area(workers);
-        let mut asked = Vec::new();
+        let mut probed = Vec::new();
         if now < self.right_until {
-            let mine: BTreeSet<&ServerName> = area.iter().map(|worker| &worker.server).collect();
-            let others = workers.iter().filter(|w| !mine.contains(&w.server));
-            asked.extend(others.filter(|w| self.is_doubtful(now, w)).cloned());
+            let own_area: BTreeSet<&ServerName> =
+                area.iter().map(|worker| &worker.server).collect();
+            let others = workers.iter().filter(|w| !own_area.contains(&w.server));
+            probed.extend(others.filter(|w| self.missed_latest_probe(now, w)).cloned());
         }
         if now.since(self.surveyed_at) >= survey_period(area.len()) {
             self.surveyed_at = now;
-            asked.extend(area);
+            probed.extend(area);
         }
-        if asked.is_empty() {
+        if probed.is_empty() {
             return;
         }
-        let notes = survey(&context, &self.client, &asked).await;
+        let results = survey(&context, &self.client, &probed).await;
         let hub = &self.parts.hub;
-        self.parts.broadcaster.broadcast_survey(hub, &notes);
-        for note in &notes {
-            match note.load {
+        self.parts.broadcaster.broadcast_survey(hub, &results);
+        for result in &results {
+            match result.load {
                 Some(_) => {
-                    let missed = self.unanswered.remove(&note.server).unwrap_or_default();
-                    if missed >= LOST_QUESTIONS {
-                        log::info!(server:% = note.server, questions = missed; "engine answers again");
+                    let missed = self.unanswered.remove(&result.server).unwrap_or_default();
+                    if missed >= LOST_PROBES {
+                        log::info!(server:% = result.server, questions = missed; "engine answers probes again");
                     }
                 }
                 None => {
-                    let missed = self.unanswered.entry(note.server.clone()).or_default();
+                    let missed = self.unanswered.entry(result.server.clone()).or_default();
                     *missed += 1;
-                    if *missed == LOST_QUESTIONS {
-                        log::warn!(server:% = note.server, questions = *missed; "engine taken for lost");
+                    if *missed == LOST_PROBES {
+                        log::warn!(server:% = result.server, questions = *missed; "engine considered lost: consecutive probes without an answer");
                     }
                 }
             }
         }
-        context.fleet.take_survey(context.clock.now(), notes);
+        context.fleet.take_survey(context.clock.now(), results);
     }
 
-    /// Whether another keeper had no answer of an engine, or this host had none before.
-    fn is_doubtful(&self, now: MonotonicTime, worker: &WorkerView) -> bool {
+    /// Whether an engine did not answer its latest probe by this host or another keeper.
+    fn missed_latest_probe(&self, now: MonotonicTime, worker: &WorkerView) -> bool {
         let surveyed = self.parts.context.fleet.surveyed(now, worker);
         surveyed.is_some_and(|surveyed| surveyed.missed > 0)
     }
 
-    /// Whether an engine that still has its lease is gone. Its layers are placed elsewhere at once:
-    /// a crash sends nothing, and the lease runs on for seconds in which a data centre would have no
-    /// whole chain.
+    /// Whether an engine is lost although its lease is still valid. Its layers are placed elsewhere
+    /// at once: a crashed engine sends no notice, and its lease stays valid for seconds during
+    /// which the data centre might have no complete chain.
     fn is_lost(&self, worker: &WorkerView) -> bool {
         let missed = self.unanswered.get(&worker.server);
-        missed.is_some_and(|missed| *missed >= LOST_QUESTIONS)
+        missed.is_some_and(|missed| *missed >= LOST_PROBES)
     }
 
-    /// Takes what operators published and engines announced.
-    fn look(&mut self, table: &RouteTable, workers: &[Arc<WorkerView>]) {
+    /// Updates the pools from published services and announced engines.
+    fn update_pools(&mut self, table: &RouteTable, workers: &[Arc<WorkerView>]) {
         let now = self.parts.context.clock.now();
-        let mut seen: BTreeMap<PoolKey, BTreeSet<ServerName>> = BTreeMap::new();
+        let mut servers: BTreeMap<PoolKey, BTreeSet<ServerName>> = BTreeMap::new();
         for worker in workers {
             let service = table.service_named(&worker.offer.service);
             let Some(spec) = service.and_then(|service| service.engine.as_ref()) else {
@@ -226,19 +228,22 @@
                 .entry(key.clone())
                 .or_insert_with(|| EnginePool::new(&key.0, spec, now));
             pool.table.observe(observe(worker, spec, kind));
-            seen.entry(key).or_default().insert(worker.server.clone());
+            servers
+                .entry(key)
+                .or_default()
+                .insert(worker.server.clone());
         }
         for (key, pool) in &mut self.pools {
-            let here = seen.remove(key).unwrap_or_default();
-            for gone in pool.seen.difference(&here) {
-                pool.table.remove(gone);
+            let current = servers.remove(key).unwrap_or_default();
+            for removed in pool.servers.difference(&current) {
+                pool.table.remove(removed);
             }
-            pool.seen = here;
+            pool.servers = current;
         }
     }
 
     async fn send(&mut self, worker: &WorkerView, order: &LoadOrder) {
-        let Some(expected) = self.orders_taken(worker).await else {
+        let Some(expected) = self.accepted_orders(worker).await else {
             return;
         };
         let place = PlaceOrder {
@@ -247,8 +252,8 @@
             fencing: order.fencing,
             expected: Some(expected),
         };
-        // Checked right before the order is written: a process that was paused since it decided
-        // would else order in place of its successor.
+        // Checks the right again just before the order is sent: a process that was paused since its
+        // decision could otherwise send an order after another host got the right.
         if self.parts.context.clock.now() >= order.valid_until {
             return;
         }
@@ -257,8 +262,8 @@
         let status = match self.call(worker, request).await {
             Ok((status, _)) => status,
             Err(reason) => {
-                self.forget_count(worker);
-                log::warn!(server:% = worker.server, layers:% = place.layers, reason = reason.as_str(); "order without an answer");
+                self.invalidate_count(worker);
+                log::warn!(server:% = worker.server, layers:% = place.layers, reason = reason.as_str(); "no answer of the engine to an order");
                 return;
             }
         };
@@ -267,14 +272,14 @@
             OrderOutcome::Begun => self.set_count(worker, expected.next()),
             OrderOutcome::Holds => {}
             _ => {
-                self.forget_count(worker);
-                self.note_refused(worker);
+                self.invalidate_count(worker);
+                self.record_refused(worker);
             }
         }
-        log::info!(server:% = worker.server, layers:% = place.layers, given_up:% = place.given_up, fencing:% = order.fencing, outcome:? = outcome; "engine ordered");
+        log::info!(server:% = worker.server, layers:% = place.layers, given_up:% = place.given_up, fencing:% = order.fencing, outcome = outcome_name(outcome); "engine answered a load order");
     }
 
-    fn note_refused(&mut self, worker: &WorkerView) {
+    fn record_refused(&mut self, worker: &WorkerView) {
         let now = self.parts.context.clock.now();
         let key = (worker.offer.service.clone(), worker.data_centre.clone());
         if let Some(pool) = self.pools.get_mut(&key) {
@@ -282,16 +287,18 @@
         }
     }
 
-    /// Orders that the engine has taken: none in a life that was seen from its start, else asked.
-    async fn orders_taken(&mut self, worker: &WorkerView) -> Option<SequenceNumber> {
+    /// Number of orders that the engine has accepted. Queries the engine if the number is not
+    /// known; `None` if that fails.
+    async fn accepted_orders(&mut self, worker: &WorkerView) -> Option<SequenceNumber> {
         let known = self.orders.get(&worker.server).copied();
         let known = known.filter(|count| count.incarnation == worker.incarnation);
         match known {
             Some(OrderCount {
-                taken: Some(taken), ..
-            }) => return Some(taken),
-            // An engine that holds nothing has taken nothing, as far as anyone can tell; where it
-            // has, the order is refused and the count asked for.
+                accepted: Some(accepted),
+                ..
+            }) => return Some(accepted),
+            // An engine that holds no layers has probably accepted no order. If it has, it refuses
+            // the order, and the next one queries the count.
             None if worker.offer.layers.is_none() => return Some(SequenceNumber(0)),
             _ => {}
         }
@@ -303,7 +310,7 @@
                 Some(report.orders)
             }
             Err(reason) => {
-                log::warn!(server:% = worker.server, reason = reason.as_str(); "engine does not tell its state");
+                log::warn!(server:% = worker.server, reason = reason.as_str(); "query of the engine's state failed");
                 None
             }
         }
@@ -314,7 +321,7 @@
         worker: &WorkerView,
         request: Request<Bytes>,
     ) -> Result<(http::StatusCode, Bytes), String> {
-        let calling = async {
+        let exchange = async {
             let request = request.map(Full::new);
             let answer = self.client.send(worker.address, request).await;
             let answer = answer.map_err(|error| error.to_string())?;
@@ -324,23 +331,23 @@
             answer.connection.keep(&parts.headers);
             Ok((parts.status, body))
         };
-        timeout(ORDER_TIMEOUT, calling)
+        timeout(ORDER_TIMEOUT, exchange)
             .await
             .unwrap_or_else(|_| Err("no answer in time".to_owned()))
     }
 
-    fn set_count(&mut self, worker: &WorkerView, taken: SequenceNumber) {
+    fn set_count(&mut self, worker: &WorkerView, accepted: SequenceNumber) {
         let count = OrderCount {
             incarnation: worker.incarnation,
-            taken: Some(taken),
+            accepted: Some(accepted),
         };
         self.orders.insert(worker.server.clone(), count);
     }
 
-    fn forget_count(&mut self, worker: &WorkerView) {
+    fn invalidate_count(&mut self, worker: &WorkerView) {
         let count = OrderCount {
             incarnation: worker.incarnation,
-            taken: None,
+            accepted: None,
         };
         self.orders.insert(worker.server.clone(), count);
     }
@@ -353,15 +360,28 @@
             weights: weights_of(service),
             layers: spec.layers,
             share: 1,
-            load: Some(usual_draft(spec)),
+            load: Some(typical_draft(spec)),
         }]);
         Self {
             table,
-            seen: BTreeSet::new(),
+            servers: BTreeSet::new(),
         }
     }
 }
 
+/// Name of an order's outcome in log lines.
+fn outcome_name(outcome: OrderOutcome) -> &'static str {
+    match outcome {
+        OrderOutcome::Begun => "load started",
+        OrderOutcome::Holds => "already loaded",
+        OrderOutcome::Conflict => "conflict",
+        OrderOutcome::Fenced => "fenced",
+        OrderOutcome::WrongServer => "wrong server",
+        OrderOutcome::Refused => "refused",
+    }
+}
+
+/// Weights under which the layers of a service are placed.
 fn weights_of(service: &ServiceName) -> WeightsId {
     WeightsId {
         model: ModelName::from(service.as_str()),
@@ -386,7 +406,7 @@
     }
 }
 
-/// Memory of an engine of a kind.
+/// Memory of an engine of a kind in bytes: in total, for a layer, and for a token on a layer.
 fn memory_of(spec: &EngineSpec, kind: &AcceleratorSpec) -> EngineMemory {
     let token = spec.kv_bytes / f64::from(spec.layers.max(1));
     EngineMemory {
@@ -396,8 +416,8 @@
     }
 }
 
-/// What operators published of the usual draft.
-fn usual_draft(spec: &EngineSpec) -> DraftLoad {
+/// Load of a typical draft, from the published service specification.
+fn typical_draft(spec: &EngineSpec) -> DraftLoad {
     let context = f64::from(spec.usual_prompt) + f64::from(spec.usual_answer) / 2.0;
     let each = spec.step_per_request.as_secs_f64()
         + spec.step_per_context.as_secs_f64() * context / 1_000.0;
@@ -409,15 +429,15 @@
     }
 }
 
-/// Most layers that leave an engine request memory for [`LEAST_DRAFTS`].
+/// Maximum number of layers beside which an engine has KV memory for [`MIN_DRAFTS`] typical drafts.
 fn max_layers_beside(spec: &EngineSpec, memory: EngineMemory) -> u32 {
     let draft = u64::from(spec.usual_prompt) + u64::from(spec.usual_answer);
     memory
-        .max_layers_beside(draft * LEAST_DRAFTS)
+        .max_layers_beside(draft * MIN_DRAFTS)
         .min(spec.layers)
 }
 
-/// Steps a second over a single layer.
+/// Steps per second of an engine that holds a single layer.
 fn layer_rate(spec: &EngineSpec, kind: &AcceleratorSpec) -> u32 {
     let step = spec.step.as_secs_f64() * kind.step_pace / f64::from(spec.layers.max(1));
     (1.0 / step.max(1e-9)) as u32
@@ -425,12 +445,12 @@
 
 fn placement_settings(spec: &EngineSpec) -> PlacementSettings {
     PlacementSettings {
-        // Two heartbeats of an engine: all that are there have announced themselves.
+        // Two heartbeat periods of an engine: within them all running engines announce themselves.
         settle: Duration::from_millis(2_500),
         unfenced_wait: Duration::ZERO,
         max_loads: spec.loads_at_once.saturating_mul(2),
         load_timeout: spec.load.max(Duration::from_secs(4)),
-        // Moves of engines in use cost loads while they even out rates only.
+        // Moving engines in use costs loads and only balances rates, so it is done rarely.
         balance_interval: Duration::from_secs(3_600),
         ..PlacementSettings::default()
     }
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -1,4 +1,5 @@
-//! Sends a draft, and reroutes it while it runs: its first engine is ordered to go on over other stages.
+//! Sends a draft and reroutes it while it runs: orders its first engine to continue over other
+//! stages.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,26 +19,31 @@
 use super::guard::ChainGuard;
 use super::request::SendTarget;
 
-/// Time for the first engine's answer: as long as for the question whether it is alive.
-const ORDER_TIME: Duration = Duration::from_millis(80);
-/// Tries in a row; each that fails names an engine that has no room or is not there.
-const TRIES: u32 = 3;
-/// Time after tries that failed for which the draft is not rerouted again.
-const FAILED_PAUSE: Duration = Duration::from_millis(400);
-/// Largest answer to the order.
+/// Time for the first engine's answer to a reroute order; the same as for a liveness probe.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(80);
+/// Consecutive attempts to reroute. Each failed one excludes new stages that are unreachable or
+/// lack capacity.
+const MAX_ATTEMPTS: u32 = 3;
+/// Time after failed attempts during which the draft is not rerouted again.
+const FAILED_REROUTE_PAUSE: Duration = Duration::from_millis(400);
+/// Largest body of an answer to a reroute order, in bytes.
 const MAX_REPLY_BYTES: usize = 16 * 1024;
 
-/// What a draft knows of its own rerouting.
+/// State of a draft's rerouting.
 #[derive(Debug, Default)]
 pub(super) struct RerouteState {
-    /// Until when it is not tried.
+    /// End of the pause after failed attempts.
     pause_until: Option<MonotonicTime>,
-    /// Events that the caller holds.
+    /// Events that the caller has received.
     pub(super) events_written: u32,
 }
 
 impl DraftRun {
-    /// Sends the draft over `chain`, which is rerouted while engines of it are lost before it answers.
+    /// Sends the draft over `chain` and waits for the head of the answer. If engines of the chain
+    /// are lost before that, reroutes it and replaces `chain`.
+    ///
+    /// Fails if the send fails, or if the chain is silent and only another chain can serve the
+    /// draft.
     pub(super) async fn send(
         &mut self,
         chain: &mut ChainGuard,
@@ -56,19 +62,19 @@
         };
         let dialect = Arc::clone(&context.dialect.servers);
         let written = self.request.write(since, dialect.as_ref(), target);
-        let left = self.request.time_left(since);
+        let time_left = self.request.time_left(since);
         let attempt = self.request.attempt.clone();
-        let sending = send(&context, hop.address, written, &attempt, left);
+        let sending = send(&context, hop.address, written, &attempt, time_left);
         let mut sending = std::pin::pin!(sending);
         loop {
-            let usual = chain.chain.plan.first_token;
-            let silence = tokio::select! {
+            let expected_gap = chain.chain.plan.first_token;
+            let verdict = tokio::select! {
                 answered = &mut sending => return answered,
-                silence = self.watch_for_silence(&chain.chain, since, usual) => silence,
+                verdict = self.watch_for_silence(&chain.chain, since, expected_gap) => verdict,
             };
-            let Some(rerouted) = self.reroute(&chain.chain, &silence.suspects).await else {
-                if self.has_alternative(&silence.suspects) {
-                    return Err(self.silence_failure(&silence.suspects));
+            let Some(rerouted) = self.reroute(&chain.chain, &verdict.suspects).await else {
+                if self.has_alternative(&verdict.suspects) {
+                    return Err(self.silence_failure(&verdict.suspects));
                 }
                 continue;
             };
@@ -77,7 +83,8 @@
         }
     }
 
-    /// Whether engines are there that could take the place of `lost` ones in `chain`.
+    /// Whether other engines can replace the `lost` ones of `chain` now. The first engine can't be
+    /// replaced, since it has received the request.
     pub(super) fn can_reroute(&self, chain: &ReservedChain, lost: &[ServerName]) -> bool {
         let now = self.context.clock.now();
         let is_paused = self.reroutes.pause_until.is_some_and(|until| now < until);
@@ -90,13 +97,13 @@
         })
     }
 
-    /// The chain with other engines in place of `lost` ones, once its first engine goes on over them;
-    /// `None` where it can't be rerouted.
+    /// Replaces the `lost` engines of `chain` and returns the new chain once the first engine has
+    /// confirmed it; `None` if the draft can't be rerouted.
     ///
-    /// Failure: a rack dies under hundreds of drafts. Symptom: each was sent anew, to read its prompt
-    /// once more on every stage, as one retry of a budget that hundreds of hosts share, and cut where that
-    /// was used up.
-    /// Rerouted, a draft stays one request, and only the new stages read.
+    /// Without rerouting, a rack failure under hundreds of drafts forces a resend of each: every
+    /// stage prefills the prompt again, each resend spends a retry of a budget that hundreds of
+    /// hosts share, and drafts are cut once the budget is used up. A rerouted draft stays one
+    /// request, and only the new stages prefill.
     pub(super) async fn reroute(
         &mut self,
         chain: &ReservedChain,
@@ -106,18 +113,18 @@
             return None;
         }
         let mut lost = lost.to_vec();
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let now = self.context.clock.now();
-            let taken = self.with_repair(now, &lost, |repair| {
+            let repaired = self.with_repair(now, &lost, |repair| {
                 self.context.chains().repair(now, chain, repair)
             });
-            let Ok(next) = taken else {
+            let Ok(next) = repaired else {
                 break;
             };
             let next = ChainGuard::new(&self.context, next);
             let outcome = self.order(&next.chain).await;
-            log::info!(request = self.request.attempt.as_str(), outcome:? = outcome,
-                lost = names(&lost).as_str(), after = self.reroutes.events_written; "chain rerouted");
+            log::info!(request = self.request.attempt.as_str(), outcome = describe_outcome(outcome.as_ref()).as_str(),
+                lost = join_names(&lost).as_str(), after = self.reroutes.events_written; "first engine answered a reroute order");
             match outcome {
                 Some(RerouteOutcome::Taken) => return Some(next),
                 Some(RerouteOutcome::NoRoom { culprit }) => {
@@ -134,7 +141,7 @@
             }
         }
         let now = self.context.clock.now();
-        self.reroutes.pause_until = Some(now.after(FAILED_PAUSE));
+        self.reroutes.pause_until = Some(now.after(FAILED_REROUTE_PAUSE));
         None
     }
 
@@ -154,7 +161,8 @@
         })
     }
 
-    /// Orders the first engine to go on over `chain`; `None` if nothing comes back in time.
+    /// Orders the first engine to continue over `chain`; `None` if it sends no valid answer in
+    /// time.
     async fn order(&self, chain: &ReservedChain) -> Option<RerouteOutcome> {
         let address = chain.hops.first()?.address;
         let dialect = Arc::clone(&self.context.dialect.servers);
@@ -163,32 +171,47 @@
             stages: &chain.hops,
         };
         let request = dialect.write_reroute(&chain.first, order).map(Full::new);
-        let asking = async {
+        let exchange = async {
             let answer = self.context.pool.send(address, request).await.ok()?;
             let (parts, body) = answer.response.into_parts();
             let body = read_bounded(body, MAX_REPLY_BYTES).await.ok()?;
             answer.connection.keep(&parts.headers);
             Some(dialect.read_reroute(parts.status, &body))
         };
-        timeout(ORDER_TIME, asking).await.ok().flatten()
+        timeout(ORDER_TIMEOUT, exchange).await.ok().flatten()
     }
 }
 
-/// New stages of `next` that have no room: the one that its engine names, else any of them.
+/// New stages of `next` that are unreachable or lack capacity: the one that the engine names, else
+/// all of them.
 fn full_stages(
     former: &ReservedChain,
     next: &ReservedChain,
     culprit: Option<SocketAddr>,
 ) -> Vec<ServerName> {
-    let named = culprit.and_then(|address| next.server_at(address));
-    if let Some(server) = named {
+    let named_server = culprit.and_then(|address| next.server_at(address));
+    if let Some(server) = named_server {
         return vec![server.clone()];
     }
     let is_new = |server: &&ServerName| former.servers().all(|kept| kept != *server);
     next.servers().filter(is_new).cloned().collect()
 }
 
-fn names(servers: &[ServerName]) -> String {
+/// Outcome of a reroute order in log lines; `None` stands for a missing answer.
+fn describe_outcome(outcome: Option<&RerouteOutcome>) -> String {
+    match outcome {
+        Some(RerouteOutcome::Taken) => "accepted".to_owned(),
+        Some(RerouteOutcome::NoRoom { culprit: None }) => "no capacity".to_owned(),
+        Some(RerouteOutcome::NoRoom {
+            culprit: Some(address),
+        }) => format!("no capacity at {address}"),
+        Some(RerouteOutcome::NotThere) => "request not running".to_owned(),
+        None => "no answer".to_owned(),
+    }
+}
+
+/// Server names separated by spaces, for log lines.
+fn join_names(servers: &[ServerName]) -> String {
     let names: Vec<&str> = servers.iter().map(ServerName::as_str).collect();
     names.join(" ")
 }
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! The events of a draft, passed on whole and in order, over as many chains as it takes.
+//! Forwards the events of a draft complete and in order, over several chains if necessary.
 
 use pollendrift_coordination::base::ServerName;
 use pollendrift_coordination::evidence::OutcomeKind;
@@ -8,7 +8,7 @@
 use super::drafts::{DraftRun, RunningDraft};
 use super::forwarding::{ChainEnd, EventForwarder, NextFrame, next_frame};
 
-/// A stream that runs.
+/// A draft whose events are being forwarded to the caller.
 pub(super) struct StreamRun {
     run: DraftRun,
     running: RunningDraft,
@@ -25,18 +25,18 @@
     }
 }
 
-/// Passes a stream on to its end. Where it can't be ended, the connection is cut, so that the caller
-/// never takes a part for the whole.
+/// Forwards a stream to its end. If it can't be completed, closes the connection without an end
+/// marker, so that the caller never mistakes a partial answer for a complete one.
 pub(super) async fn run_stream(stream: StreamRun, sender: BodySender) {
     let StreamRun {
         mut run,
         mut running,
         mut progress,
     } = stream;
-    let mut pass = EventForwarder::new(run.context.clock.now());
+    let mut forwarder = EventForwarder::new(run.context.clock.now());
     loop {
         let end = tokio::select! {
-            end = pass.run(&run, &mut running, &mut progress, &sender) => end,
+            end = forwarder.run(&run, &mut running, &mut progress, &sender) => end,
             () = sender.closed() => ChainEnd::CallerGone,
         };
         let after = progress.last();
@@ -69,62 +69,62 @@
                 };
                 if let Some(rerouted) = rerouted {
                     std::mem::replace(&mut running.chain, rerouted).failed(None);
-                    pass.restart_silence(run.context.clock.now());
+                    forwarder.restart_silence_timer(run.context.clock.now());
                 }
             }
             ChainEnd::Silent(verdict) if !verdict.is_dead => {
-                let handed = tokio::select! {
-                    handed = hand_over(&mut run, &mut running, verdict.suspects, after) => handed,
+                let outcome = tokio::select! {
+                    outcome = hand_over(&mut run, &mut running, verdict.suspects, after) => outcome,
                     () = sender.closed() => {
                         run.log_end(OutcomeKind::CallerGone, after);
                         return;
                     }
                 };
-                match handed {
+                match outcome {
                     HandOver::Taken(next) => {
                         std::mem::replace(&mut running, *next).chain.failed(None);
-                        pass = EventForwarder::new(run.context.clock.now());
+                        forwarder = EventForwarder::new(run.context.clock.now());
                     }
-                    HandOver::Heard(frame) => pass.put_back(frame),
-                    HandOver::Nobody => {}
+                    HandOver::Resumed(frame) => forwarder.put_back(frame),
+                    HandOver::NoAlternative => {}
                 }
             }
             ChainEnd::Broken(_) | ChainEnd::Silent(_) => {
-                let reason = leave(&mut run, running, end, after);
+                let reason = release_chain(&mut run, running, end, after);
                 let next = tokio::select! {
-                    next = go_on(&mut run, after) => next,
+                    next = continue_elsewhere(&mut run, after) => next,
                     () = sender.closed() => {
                         run.log_end(OutcomeKind::CallerGone, after);
                         return;
                     }
                 };
                 let Some(next) = next else {
-                    log::warn!(request = run.request.attempt.as_str(), reason = reason.as_str(); "stream cut");
+                    log::warn!(request = run.request.attempt.as_str(), reason = reason.as_str(); "stream to the caller cut: no chain can continue the draft");
                     run.log_end(OutcomeKind::Incomplete, after);
                     return;
                 };
                 running = next;
-                pass = EventForwarder::new(run.context.clock.now());
+                forwarder = EventForwarder::new(run.context.clock.now());
             }
         }
     }
 }
 
-/// What came of the try to have another chain go on for a silent one.
+/// Result of an attempt to move a draft from a silent chain to another.
 enum HandOver {
-    /// Another has taken the draft.
+    /// Another chain accepted the draft.
     Taken(Box<RunningDraft>),
-    /// The silent one spoke first.
-    Heard(NextFrame),
-    /// None took it.
-    Nobody,
+    /// The silent chain sent a frame first.
+    Resumed(NextFrame),
+    /// No other chain accepted the draft.
+    NoAlternative,
 }
 
-/// Has another chain go on for one that fell silent, which is kept until the other has taken the
-/// draft, or speaks first.
+/// Tries to move a draft from a silent chain to another. The silent chain is kept until another
+/// accepts the draft, or until the silent one sends a frame.
 ///
-/// Engines that look free may decline, and silent ones are often only late. Left before another had
-/// taken its draft, a chain that would have ended it was given up for nothing.
+/// Engines that seem to have capacity may decline, and silent ones are often only late. A chain
+/// that was released before another accepted its draft was lost although it would have finished it.
 async fn hand_over(
     run: &mut DraftRun,
     running: &mut RunningDraft,
@@ -132,30 +132,30 @@
     after: Option<EventId>,
 ) -> HandOver {
     log::info!(request = run.request.attempt.as_str(), after = after.map(|id| id.0),
-        engines = suspects.len(); "chain fell silent");
+        engines = suspects.len(); "chain is silent; trying another chain");
     let now = run.context.clock.now();
     run.exclude_suspects(suspects);
     let next = tokio::select! {
         next = run.open(after, now) => next,
         frame = next_frame(&mut running.answer.body) => {
             run.count_kept_chain();
-            return HandOver::Heard(frame);
+            return HandOver::Resumed(frame);
         }
     };
     match next.filter(|next| next.answer.parts.status.is_success()) {
         Some(next) => HandOver::Taken(Box::new(next)),
         None => {
             run.count_kept_chain();
-            HandOver::Nobody
+            HandOver::NoAlternative
         }
     }
 }
 
-/// Leaves a chain that can send nothing more; says why.
+/// Releases a chain that can send no more events, and returns the reason.
 ///
-/// Its connection is closed at once: what it holds of the other engines' memory is what the draft
-/// needs to go on.
-fn leave(
+/// The connection is closed at once, because the memory that the chain occupies on its remaining
+/// engines may be needed for the draft to continue.
+fn release_chain(
     run: &mut DraftRun,
     running: RunningDraft,
     end: ChainEnd,
@@ -170,20 +170,21 @@
         }
         ChainEnd::Silent(verdict) => {
             run.abandon_unreachable(chain, verdict.suspects);
-            "engines are gone".to_owned()
+            "engines of the chain are unreachable".to_owned()
         }
         ChainEnd::Complete | ChainEnd::CallerGone => String::new(),
     };
     log::info!(request = run.request.attempt.as_str(), reason = reason.as_str(),
-        after = after.map(|id| id.0); "chain broke");
+        after = after.map(|id| id.0); "chain of the draft broke");
     reason
 }
 
-/// Has another chain go on after the last event; `None` if none may or can.
+/// Continues the draft on another chain after event `after`; `None` if that is not allowed or
+/// fails.
 ///
-/// Waits for room for as long as the draft has time: its caller leaves when it will wait no longer,
-/// and a connection that is cut before helps nobody.
-async fn go_on(run: &mut DraftRun, after: Option<EventId>) -> Option<RunningDraft> {
+/// Waits for capacity until the request's deadline: a caller that doesn't want to wait that long
+/// disconnects by itself, and closing its connection earlier has no benefit.
+async fn continue_elsewhere(run: &mut DraftRun, after: Option<EventId>) -> Option<RunningDraft> {
     let now = run.context.clock.now();
     let wait_until = now.after(run.request.time_left(now));
     let next = run.open(after, wait_until).await?;
--- a/crates/daemon/src/relay/survey.rs
+++ b/crates/daemon/src/relay/survey.rs
@@ -1,4 +1,4 @@
-//! Asks engines for their state.
+//! Probes engines for their state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 use super::context::RelayContext;
 use crate::fleet::WorkerView;
 
-/// Least time between two surveys. What an engine tells is some 200 ms old, so asking more often brings
-/// little, and each question has its price.
+/// Minimum time between two surveys. The state that an engine reports is about 200 ms old, so more
+/// frequent probes add little information but cost CPU time.
 const SURVEY_PERIOD: Duration = Duration::from_millis(500);
-/// Processor time that a question takes up at most: a host asks no more engines a second than it can
-/// beside its other work, however many there are.
-const QUESTION_TIME: Duration = Duration::from_millis(4);
-/// Time for an engine's answer.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
-/// Largest answer.
+/// Upper bound of the CPU time of a probe. It limits the probes per second to what a host can
+/// handle beside its other work, however many engines there are.
+const PROBE_CPU_TIME: Duration = Duration::from_millis(4);
+/// Longest wait for an engine's answer to a survey probe.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Largest body of an answer, in bytes.
 const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// Time between two surveys of `engines`.
+/// Time between two surveys of that many engines.
 pub(super) fn survey_period(engines: usize) -> Duration {
     let engines = u32::try_from(engines).unwrap_or(u32::MAX);
-    SURVEY_PERIOD.max(QUESTION_TIME.saturating_mul(engines))
+    SURVEY_PERIOD.max(PROBE_CPU_TIME.saturating_mul(engines))
 }
 
-/// One survey of `workers` that hold layers.
+/// Probes all `workers` that hold layers at the same time. Engines whose state stays unclear are
+/// missing in the results.
 pub(super) async fn survey(
     context: &Arc<RelayContext>,
     pool: &ConnectionPool,
@@ -40,22 +41,22 @@
     let holding = workers
         .iter()
         .filter(|worker| worker.offer.layers.is_some());
-    let mut asking = JoinSet::new();
+    let mut probes = JoinSet::new();
     for worker in holding {
         let (context, pool) = (Arc::clone(context), pool.clone());
-        asking.spawn(ask(context, pool, Arc::clone(worker)));
+        probes.spawn(survey_worker(context, pool, Arc::clone(worker)));
     }
-    let notes = asking.join_all().await.into_iter();
-    notes.flatten().collect()
+    let results = probes.join_all().await.into_iter();
+    results.flatten().collect()
 }
 
-async fn ask(
+async fn survey_worker(
     context: Arc<RelayContext>,
     pool: ConnectionPool,
     worker: Arc<WorkerView>,
 ) -> Option<SurveyResult> {
-    let asked_at = context.clock.now();
-    let state = probe_engine(&context, &pool, worker.address, ANSWER_TIME).await;
+    let probed_at = context.clock.now();
+    let state = probe_engine(&context, &pool, worker.address, ANSWER_TIMEOUT).await;
     let load = match state {
         EngineState::Reported(report) => Some(load_of(&worker, &report)),
         EngineState::Unreachable | EngineState::TimedOut => None,
@@ -65,24 +66,24 @@
         server: worker.server.clone(),
         incarnation: worker.incarnation,
         load,
-        age: context.clock.now().since(asked_at),
+        age: context.clock.now().since(probed_at),
     })
 }
 
-/// What asking an engine showed.
+/// Result of a probe of an engine.
 pub(super) enum EngineState {
-    /// It answered.
+    /// The engine answered with its state.
     Reported(EngineReport),
-    /// Nobody listens at its address.
+    /// No process listens at its address.
     Unreachable,
-    /// Nothing came back in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// Somebody took the question, and the answer was lost or is none. Engines that lose answers
-    /// now and then are alive, and would else be taken for dead with every lost one.
+    /// The probe was sent, but the answer was lost or is invalid. Engines that occasionally lose
+    /// answers are alive, and would otherwise be considered dead after each lost one.
     Unclear,
 }
 
-/// Asks the engine at `address` for its state.
+/// Probes the engine at `address` for its state and waits at most `answer_time`.
 pub(super) async fn probe_engine(
     context: &RelayContext,
     pool: &ConnectionPool,
@@ -90,9 +91,9 @@
     answer_time: Duration,
 ) -> EngineState {
     let dialect = &context.dialect.servers;
-    let question = dialect.write_report().map(Full::new);
-    let asking = async {
-        let answer = match pool.send(address, question).await {
+    let probe = dialect.write_report().map(Full::new);
+    let exchange = async {
+        let answer = match pool.send(address, probe).await {
             Ok(answer) => answer,
             Err(ClientError::NotSent { .. }) => return EngineState::Unreachable,
             Err(_) => return EngineState::Unclear,
@@ -106,12 +107,13 @@
             .read_report(&body)
             .map_or(EngineState::Unclear, EngineState::Reported)
     };
-    timeout(answer_time, asking)
+    timeout(answer_time, exchange)
         .await
         .unwrap_or(EngineState::TimedOut)
 }
 
-/// Engines count request memory in tokens times layers.
+/// Converts a report to a load. Engines report used KV memory in tokens times layers, the load
+/// counts tokens.
 fn load_of(worker: &WorkerView, report: &EngineReport) -> EngineLoad {
     let layers = worker.offer.layers.as_ref();
     let layers = layers.map_or(1, |layers| u64::from(layers.range.len().max(1)));
