--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,8 +1,8 @@
-//! Serving by published routes, for servers that run their pipelines themselves.
+//! Relays callers' requests along published routes to servers that run their own pipelines.
 //!
-//! Callers, operators and backend servers speak a platform's dialect, which an adapter decodes. The
-//! decisions are made here and in `coordination`: which route and customer, which server or chain
-//! of engines, whether a failed send is followed by another, and what a caller is told.
+//! Callers, operators and backend servers speak a platform's dialect, which an adapter decodes.
+//! This module and `coordination` make the decisions: they select the route, the customer and the
+//! server or chain of engines, decide whether to retry a failed send, and choose the response.
 
 mod answer;
 mod calls;
@@ -49,30 +49,30 @@
 use meter::RequestMeter;
 use request::{Refused, RelayRequest, refused};
 
-/// Time in which the body of a request must have come.
+/// Time limit for receiving the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Advice to a caller whose request meets a host that is stopping.
-const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
+/// Retry delay for a caller whose request reaches a host that is stopping.
+const RETRY_STOPPING: Duration = Duration::from_millis(50);
 
-/// Handlers of all that speak the platform's dialect.
+/// HTTP handlers for the clients that speak the platform's dialect.
 #[derive(Clone, Debug)]
 pub struct RelayFaces {
-    /// Callers.
+    /// Serves callers.
     pub(crate) callers: Arc<RelayHandler>,
-    /// Operators and backend servers.
+    /// Serves operators and backend servers.
     pub(crate) control: Arc<ControlHandler>,
-    /// Heartbeats of backend servers, at a host that is no keeper.
+    /// Receives heartbeats of backend servers on a host without a keeper.
     pub(crate) heartbeats: Arc<HeartbeatHandler>,
 }
 
-/// Serves callers.
+/// Serves callers' requests.
 #[derive(Debug)]
 pub(crate) struct RelayHandler {
     context: Arc<RelayContext>,
 }
 
 impl RelayHandler {
-    /// A handler over `context`.
+    /// Creates a handler that serves requests with the state in `context`.
     pub(crate) fn new(context: Arc<RelayContext>) -> Self {
         Self { context }
     }
@@ -94,7 +94,7 @@
             Err(fault) => context.refuse(&refused(RefusalKind::Malformed, fault.reason), None),
         };
         if context.lifecycle.step() != LifeStep::Serving {
-            // The caller's next request should go to a host that stays.
+            // Makes the caller open its next connection to a host that keeps running.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
@@ -118,13 +118,13 @@
     let arrived = context.clock.now();
     if context.lifecycle.step() == LifeStep::Closed {
         let stopping = refused(RefusalKind::NotRun, "this host is stopping as planned");
-        return Err(stopping.retry_after(RETRY_ELSEWHERE));
+        return Err(stopping.retry_after(RETRY_STOPPING));
     }
     let mut table = context
         .routes
         .wait_for_table(context.clock.as_ref())
         .await?;
-    if find_route(&table, call).is_err() && context.routes.may_be_stale(context.clock.now()) {
+    if check_route(&table, call).is_err() && context.routes.may_be_stale(context.clock.now()) {
         table = context.routes.catch_up(context.clock.as_ref()).await?;
     }
     let route = table.route(&call.host, &call.path).map_err(table_refusal)?;
@@ -160,8 +160,8 @@
     }
 }
 
-/// Whether a request's route is there and its key opens it.
-fn find_route(table: &RouteTable, call: &CallerRequest) -> Result<(), TableError> {
+/// Returns an error if the route does not exist or does not accept the request's key.
+fn check_route(table: &RouteTable, call: &CallerRequest) -> Result<(), TableError> {
     let route = table.route(&call.host, &call.path)?;
     table.customer(route, call.key.as_deref()).map(drop)
 }
@@ -191,9 +191,9 @@
         attempt: Option<&pollendrift_coordination::base::RequestId>,
     ) -> Response<ResponseBody> {
         let id = attempt.map_or("", |attempt| attempt.as_str());
-        let advice = refused.0.retry_after.unwrap_or_default().as_millis();
+        let retry_delay = refused.0.retry_after.unwrap_or_default().as_millis();
         log::warn!(request = id, kind:% = refused.0.kind, reason = refused.0.reason.as_str(),
-            retry_after_ms = u64::try_from(advice).unwrap_or(u64::MAX); "refused");
+            retry_after_ms = u64::try_from(retry_delay).unwrap_or(u64::MAX); "refused");
         self.dialect
             .callers
             .refuse(&refused.0, attempt)
--- a/crates/daemon/src/relay/calls.rs
+++ b/crates/daemon/src/relay/calls.rs
@@ -1,4 +1,5 @@
-//! Calls of plain services: one server, the whole answer, another server where that is safe.
+//! Calls of plain services: sends a call to one server, reads its complete answer, and retries on
+//! another server where that is safe.
 
 use std::sync::Arc;
 
@@ -16,24 +17,25 @@
 use super::request::{Refused, RelayRequest, SendTarget, refused};
 use crate::fleet::WorkerView;
 
-/// Time that must be left for a send to be of use: the way there and back, and the work.
-const MIN_LEFT: std::time::Duration = std::time::Duration::from_millis(15);
-/// Advice to a caller for whom no server has room: a few turns of a server's slots.
-const RETRY_FULL: std::time::Duration = std::time::Duration::from_millis(150);
+/// Least remaining time in which to start a send: enough for the round trip and the server's work.
+const MIN_TIME_LEFT: std::time::Duration = std::time::Duration::from_millis(15);
+/// Retry delay for a caller when no server has a free slot: the time in which a server's slots
+/// turn over a few times.
+const RETRY_NO_CAPACITY: std::time::Duration = std::time::Duration::from_millis(150);
 
-/// What is known of a call after its sends so far.
+/// Sends of one call so far, and their results.
 #[derive(Default)]
 struct CallHistory {
-    /// Servers that were asked.
-    asked: Vec<ServerName>,
-    /// Sends of which a byte may have left.
+    /// Servers that the call was sent to.
+    tried_servers: Vec<ServerName>,
+    /// Number of sends that may have put a byte on the wire.
     sends: u32,
-    /// Whether any of them may have run.
+    /// Whether a server may have run the call.
     may_have_run: bool,
     last: Option<FailedSend>,
 }
 
-/// Serves one call.
+/// Serves one call: sends it to servers in turn until one answers or no further send is allowed.
 pub(super) async fn serve(
     context: &Arc<RelayContext>,
     request: &RelayRequest,
@@ -42,26 +44,26 @@
     context.earn_retry_budget(request.arrived, &request.service.name);
     loop {
         let now = context.clock.now();
-        if request.time_left(now) < MIN_LEFT {
-            return Err(conclude(&history));
+        if request.time_left(now) < MIN_TIME_LEFT {
+            return Err(final_refusal(&history));
         }
         let Some(worker) = choose(context, request, &history, now) else {
-            if history.asked.is_empty() && may_wait(context, request, now) {
+            if history.tried_servers.is_empty() && may_wait_for_server(context, request, now) {
                 sleep(CAPACITY_POLL_PERIOD).await;
                 continue;
             }
-            return Err(conclude(&history));
+            return Err(final_refusal(&history));
         };
-        let is_repeat = !history.asked.is_empty();
-        if is_repeat && !context.spend_retry(now, &request.service.name) {
-            return Err(conclude(&history));
+        let is_retry = !history.tried_servers.is_empty();
+        if is_retry && !context.spend_retry(now, &request.service.name) {
+            return Err(final_refusal(&history));
         }
-        history.asked.push(worker.server.clone());
+        history.tried_servers.push(worker.server.clone());
         log::info!(request = request.attempt.as_str(), route = &*request.route.name,
-            server:% = worker.server, try = history.asked.len(); "sent");
+            server:% = worker.server, try = history.tried_servers.len(); "sent");
         context.metrics.request_sent();
         match send_once(context, request, &worker, now).await {
-            Ok(response) if !is_worth_another(request, &history, &response) => {
+            Ok(response) if !should_retry_response(request, &history, &response) => {
                 let took = context.clock.now().since(request.arrived).as_millis();
                 log::info!(request = request.attempt.as_str(), status = response.status().as_u16(),
                     server:% = worker.server, took_ms = u64::try_from(took).unwrap_or(u64::MAX); "ended");
@@ -70,23 +72,23 @@
             Ok(response) => {
                 history.sends += 1;
                 history.may_have_run = true;
-                if !may_go_on(context, request, &history) {
+                if !may_send_again(context, request, &history) {
                     return Ok(response);
                 }
             }
             Err(failed) => {
-                note(&mut history, failed);
-                if !may_go_on(context, request, &history) {
-                    return Err(conclude(&history));
+                record_failure(&mut history, failed);
+                if !may_send_again(context, request, &history) {
+                    return Err(final_refusal(&history));
                 }
             }
         }
     }
 }
 
-/// Whether a call for which no server is known waits for one: at a host that is still learning which there
-/// are, for as long as half of its time is left.
-fn may_wait(context: &RelayContext, request: &RelayRequest, now: MonotonicTime) -> bool {
+/// Whether a call without a known server waits for one: only on a host that is still learning of
+/// servers, until half of the call's time has passed.
+fn may_wait_for_server(context: &RelayContext, request: &RelayRequest, now: MonotonicTime) -> bool {
     let waited = now.since(request.arrived);
     context.is_learning(now)
         && now < context.queue_deadline(now, request.arrived)
@@ -101,12 +103,12 @@
 ) -> Option<Arc<WorkerView>> {
     let workers = context.fleet.workers(now);
     let service = &request.service.name;
-    let fitting: Vec<&Arc<WorkerView>> = workers
+    let eligible: Vec<&Arc<WorkerView>> = workers
         .iter()
         .filter(|worker| worker.offer.service == *service)
-        .filter(|worker| !history.asked.contains(&worker.server))
+        .filter(|worker| !history.tried_servers.contains(&worker.server))
         .collect();
-    let candidates: Vec<ServerCandidate> = fitting
+    let candidates: Vec<ServerCandidate> = eligible
         .iter()
         .map(|worker| ServerCandidate {
             server: worker.server.clone(),
@@ -116,7 +118,7 @@
         })
         .collect();
     let chosen = context.loads().choose(now, &candidates)?.server.clone();
-    let found = fitting.into_iter().find(|worker| worker.server == chosen);
+    let found = eligible.into_iter().find(|worker| worker.server == chosen);
     found.cloned()
 }
 
@@ -131,23 +133,30 @@
         stages: &[],
         resume_after: None,
     };
-    let written = request.write(now, context.dialect.servers.as_ref(), target);
+    let server_request = request.write(now, context.dialect.servers.as_ref(), target);
     let running = RunningCall::start(context, worker.server.clone(), now);
-    let left = request.time_left(now);
-    let answered = send(context, worker.address, written, &request.attempt, left).await;
+    let time_left = request.time_left(now);
+    let answered = send(
+        context,
+        worker.address,
+        server_request,
+        &request.attempt,
+        time_left,
+    )
+    .await;
     let result = match answered {
         Ok(answer) => {
             if let Some(load) = answer.head.load {
-                let told = ReportedLoad {
+                let reported_load = ReportedLoad {
                     running: load.running,
                     waiting: load.waiting,
                 };
                 context
                     .loads()
-                    .reported(context.clock.now(), &worker.server, told);
+                    .reported(context.clock.now(), &worker.server, reported_load);
             }
-            let left = request.time_left(context.clock.now());
-            timeout(left, answer.read()).await.unwrap_or_else(|_| {
+            let time_left = request.time_left(context.clock.now());
+            timeout(time_left, answer.read()).await.unwrap_or_else(|_| {
                 let reason = "the answer did not end in time".to_owned();
                 Err(FailedSend::new(SendOutcome::TimedOut, reason))
             })
@@ -158,8 +167,8 @@
     result
 }
 
-/// Whether an answer is an error that another server may do better on.
-fn is_worth_another(
+/// Whether a response is a server error, and the route allows another attempt.
+fn should_retry_response(
     request: &RelayRequest,
     history: &CallHistory,
     response: &Response<ResponseBody>,
@@ -170,7 +179,7 @@
         && attempts < request.route.max_attempts
 }
 
-fn note(history: &mut CallHistory, failed: FailedSend) {
+fn record_failure(history: &mut CallHistory, failed: FailedSend) {
     let proof = failed.outcome.proof();
     if proof != RunProof::NotSent {
         history.sends += 1;
@@ -179,7 +188,7 @@
     history.last = Some(failed);
 }
 
-fn may_go_on(context: &RelayContext, request: &RelayRequest, history: &CallHistory) -> bool {
+fn may_send_again(context: &RelayContext, request: &RelayRequest, history: &CallHistory) -> bool {
     let kind = if request.route.kind.may_repeat() {
         CallKind::Idempotent
     } else {
@@ -194,17 +203,17 @@
     };
     kind.may_resend(proof)
         && history.sends < request.route.max_attempts
-        && request.time_left(context.clock.now()) >= MIN_LEFT
+        && request.time_left(context.clock.now()) >= MIN_TIME_LEFT
 }
 
-/// What the caller is told after the last send.
-fn conclude(history: &CallHistory) -> Refused {
+/// Returns the refusal for the caller after the last send.
+fn final_refusal(history: &CallHistory) -> Refused {
     let Some(last) = &history.last else {
         return refused(RefusalKind::NotRun, "no server of the service takes work")
-            .retry_after(RETRY_FULL);
+            .retry_after(RETRY_NO_CAPACITY);
     };
     if !history.may_have_run {
-        return refused(RefusalKind::NotRun, last.reason.clone()).retry_after(RETRY_FULL);
+        return refused(RefusalKind::NotRun, last.reason.clone()).retry_after(RETRY_NO_CAPACITY);
     }
     let kind = match last.outcome {
         SendOutcome::TimedOut => RefusalKind::TimedOut,
@@ -213,7 +222,7 @@
     refused(kind, last.reason.clone())
 }
 
-/// Counts a call at its server for as long as it runs, however it ends.
+/// Counts a call in the load of its server until dropped.
 struct RunningCall {
     context: Arc<RelayContext>,
     server: ServerName,
@@ -232,7 +241,7 @@
         let now = self.context.clock.now();
         let failed = match result {
             Ok(response) => response.status().is_server_error(),
-            // A full server is not a broken one; its load says so already.
+            // A full server is not a failed one, and its reported load already shows it as full.
             Err(failed) => failed.outcome != SendOutcome::Declined,
         };
         let peers = self.context.fleet.workers(now).len();
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -1,4 +1,4 @@
-//! What every relayed request needs, passed in rather than global.
+//! State that all relayed requests share, passed in rather than global.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,12 +20,13 @@
 use crate::settings::RelaySettings;
 use crate::telemetry::MetricRegistry;
 
-/// Hosts that are taken to share the retry budget before a keeper tells how many there are.
-const BUDGET_HOSTS: u32 = 64;
-/// Part of the earned budget that is used, since windows of the bound slide over those used here.
-const BUDGET_PART: f64 = 0.8;
+/// Number of hosts that share the retry budget until a keeper reports the actual number.
+const DEFAULT_BUDGET_HOSTS: u32 = 64;
+/// Fraction of the earned budget that is spent: the windows of the bound on retries slide, and
+/// overlap the windows counted here.
+const BUDGET_FRACTION: f64 = 0.8;
 
-/// What the relay is built from.
+/// Parts from which a [`RelayContext`] is built.
 pub(crate) struct RelayParts {
     pub(crate) dialect: PlatformDialect,
     pub(crate) settings: RelaySettings,
@@ -38,7 +39,7 @@
     pub(crate) seed: u64,
 }
 
-/// What handlers of relayed requests share.
+/// State that the handlers of relayed requests share.
 pub(crate) struct RelayContext {
     pub(super) dialect: PlatformDialect,
     pub(super) data_centre: DataCentreName,
@@ -53,9 +54,9 @@
     health: Mutex<ChainHealth>,
     budgets: Mutex<BudgetTable<ServiceName>>,
     settings: RelaySettings,
-    patience: WaitSettings,
-    /// Hosts that the retry budget is divided by.
-    sharing: AtomicU32,
+    wait_settings: WaitSettings,
+    /// Number of hosts that the retry budget is divided by.
+    budget_hosts: AtomicU32,
 }
 
 impl std::fmt::Debug for RelayContext {
@@ -68,7 +69,7 @@
 }
 
 impl RelayContext {
-    /// A context without requests.
+    /// Creates a context without chains, recorded calls or known routes.
     pub(crate) fn new(parts: RelayParts) -> Self {
         let operators = Arc::clone(&parts.dialect.operators);
         let change_within = parts.settings.change_within;
@@ -80,26 +81,26 @@
             clock: parts.clock,
             lifecycle: parts.lifecycle,
             metrics: parts.metrics,
-            loads: Mutex::new(ServerLoads::new(outliers())),
+            loads: Mutex::new(ServerLoads::new(outlier_settings())),
             chains: Mutex::new(ChainTable::new(parts.data_centre.clone(), parts.seed)),
             health: Mutex::new(ChainHealth::new(HealthSettings::default())),
             budgets: Mutex::new(BudgetTable::new(budget_settings(
                 &parts.settings,
-                BUDGET_HOSTS,
+                DEFAULT_BUDGET_HOSTS,
             ))),
             data_centre: parts.data_centre,
             settings: parts.settings,
-            patience: WaitSettings::default(),
-            sharing: AtomicU32::new(BUDGET_HOSTS),
+            wait_settings: WaitSettings::default(),
+            budget_hosts: AtomicU32::new(DEFAULT_BUDGET_HOSTS),
         }
     }
 
-    /// How the platform speaks.
+    /// Returns the adapter of the platform's dialect.
     pub(crate) fn dialect(&self) -> &PlatformDialect {
         &self.dialect
     }
 
-    /// Why the balancer should send nothing here; `None` if it should.
+    /// Returns the reason why the load balancer should send no requests here; `None` if it should.
     pub(crate) fn unready_reason(&self) -> Option<String> {
         if self.lifecycle.step() != LifeStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
@@ -107,56 +108,58 @@
         self.routes.unavailable_reason(self.clock.now())
     }
 
-    /// Loads of plain servers.
+    /// Locks the loads of the servers of plain services.
     pub(super) fn loads(&self) -> MutexGuard<'_, ServerLoads> {
         self.loads.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Chains of engines.
+    /// Locks the table of engine chains.
     pub(super) fn chains(&self) -> MutexGuard<'_, ChainTable> {
         self.chains.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Engines as the streams of this host see them.
+    /// Locks the health of engines as observed by the streams of this host.
     pub(super) fn health(&self) -> MutexGuard<'_, ChainHealth> {
         self.health.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Until when a request that arrived at `arrived` waits for a server, as far as can be said at `now`.
+    /// Returns the time until which a request that arrived at `arrived` waits for a server, as
+    /// known at `now`.
     pub(super) fn queue_deadline(
         &self,
         now: MonotonicTime,
         arrived: MonotonicTime,
     ) -> MonotonicTime {
-        self.patience.wait_until(now, MonotonicTime::START, arrived)
+        self.wait_settings
+            .wait_until(now, MonotonicTime::START, arrived)
     }
 
-    /// Whether this host may not know all servers yet.
+    /// Whether this host started too recently to know all servers.
     pub(super) fn is_learning(&self, now: MonotonicTime) -> bool {
-        self.patience.is_learning(now, MonotonicTime::START)
+        self.wait_settings.is_learning(now, MonotonicTime::START)
     }
 
-    /// A first send to a service earns a part of a retry.
+    /// Records the first send of a call to a service, which earns a fraction of a retry.
     pub(super) fn earn_retry_budget(&self, now: MonotonicTime, service: &ServiceName) {
         self.budgets().record_call(now, service);
     }
 
-    /// Takes a retry at a service from the budget; false if there is none.
+    /// Takes one retry at a service from the budget; returns false if the budget is exhausted.
     pub(super) fn spend_retry(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().take(now, service)
     }
 
-    /// Whether the budget allows a retry at a service; takes none.
+    /// Whether the budget allows a retry at a service; leaves the budget unchanged.
     pub(super) fn has_retry_budget(&self, now: MonotonicTime, service: &ServiceName) -> bool {
         self.budgets().has_budget(now, service)
     }
 
-    /// Divides the retry budget by the hosts that take callers.
+    /// Divides the retry budget by the number of hosts that serve callers.
     pub(super) fn set_budget_share(&self, now: MonotonicTime, hosts: u32) {
-        if self.sharing.swap(hosts, Ordering::Relaxed) != hosts {
+        if self.budget_hosts.swap(hosts, Ordering::Relaxed) != hosts {
             let settings = budget_settings(&self.settings, hosts);
             self.budgets().configure(now, settings);
-            log::info!(hosts = hosts; "retry budget shared");
+            log::info!(hosts = hosts; "retry budget divided among hosts");
         }
     }
 
@@ -165,7 +168,7 @@
     }
 }
 
-fn outliers() -> OutlierSettings {
+fn outlier_settings() -> OutlierSettings {
     OutlierSettings {
         base_ejection: Duration::from_secs(2),
         max_ejection: Duration::from_secs(10),
@@ -174,11 +177,11 @@
 }
 
 fn budget_settings(settings: &RelaySettings, hosts: u32) -> RetrySettings {
-    let slack = settings.retry_slack as f64 * BUDGET_PART / f64::from(hosts.max(1));
-    // Half of the slack may be saved up, the other half comes back within one window: a window of
-    // the bound that holds both sees no more than the slack.
+    let slack = settings.retry_slack as f64 * BUDGET_FRACTION / f64::from(hosts.max(1));
+    // Half of the slack is the burst, and the other half refills within one window, so a window of
+    // the bound that contains both contains no more retries than the slack.
     RetrySettings {
-        budget_ratio: settings.retry_ratio * BUDGET_PART,
+        budget_ratio: settings.retry_ratio * BUDGET_FRACTION,
         budget_floor: slack / 2.0 / settings.retry_window.as_secs_f64(),
         budget_burst: slack / 2.0,
         ..RetrySettings::default()
--- a/crates/daemon/src/relay/control.rs
+++ b/crates/daemon/src/relay/control.rs
@@ -1,4 +1,4 @@
-//! Backend servers' announcements and operators' calls, in the platform's dialect.
+//! Serves backend servers' announcements and operators' calls in the platform's dialect.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,15 +23,15 @@
 use crate::fleet::BackendFleet;
 use crate::node::AgreedNode;
 
-/// Largest body of an announcement or a document.
+/// Largest body of an announcement or a document, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 8 << 20;
-/// Time in which a body must have come.
+/// Time limit for receiving a body.
 pub(super) const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after the start in which servers that this host does not know may be known to others: a few
-/// heartbeats.
-const HEARING_TIME: Duration = Duration::from_secs(3);
+/// Time after the start during which other hosts may know servers that this host does not know: a
+/// few heartbeats.
+const LEARNING_TIME: Duration = Duration::from_secs(3);
 
-/// Serves backend servers and operators.
+/// Serves requests of backend servers and operators.
 pub(crate) struct ControlHandler {
     pub(crate) dialect: PlatformDialect,
     pub(crate) fleet: Arc<BackendFleet>,
@@ -60,10 +60,10 @@
         };
         let path = head.uri.path();
         if let Some(call) = self.dialect.operators.call(&head.method, path) {
-            return self.operate(call, &body).await.map(full_body);
+            return self.serve_operator(call, &body).await.map(full_body);
         }
         match self.dialect.registry.read(&head.method, path, &body) {
-            Some(call) => self.register(call).map(full_body),
+            Some(call) => self.serve_registry(call).map(full_body),
             None => text_response(
                 StatusCode::NOT_FOUND,
                 "this address does not serve that path\n",
@@ -71,18 +71,18 @@
         }
     }
 
-    async fn operate(&self, call: OperatorCall, body: &[u8]) -> Response<Bytes> {
+    async fn serve_operator(&self, call: OperatorCall, body: &[u8]) -> Response<Bytes> {
         let reply = match call {
             OperatorCall::Publish => self.publisher.publish(body).await,
             OperatorCall::Read => self.publisher.read().await,
         };
         if let OperatorReply::Unavailable { reason } = &reply {
-            log::warn!(reason = reason.as_str(); "operator's call not served");
+            log::warn!(reason = reason.as_str(); "operator's call failed");
         }
         self.dialect.operators.reply(&reply)
     }
 
-    fn register(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
+    fn serve_registry(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
         let now = self.clock.now();
         if self.is_cut_off() {
             let reason = "this host is cut off from most keepers".to_owned();
@@ -92,24 +92,26 @@
                 .registry
                 .refuse(&RegistryFault { reason, elsewhere });
         }
-        let taken = match call {
+        let outcome = match call {
             Ok(RegistryCall::Announce(note)) => self.announce(now, &note),
             Ok(RegistryCall::Leave(server)) => self.leave(now, &server).map(|()| None),
             Err(fault) => Err(fault),
         };
-        match taken {
+        match outcome {
             Ok(announce_at) => {
                 let ack = RegistryAck { announce_at };
                 self.dialect.registry.acknowledge(&ack)
             }
             Err(fault) => {
-                log::warn!(reason = fault.reason.as_str(); "announcement not taken");
+                log::warn!(reason = fault.reason.as_str(); "announcement or leave refused");
                 self.dialect.registry.refuse(&fault)
             }
         }
     }
 
-    /// Takes an announcement; returns where the server's heartbeats are to go.
+    /// Applies an announcement; returns the address for the server's later heartbeats.
+    ///
+    /// `None` means that the server keeps sending them to the same address.
     fn announce(
         &self,
         now: MonotonicTime,
@@ -124,27 +126,31 @@
         Ok(self.heartbeats.assign(now, note, verdict, known_for))
     }
 
-    /// Whether links lead to no quorum of the keepers that vote, this one counted.
+    /// Whether this keeper and the voters that it has links to form no quorum.
     ///
-    /// What is announced here would reach nobody: servers would be taken for gone elsewhere, and one
-    /// that leaves would go on getting work, though both were acknowledged.
+    /// Announcements to such a keeper reach no other host: other hosts would let the leases of
+    /// servers expire, and would keep sending work to a server that leaves, although this host
+    /// acknowledged both.
     fn is_cut_off(&self) -> bool {
         let hub = self.node.hub();
         let Some(status) = self.node.keeper_status() else {
             return false;
         };
         let peers = hub.status().into_iter().filter(|peer| peer.up);
-        let mut reached: BTreeSet<HostName> = peers.map(|peer| peer.host).collect();
-        reached.insert(hub.host().clone());
-        !status.membership.is_quorum(&reached)
+        let mut reachable: BTreeSet<HostName> = peers.map(|peer| peer.host).collect();
+        reachable.insert(hub.host().clone());
+        !status.membership.is_quorum(&reachable)
     }
 
-    /// A host that has just started may not know the server while others do; acknowledged here, its
-    /// leaving would be known to nobody, and work would go on to it. It is sent to another host; told
-    /// that its words are wrong, it would ask no other.
+    /// Records that a server leaves.
+    ///
+    /// A host that has just started may not know the server while other hosts do. If it
+    /// acknowledged the leave, no host would know of it, and work would still go to the server. It
+    /// therefore refuses with `elsewhere`, which makes the server ask another host; after a refusal
+    /// as malformed the server would ask no other host.
     fn leave(&self, now: MonotonicTime, server: &ServerName) -> Result<(), RegistryFault> {
         let is_known = self.fleet.leave_worker(now, server);
-        if is_known || now.since(MonotonicTime::START) >= HEARING_TIME {
+        if is_known || now.since(MonotonicTime::START) >= LEARNING_TIME {
             return Ok(());
         }
         Err(RegistryFault {
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -1,8 +1,9 @@
-//! Heartbeats of backend servers, taken for the keepers.
+//! Receives heartbeats of backend servers on behalf of the keepers.
 //!
-//! A keeper has a small part of a processor and hears of every server; entries have more and are many.
-//! So keepers name an entry to each server for its later heartbeats. The entry takes what says nothing
-//! new, and turns away all else: what changes is decided and acknowledged by keepers alone.
+//! A keeper has a small part of a processor and serves every backend server; entries are more
+//! numerous and have more capacity. Keepers therefore assign an entry to each server for its later
+//! heartbeats. The entry accepts heartbeats that only renew a lease and refuses everything else:
+//! only keepers decide and acknowledge changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -25,16 +26,16 @@
 use crate::fleet::BackendFleet;
 use crate::node::AgreedNode;
 
-/// Time without a keeper's answer after which a host takes no heartbeats: two questions. What it heard
-/// would reach nobody, and servers that serve would be taken for gone.
-const LONGEST_SILENCE: Duration = Duration::from_millis(2_200);
-/// Time for which a server is known before it can be back from a host that was named to it: until then
-/// that host may not have heard of it.
-const RETURN_TIME: Duration = Duration::from_secs(5);
-/// Time between two looks at which hosts take heartbeats.
-const HOSTS_PERIOD: Duration = Duration::from_millis(500);
+/// Time without a keeper's answer after which a host refuses heartbeats: the time of two questions.
+/// Heartbeats to such a host reach no other host, so the leases of running servers would expire.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_200);
+/// Least time for which this host knows a server before a heartbeat counts as a return from the
+/// assigned host: until then the assigned host may not know the server.
+const MIN_KNOWN_TIME: Duration = Duration::from_secs(5);
+/// Time between two refreshes of the list of hosts that receive heartbeats.
+const HOST_REFRESH_PERIOD: Duration = Duration::from_millis(500);
 
-/// Takes heartbeats at a host that is no keeper.
+/// Receives heartbeats on a host without a keeper.
 pub(crate) struct HeartbeatHandler {
     pub(crate) dialect: PlatformDialect,
     pub(crate) fleet: Arc<BackendFleet>,
@@ -64,7 +65,7 @@
             .registry
             .read(&head.method, head.uri.path(), &body)
         {
-            Some(call) => self.take(call).map(full_body),
+            Some(call) => self.handle_call(call).map(full_body),
             None => text_response(
                 StatusCode::NOT_FOUND,
                 "this address does not serve that path\n",
@@ -72,9 +73,9 @@
         }
     }
 
-    fn take(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
+    fn handle_call(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
         let now = self.clock.now();
-        let taken = match call {
+        let outcome = match call {
             Ok(RegistryCall::Announce(_)) if self.is_cut_off(now) => {
                 Err("this host is cut off from the keepers")
             }
@@ -82,7 +83,7 @@
             Ok(_) => Err("keepers alone take what is new"),
             Err(fault) => return self.dialect.registry.refuse(&fault),
         };
-        match taken {
+        match outcome {
             Ok(()) => {
                 let ack = RegistryAck { announce_at: None };
                 self.dialect.registry.acknowledge(&ack)
@@ -96,7 +97,7 @@
 
     fn is_cut_off(&self, now: MonotonicTime) -> bool {
         let confirmed_at = self.node.feed().confirmed_at();
-        confirmed_at.is_none_or(|at| now.since(at) >= LONGEST_SILENCE)
+        confirmed_at.is_none_or(|at| now.since(at) >= MAX_CONFIRMATION_AGE)
     }
 }
 
@@ -106,7 +107,7 @@
     }
 }
 
-/// Names hosts to servers that a keeper has heard.
+/// Assigns a host to each server that announces itself to this keeper.
 pub(super) struct HeartbeatAssigner {
     node: Arc<AgreedNode>,
     state: Mutex<AssignerState>,
@@ -115,7 +116,7 @@
 struct AssignerState {
     table: AssignmentTable,
     hosts: Vec<HeartbeatHost>,
-    looked_at: Option<MonotonicTime>,
+    refreshed_at: Option<MonotonicTime>,
 }
 
 impl HeartbeatAssigner {
@@ -123,7 +124,7 @@
         let state = AssignerState {
             table: AssignmentTable::new(AssignmentSettings::default()),
             hosts: Vec::new(),
-            looked_at: None,
+            refreshed_at: None,
         };
         Self {
             node,
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Where the server of `note` is to send its heartbeats; `known_for` is the time for which this host
-    /// has known it.
+    /// Returns the address for the later heartbeats of the server of `note`; `None` leaves them as
+    /// they are. `known_for` is the time for which this host has known the server.
     pub(super) fn assign(
         &self,
         now: MonotonicTime,
@@ -140,9 +141,9 @@
         verdict: MergeVerdict,
         known_for: Duration,
     ) -> Option<SocketAddr> {
-        let is_back = verdict == MergeVerdict::Renewed && known_for >= RETURN_TIME;
+        let is_back = verdict == MergeVerdict::Renewed && known_for >= MIN_KNOWN_TIME;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        state.look(now, &self.node);
+        state.refresh_hosts(now, &self.node);
         let AssignerState { table, hosts, .. } = &mut *state;
         let host = table.assign(now, &note.server, &note.data_centre, is_back, hosts)?;
         log::info!(server:% = note.server, host:% = host.host, is_back = is_back; "heartbeats assigned");
@@ -151,18 +152,18 @@
 }
 
 impl AssignerState {
-    /// Looks up the hosts that take heartbeats and are linked to this one.
-    fn look(&mut self, now: MonotonicTime, node: &AgreedNode) {
-        let is_fresh = |at: MonotonicTime| now.since(at) < HOSTS_PERIOD;
-        if self.looked_at.is_some_and(is_fresh) {
+    /// Refreshes the list of hosts that receive heartbeats and have a link to this host.
+    fn refresh_hosts(&mut self, now: MonotonicTime, node: &AgreedNode) {
+        let is_fresh = |at: MonotonicTime| now.since(at) < HOST_REFRESH_PERIOD;
+        if self.refreshed_at.is_some_and(is_fresh) {
             return;
         }
-        self.looked_at = Some(now);
+        self.refreshed_at = Some(now);
         let hub = node.hub();
-        let known = hub.discovery().map(|found| found.heartbeat_hosts());
-        let up = hub.up_hosts();
-        self.hosts = known.unwrap_or_default();
+        let found_hosts = hub.discovery().map(|found| found.heartbeat_hosts());
+        let connected = hub.up_hosts();
+        self.hosts = found_hosts.unwrap_or_default();
         self.hosts
-            .retain(|host| up.binary_search(&host.host).is_ok());
+            .retain(|host| connected.binary_search(&host.host).is_ok());
     }
 }
--- a/crates/daemon/src/relay/meter.rs
+++ b/crates/daemon/src/relay/meter.rs
@@ -1,4 +1,4 @@
-//! Counts one request in the metrics, once, however it ends.
+//! Counts each request in the metrics exactly once, for every way in which it ends.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,24 +11,24 @@
 use super::context::RelayContext;
 use crate::telemetry::RequestEnd;
 
-/// A request that is counted as active; clones count the same one.
+/// Counts one request as active until it ends; clones share the count.
 ///
-/// One that is dropped without an end had a caller that went away: it would else stay active in the
-/// metrics for ever.
+/// If the last clone is dropped before an end is recorded, the caller disconnected. The drop
+/// records that end, since the request would otherwise stay active in the metrics forever.
 #[derive(Clone)]
 pub(super) struct RequestMeter(Arc<MeterState>);
 
 struct MeterState {
     context: Arc<RelayContext>,
     arrived: MonotonicTime,
-    is_over: AtomicBool,
+    has_ended: AtomicBool,
     events: Mutex<EventTimes>,
 }
 
-/// When the events of a stream went to its caller, over all chains that ran it.
+/// Times at which events of a stream were sent to its caller, over all chains that ran it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct EventTimes {
-    /// From the request's arrival to its first event; `None` before it.
+    /// Time from the arrival of the request to its first event; `None` before that event.
     pub(super) first: Option<Duration>,
     /// Longest time between two events.
     pub(super) longest_pause: Duration,
@@ -36,23 +36,23 @@
 }
 
 impl RequestMeter {
-    /// Counts a request that has just arrived.
+    /// Counts a request that arrives now as active.
     pub(super) fn start(context: &Arc<RelayContext>) -> Self {
         context.metrics.request_begun();
         Self(Arc::new(MeterState {
             context: Arc::clone(context),
             arrived: context.clock.now(),
-            is_over: AtomicBool::new(false),
+            has_ended: AtomicBool::new(false),
             events: Mutex::default(),
         }))
     }
 
-    /// The request ended; only the first word counts.
+    /// Records the end of the request; later calls have no effect.
     pub(super) fn ended(&self, outcome: OutcomeKind) {
         self.0.end(outcome);
     }
 
-    /// The request was refused.
+    /// Records that the request was refused, which ends it.
     pub(super) fn refused(&self, kind: RefusalKind) {
         let outcome = match kind {
             RefusalKind::UnknownOutcome | RefusalKind::TimedOut => OutcomeKind::Unknown,
@@ -65,10 +65,10 @@
         self.ended(outcome);
     }
 
-    /// Events went to the caller.
+    /// Records that events were sent to the caller at `now`.
     ///
-    /// A pause counts from the last event that the caller has, whichever chain sent it: counted from
-    /// the start of the next chain, the metrics left out the pauses at engines that died.
+    /// A pause starts at the last event that was sent, whichever chain sent it. When it started
+    /// with the next chain, the metrics omitted the pauses caused by engines that failed.
     pub(super) fn events_sent(&self, now: MonotonicTime) {
         let metrics = &self.0.context.metrics;
         let mut events = self.0.events();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// When events went to the caller so far.
+    /// Returns the times of the events sent so far.
     pub(super) fn event_times(&self) -> EventTimes {
         *self.0.events()
     }
@@ -98,12 +98,12 @@
     }
 
     fn end(&self, outcome: OutcomeKind) {
-        if self.is_over.swap(true, Ordering::Relaxed) {
+        if self.has_ended.swap(true, Ordering::Relaxed) {
             return;
         }
         self.context.metrics.request_ended(RequestEnd {
             outcome,
-            // Counted with each send.
+            // Each send counts its attempt in the metrics.
             attempts: 0,
             duration: self.context.clock.now().since(self.arrived),
         });
--- a/crates/daemon/src/relay/publish.rs
+++ b/crates/daemon/src/relay/publish.rs
@@ -1,8 +1,8 @@
-//! Publishing a document of routes, and reading it back.
+//! Publishes a document of routes, and reads it back.
 //!
-//! Operators number documents themselves and may race each other. The highest version is in force:
-//! a document is put in force only on top of the one that was looked at, so of two that race, one is
-//! decided anew on top of the other.
+//! Operators number documents themselves and may race each other. The highest version is in force.
+//! Each edit is based on the revision that was read, so if two documents race, one of them
+//! conflicts and is decided again on top of the other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,38 +20,39 @@
 use crate::keeper::KeeperClient;
 use crate::state::SharedState;
 
-/// Time for one call of an operator. Operators turn to another host after a second without an
-/// answer, so a longer try would only pile up work.
-const CALL_PATIENCE: Duration = Duration::from_millis(900);
-/// Pause after a try that met no leader.
-const TRY_PAUSE: Duration = Duration::from_millis(50);
-/// Name under which operators of the platform stand in the history; they are not told apart.
+/// Time limit of one operator's call. Operators turn to another host after a second without an
+/// answer, so a longer limit would only accumulate work.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Pause before the next attempt, after a conflict or without a leader.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Operator name in the history for all operators of the platform, which have no separate names.
 const PLATFORM_OPERATOR: &str = "platform";
 
-/// Publishes and reads documents.
+/// Publishes and reads documents of routes.
 pub(crate) struct Publisher {
     pub(crate) agreed: Arc<dyn AgreedState>,
     pub(crate) client: KeeperClient,
-    /// State of this host's keeper; only hosts with one serve operators.
+    /// State of this host's keeper; only hosts with a keeper serve operators.
     pub(crate) shared: Option<SharedState>,
     pub(crate) dialect: Arc<dyn OperatorDialect>,
 }
 
-/// What one try came to.
+/// Outcome of one attempt to publish.
 enum PublishStep {
     /// A document of this version or a higher one is in force.
     Done(SourceVersion),
     /// The keepers refused the text.
     Refused(FindingList),
-    /// Another change went first, or no keeper led.
-    Again(String),
+    /// Another change was applied first, or no keeper was the leader.
+    Retry(String),
 }
 
 impl Publisher {
-    /// Puts a document in force, unless its version, or a higher one, is.
+    /// Puts a document in force unless its version or a higher one is already in force.
     ///
-    /// Tries for a time by the steady clock: one that goes on late, after a suspension, finds what
-    /// is in force anew, and a change that rests on an older revision is refused.
+    /// Retries for [`CALL_TIMEOUT`] by the monotonic clock. An attempt that resumes late, after a
+    /// suspension, does no harm: each attempt reads the configuration in force again, and keepers
+    /// refuse a change based on an older revision.
     pub(super) async fn publish(&self, text: &[u8]) -> OperatorReply {
         let document = match self.dialect.read_document(text) {
             Ok(document) => document,
@@ -64,7 +65,7 @@
             version: document.version,
             text: Arc::from(text),
         };
-        let deadline = Instant::now() + CALL_PATIENCE;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let mut reason = "no keeper answered in time".to_owned();
         while Instant::now() < deadline {
             let Ok(step) = timeout_at(deadline, self.try_publish(&source)).await else {
@@ -73,16 +74,16 @@
             match step {
                 PublishStep::Done(version) => return OperatorReply::Published { version },
                 PublishStep::Refused(findings) => return OperatorReply::Invalid(findings),
-                PublishStep::Again(why) => reason = why,
+                PublishStep::Retry(retry_reason) => reason = retry_reason,
             }
-            sleep(TRY_PAUSE).await;
+            sleep(RETRY_PAUSE).await;
         }
         OperatorReply::Unavailable { reason }
     }
 
-    /// Reads the newest document, behind a quorum.
+    /// Reads the newest document after a quorum-checked read barrier.
     pub(super) async fn read(&self) -> OperatorReply {
-        let deadline = Instant::now() + CALL_PATIENCE;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         match timeout_at(deadline, self.newest()).await {
             Ok(Ok(configuration)) => configuration
                 .source()
@@ -106,12 +107,12 @@
     async fn try_publish(&self, source: &PublishedSource) -> PublishStep {
         let newest = match self.newest().await {
             Ok(newest) => newest,
-            Err(reason) => return PublishStep::Again(reason),
+            Err(reason) => return PublishStep::Retry(reason),
         };
-        if let Some(held) = newest.source()
-            && held.version >= source.version
+        if let Some(published) = newest.source()
+            && published.version >= source.version
         {
-            return PublishStep::Done(held.version);
+            return PublishStep::Done(published.version);
         }
         let command = ReplicatedCommand::EditConfiguration(edit(&newest, source));
         match self.agreed.submit(command).await {
@@ -123,15 +124,15 @@
                 PublishStep::Refused(findings)
             }
             Ok(CommandAnswer::Change(ChangeAnswer::Conflict(conflict))) => {
-                PublishStep::Again(conflict.to_string())
+                PublishStep::Retry(conflict.to_string())
             }
-            Ok(_) => PublishStep::Again("the keepers answered another command".to_owned()),
-            Err(error) => PublishStep::Again(error.to_string()),
+            Ok(_) => PublishStep::Retry("the keepers answered another command".to_owned()),
+            Err(error) => PublishStep::Retry(error.to_string()),
         }
     }
 }
 
-/// The edit that puts `source` on top of `newest`. Labels and selectors beside it stay.
+/// Returns the edit that replaces the source in `newest` and keeps its labels and selectors.
 fn edit(newest: &Configuration, source: &PublishedSource) -> EditRequest {
     let canonical = newest.canonical().with_source(source);
     EditRequest {
@@ -143,7 +144,8 @@
     }
 }
 
-/// The same try has the same id wherever it is made, so that a lost answer is given again.
+/// Returns the same id for the same edit on every host, so that a retry after a lost answer gets
+/// that answer again.
 fn change_id(based_on: Revision, source: &PublishedSource) -> ChangeId {
     let digest = ContentDigest::of(source.text.as_bytes());
     format!("source-{}-{based_on}-{digest}", source.version).into()
--- a/crates/daemon/src/relay/request.rs
+++ b/crates/daemon/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, as the relay works on it.
+//! A caller's request as the relay processes it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     DraftSize, RefusalKind, RelayRefusal, ServerDialect, ServerSend, StageHop,
 };
 
-/// A request that has a route.
+/// A request for which the route, the service and the customer are known.
 #[derive(Debug)]
 pub(super) struct RelayRequest {
     pub(super) head: Parts,
@@ -23,14 +23,15 @@
     pub(super) service: Arc<ServiceSpec>,
     pub(super) customer: Option<CustomerName>,
     pub(super) draft: Option<DraftSize>,
-    /// Last event that the caller holds of an earlier answer.
+    /// Last event of an earlier answer that the caller received.
     pub(super) resume_after: Option<EventId>,
     pub(super) arrived: MonotonicTime,
-    /// Time by which the caller must have an answer: its own patience, or the route's.
+    /// Time by which the caller must have an answer: arrival plus the shorter of the caller's
+    /// timeout and the route's.
     pub(super) deadline: MonotonicTime,
 }
 
-/// Where one send of a request goes.
+/// Destination of one send of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendTarget<'send> {
     pub(super) server: &'send ServerName,
@@ -39,12 +40,12 @@
 }
 
 impl RelayRequest {
-    /// Time that is left.
+    /// Returns the time left until the deadline; zero after it.
     pub(super) fn time_left(&self, now: MonotonicTime) -> Duration {
         self.deadline.since(now)
     }
 
-    /// The request as one server gets it.
+    /// Builds the HTTP request for the server of `target`.
     pub(super) fn write(
         &self,
         now: MonotonicTime,
@@ -67,19 +68,19 @@
     }
 }
 
-/// Why a request gets no answer of a backend server.
+/// Refusal of a request that gets no answer from a backend server.
 #[derive(Clone, Debug)]
 pub(super) struct Refused(pub(super) RelayRefusal);
 
 impl Refused {
-    /// The same refusal with a time after which another attempt may be served.
+    /// Adds the time after which another attempt may be served.
     pub(super) fn retry_after(mut self, wait: Duration) -> Self {
         self.0.retry_after = Some(wait);
         self
     }
 }
 
-/// A refusal without advice.
+/// Creates a refusal without a retry delay.
 pub(super) fn refused<R>(kind: RefusalKind, reason: R) -> Refused
 where
     R: Into<String>,
--- a/crates/daemon/src/relay/routes.rs
+++ b/crates/daemon/src/relay/routes.rs
@@ -1,4 +1,4 @@
-//! The routes in force at this host, laid out for requests.
+//! The route table that this host serves by, built from the published source.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,46 +13,45 @@
 use crate::agreed::AgreedState;
 use crate::clock::TimeSource;
 
-/// Advice to a caller of a host that can't tell which routes are in force: an election takes about
-/// as long.
-const RETRY_UNKNOWN: Duration = Duration::from_millis(500);
+/// Retry delay for a caller of a host that does not know which routes are in force: an election
+/// takes about as long.
+const RETRY_UNAVAILABLE: Duration = Duration::from_millis(500);
 
-/// Time without known routes within which they are likely to be known soon: keepers that all started
-/// again have elected a leader by then, also where the first one that was elected was too busy with
-/// its start to keep its followers.
-const KNOWN_SOON: Duration = Duration::from_secs(4);
-/// Longest wait of one request. Callers give up a request that nothing comes back on for 2 s.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_600);
-/// Longest time without knowing the newest revision after which the routes that are laid out may be
-/// old: five looks of the chains, and half of the time in which a change must be in force.
-const LONGEST_GAP: Duration = Duration::from_secs(1);
-/// Time between two looks of a waiting request.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Time without known routes for which requests wait for them. Keepers that all restarted elect a
+/// leader within this time, even if the first leader was too busy starting to keep its followers.
+const STARTUP_GRACE: Duration = Duration::from_secs(4);
+/// Longest wait of one request. Callers abandon a request that returns nothing for 2 s.
+const MAX_WAIT: Duration = Duration::from_millis(1_600);
+/// Time without knowing the newest revision after which the built routes may be stale: five polls
+/// of the chains, and half of the time within which a change must be in force.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(1);
+/// Time between two polls of a waiting request.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Lays out the published source each time that it changes.
+/// Builds a route table from the published source each time the source changes.
 pub(crate) struct RouteFeed {
     agreed: Arc<dyn AgreedState>,
     dialect: Arc<dyn OperatorDialect>,
     build_state: Arc<Mutex<BuildState>>,
-    /// Time after its acceptance in which a change is in force here.
+    /// Time after its acceptance within which a change is in force on this host.
     change_within: Duration,
-    /// Since when no routes are known; `None` while some are.
-    unknown_since: Mutex<Option<MonotonicTime>>,
+    /// Start of the time without known routes; `None` while routes are known.
+    unavailable_since: Mutex<Option<MonotonicTime>>,
 }
 
-/// The last routes that were laid out, and the work at the next ones.
+/// The table that was built last, and the state of the next build.
 struct BuildState {
     last: Option<BuiltTable>,
-    /// When the newest revision was last known here.
-    known_at: Option<MonotonicTime>,
-    /// Revision below which nothing is served any more.
-    must_reach: Revision,
-    is_working: bool,
+    /// Time at which this host last knew the newest revision.
+    newest_known_at: Option<MonotonicTime>,
+    /// Lowest revision that may be served.
+    min_revision: Revision,
+    is_building: bool,
 }
 
 struct BuiltTable {
     revision: Revision,
-    /// The table, or why the source can't be laid out.
+    /// The table, or the reason why the source can't be built.
     table: Result<Arc<RouteTable>, String>,
 }
 
@@ -60,28 +59,30 @@
     fn new() -> Self {
         Self {
             last: None,
-            known_at: None,
-            must_reach: Revision(0),
-            is_working: false,
+            newest_known_at: None,
+            min_revision: Revision(0),
+            is_building: false,
         }
     }
 
-    /// What to serve by while `newest` is in force.
+    /// Returns the table to serve by while `newest` is in force.
     ///
-    /// Failure: a host that was cut off or suspended has old routes, and is told the newest ones as it
-    /// comes back. Symptom: it served by the old ones while those were laid out, and a request ran whose
-    /// key had been revoked ten seconds before. So a host that did not know the newest revision for
-    /// [`LONGEST_GAP`] lays out the one that it finds before it serves again. One revision is enough:
-    /// had it to reach each newer one as well, changes that come faster than they are laid out would
-    /// keep it from ever serving.
+    /// Failure: a host that was cut off or suspended has old routes, and receives the newest ones
+    /// when it comes back. Symptom: it served by the old routes while it built the new ones, and a
+    /// request ran with a key that had been revoked ten seconds before. A host that did not know
+    /// the newest revision for [`MAX_CONFIRMATION_AGE`] therefore builds the revision that it finds
+    /// before it serves again. It waits for that one revision only: if it also had to reach each
+    /// newer one, changes that arrive faster than it builds them would keep it from ever serving.
     fn table(&mut self, now: MonotonicTime, newest: Revision) -> Result<Arc<RouteTable>, String> {
-        let was_away = self.known_at.is_none_or(|at| now.since(at) >= LONGEST_GAP);
-        if was_away {
-            self.must_reach = newest;
+        let was_stale = self
+            .newest_known_at
+            .is_none_or(|at| now.since(at) >= MAX_CONFIRMATION_AGE);
+        if was_stale {
+            self.min_revision = newest;
         }
-        self.known_at = Some(now);
+        self.newest_known_at = Some(now);
         let reached = self.last.as_ref();
-        let reached = reached.filter(|last| last.revision >= self.must_reach);
+        let reached = reached.filter(|last| last.revision >= self.min_revision);
         match reached {
             Some(last) => last.table.clone(),
             None => Err("the routes are being laid out".to_owned()),
@@ -90,7 +91,7 @@
 }
 
 impl RouteFeed {
-    /// A feed of what `agreed` holds.
+    /// Creates a feed of the configuration in `agreed`, without a table and with no build running.
     pub(crate) fn new(
         agreed: Arc<dyn AgreedState>,
         dialect: Arc<dyn OperatorDialect>,
@@ -101,33 +102,35 @@
             dialect,
             change_within,
             build_state: Arc::new(Mutex::new(BuildState::new())),
-            unknown_since: Mutex::new(Some(MonotonicTime::START)),
+            unavailable_since: Mutex::new(Some(MonotonicTime::START)),
         }
     }
 
-    /// The routes to serve by: those of the newest revision that is laid out. A newer one is laid out
-    /// on a thread beside the requests, as all streams of a small host would pause for that time. The
-    /// host goes on by the older routes meanwhile.
+    /// Returns the table of the newest revision that is built.
+    ///
+    /// Starts to build a newer revision on a separate thread, since all streams of a small host
+    /// would pause during the build. The host serves by the older table until then.
     ///
     /// # Errors
-    /// This host can't tell which routes are in force. It says so rather than that there is none.
+    /// This host does not know which routes are in force. The refusal says so instead of denying
+    /// that the route exists.
     pub(super) fn current(&self, now: MonotonicTime) -> Result<Arc<RouteTable>, Refused> {
-        let unknown = |reason: String| {
+        let unavailable = |reason: String| {
             let refusal = refused(RefusalKind::NotRun, reason);
-            refusal.retry_after(RETRY_UNKNOWN)
+            refusal.retry_after(RETRY_UNAVAILABLE)
         };
         let configuration = self
             .agreed
             .configuration()
-            .map_err(|stale| unknown(stale.to_string()))?;
+            .map_err(|stale| unavailable(stale.to_string()))?;
         let mut state = lock(&self.build_state);
         let newest = configuration.revision();
-        let held = state.last.as_ref().map(|last| last.revision);
-        if held < Some(newest) && !state.is_working {
-            state.is_working = true;
+        let built_revision = state.last.as_ref().map(|last| last.revision);
+        if built_revision < Some(newest) && !state.is_building {
+            state.is_building = true;
             self.start_build(configuration);
         }
-        state.table(now, newest).map_err(unknown)
+        state.table(now, newest).map_err(unavailable)
     }
 
     fn start_build(&self, configuration: Arc<Configuration>) {
@@ -136,19 +139,19 @@
             let revision = configuration.revision();
             let table = build_table(dialect.as_ref(), &configuration).map(Arc::new);
             if let Ok(table) = &table {
-                log::info!(revision:% = revision, version:% = table.version(); "routes in force");
+                log::info!(revision:% = revision, version:% = table.version(); "route table built");
             }
             let mut state = lock(&build_state);
             state.last = Some(BuiltTable { revision, table });
-            state.is_working = false;
+            state.is_building = false;
         });
     }
 
-    /// The routes to serve by, after a short wait where they are about to be known.
+    /// Returns the table to serve by; waits for it for a short time if it may soon be known.
     ///
     /// A host that has just started, or whose keepers are electing a leader, knows the routes a
-    /// moment later. Refused meanwhile, callers use up the one retry that many of them have. A host
-    /// that has been cut off for longer refuses at once.
+    /// moment later. An early refusal would use up the only retry that many callers have. A host
+    /// that has been cut off for longer than [`STARTUP_GRACE`] refuses at once.
     ///
     /// # Errors
     /// As [`RouteFeed::current`].
@@ -160,33 +163,33 @@
         loop {
             let refused = match self.current(clock.now()) {
                 Ok(table) => {
-                    self.set_unknown(None);
+                    self.set_unavailable_since(None);
                     return Ok(table);
                 }
                 Err(refused) => refused,
             };
             let now = clock.now();
-            let since = self.unknown_from(now);
-            let is_over = now.since(arrived) >= LONGEST_WAIT;
-            if is_over || now.since(since) >= KNOWN_SOON {
+            let since = self.unavailable_from(now);
+            let has_timed_out = now.since(arrived) >= MAX_WAIT;
+            if has_timed_out || now.since(since) >= STARTUP_GRACE {
                 return Err(refused);
             }
-            sleep(LOOK_PERIOD).await;
+            sleep(POLL_PERIOD).await;
         }
     }
 
-    /// Whether a change may be in force by now that the routes served by do not show.
+    /// Whether a change may be in force that the current table does not contain.
     ///
-    /// Failure: keepers accept a change and are gone before this host asks again. Symptom: it denied
-    /// the new route for the rest of its lease, which is as long as a revoked key may be served, and
-    /// callers believe that for good. A change that was accepted after the last confirmation is
-    /// younger than that confirmation, so within `change_within` of it nothing can be missed.
+    /// Failure: keepers accept a change and fail before this host asks again. Symptom: the host
+    /// denied the new route for the rest of its lease, which is as long as it may serve a revoked
+    /// key, and callers treat that refusal as permanent. Only a change accepted after the last
+    /// confirmation can be missing, so none is overdue within `change_within` of the confirmation.
     pub(super) fn may_be_stale(&self, now: MonotonicTime) -> bool {
         let confirmed_at = self.agreed.confirmed_at();
         self.is_behind() || confirmed_at.is_none_or(|at| now.since(at) >= self.change_within)
     }
 
-    /// Whether other routes than those served by are known to be in force.
+    /// Whether a newer revision than that of the current table is known to be in force.
     fn is_behind(&self) -> bool {
         if self.agreed.is_behind() {
             return true;
@@ -197,48 +200,49 @@
         state.last.as_ref().map(|last| last.revision) < newest
     }
 
-    /// The routes to serve by, once a keeper has confirmed that they are the newest.
+    /// Waits until a keeper confirms that the table is the newest, and returns the table.
     ///
-    /// Failure: a change is accepted, and a caller uses its new route or key at a host that does not
-    /// have it yet. Symptom: it was told that there is no such route, which it believes for good.
-    /// Waiting here, it is served a moment later, or told that it was not run and when to come back.
+    /// Failure: a change is accepted, and a caller uses its new route or key on a host that does
+    /// not have the change yet. Symptom: the host answered that the route does not exist, which
+    /// callers treat as permanent. After the wait the host either serves the request or answers
+    /// that the request did not run, with the time after which to retry.
     ///
     /// # Errors
-    /// The host did not catch up within [`LONGEST_WAIT`].
+    /// The host did not catch up within [`MAX_WAIT`].
     pub(super) async fn catch_up(
         &self,
         clock: &dyn TimeSource,
     ) -> Result<Arc<RouteTable>, Refused> {
-        let until = clock.now().after(LONGEST_WAIT);
+        let until = clock.now().after(MAX_WAIT);
         while self.may_be_stale(clock.now()) {
             if clock.now() >= until {
                 let reason = "newer routes may be in force than this host knows";
                 let refusal = refused(RefusalKind::NotRun, reason);
-                return Err(refusal.retry_after(RETRY_UNKNOWN));
+                return Err(refusal.retry_after(RETRY_UNAVAILABLE));
             }
-            sleep(LOOK_PERIOD).await;
-            // Starts to lay out what has come meanwhile.
+            sleep(POLL_PERIOD).await;
+            // Starts to build a revision that arrived during the wait.
             let _ = self.current(clock.now());
         }
         self.current(clock.now())
     }
 
-    fn unknown_from(&self, now: MonotonicTime) -> MonotonicTime {
+    fn unavailable_from(&self, now: MonotonicTime) -> MonotonicTime {
         let mut since = self
-            .unknown_since
+            .unavailable_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         *since.get_or_insert(now)
     }
 
-    fn set_unknown(&self, since: Option<MonotonicTime>) {
+    fn set_unavailable_since(&self, since: Option<MonotonicTime>) {
         *self
-            .unknown_since
+            .unavailable_since
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = since;
     }
 
-    /// Why no routes are known; `None` if some are.
+    /// Returns the reason why no routes are known; `None` if routes are known.
     pub(crate) fn unavailable_reason(&self, now: MonotonicTime) -> Option<String> {
         self.current(now).err().map(|refused| refused.0.reason)
     }
@@ -256,7 +260,7 @@
     let source = source.ok_or("no routes were published yet")?;
     let document = dialect.read_document(source.text.as_bytes());
     let document = document.map_err(|findings| {
-        log::error!(version:% = source.version, findings:% = findings; "published routes not readable here");
+        log::error!(version:% = source.version, findings:% = findings; "published routes can't be decoded");
         "the published routes can't be read here".to_owned()
     })?;
     Ok(RouteTable::build(document))
--- a/crates/daemon/src/relay/start.rs
+++ b/crates/daemon/src/relay/start.rs
@@ -1,4 +1,4 @@
-//! How the relay is put together on a host.
+//! Builds the relay's handlers and starts its background tasks on a host.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::node::AgreedNode;
 use crate::settings::DaemonSettings;
 
-/// The handlers of all that speak the platform's dialect.
+/// Builds the HTTP handlers for the clients that speak the platform's dialect.
 pub(crate) fn relay_faces(
     relay: &Arc<RelayContext>,
     node: &Arc<AgreedNode>,
@@ -50,7 +50,8 @@
     }
 }
 
-/// Entries follow the chains; keepers place layers, whichever of them holds the right.
+/// Starts the relay's background task: on an entry, the task that follows the chains; on a keeper,
+/// the placement of layers, which runs only on the keeper that holds the right to place.
 pub(crate) fn start_relay(
     settings: &DaemonSettings,
     relay: Arc<RelayContext>,
