--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -1,13 +1,15 @@
-//! Spreads backend servers' leases and surveys of engines between hosts.
+//! Broadcasts backend servers' leases and surveys of engines between hosts.
 //!
-//! Where the settings list the hosts, each tells every other what it heard itself. Where hosts find
-//! each other, an entry tells the keeper that it follows, a keeper tells the other keepers what it and
-//! its followers heard, and its followers all that it knows. Frames so grow with keepers and followers,
-//! not with pairs of hosts. That a server leaves, every keeper tells every host at once.
+//! With a fixed list of hosts in the settings, each host sends every other host the leases that it
+//! received itself. With discovery, an entry sends its leases to the keeper that it follows. A
+//! keeper sends the other keepers its own and its followers' leases, and sends its followers all
+//! leases. The number of frames therefore grows with keepers and followers instead of with pairs of
+//! hosts. Each keeper sends the leave of a server to every host at once.
 //!
-//! News go out on every tick in which some were heard, renewals on every few. Hosts that were told as
-//! much get the same frame, encoded once. A peer is told again from the start when its link comes up,
-//! since what was queued for the broken link is lost, and asks for what it turns out to lack.
+//! Changes are sent on the next tick, and renewals on every second tick. Hosts in the same sync
+//! state get the same frame, encoded once. When the link to a peer comes up, the peer gets
+//! everything again, since frames queued for the broken link are lost. A peer requests the leases
+//! that it turns out to lack.
 
 mod recipients;
 mod surveys;
@@ -32,45 +34,45 @@
 use recipients::LeaseRecipients;
 use surveys::SurveyRelay;
 
-/// Time between two ticks; adds to the time in which a leave is known everywhere.
+/// Time between two ticks; adds to the time until every host knows of a leave.
 pub const BROADCAST_TICK: Duration = Duration::from_millis(200);
-/// Ticks between two tellings of what only renews leases: a third of a usual heartbeat, as renewals
-/// pass through three hosts.
+/// Ticks between two sends of renewals: a third of a usual heartbeat period, as renewals pass
+/// through three hosts.
 const RENEWAL_TICKS: u32 = 2;
-/// Time after its link came up for which a host is taken to hold no leases.
+/// Time after its link came up during which a host is assumed to have no leases.
 const NEW_LINK_TIME: Duration = Duration::from_secs(5);
-/// Leases in one frame by name.
+/// Maximum number of named leases in one frame.
 const FRAME_LEASES: usize = 256;
-/// Longest time that a frame is taken to have travelled; a link that is silent for longer breaks.
+/// Assumed transit time of a frame, its upper bound: a link that is silent for longer breaks.
 ///
 /// Failure: a frame that waited in a stalled connection would renew the lease of a server that
-/// died meanwhile. Its age grows by this much on arrival, so the lease ends no later than it
-/// would by a frame that came at once.
+/// failed in the meantime. The receiver adds this time to the age of the renewal, so the lease ends
+/// no later than after a frame without delay.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(200);
 
-/// Tells peers what this host heard.
+/// Sends leases and surveys to peers, and merges those that peers send.
 pub struct LeaseBroadcaster {
     fleet: Arc<BackendFleet>,
     clock: Arc<dyn TimeSource>,
     recipients: LeaseRecipients,
-    cursors: Mutex<BTreeMap<HostName, ToldHost>>,
-    /// When the link to each host came up last.
-    linked: Mutex<BTreeMap<HostName, MonotonicTime>>,
-    /// Version of the lease table up to which every host was told of servers that leave.
-    left_told: Mutex<u64>,
+    cursors: Mutex<BTreeMap<HostName, SyncState>>,
+    /// Time at which the link to each host last came up.
+    linked_at: Mutex<BTreeMap<HostName, MonotonicTime>>,
+    /// Version of the lease table up to which the leaves of servers were sent to every host.
+    leaves_sent: Mutex<u64>,
     surveys: SurveyRelay,
 }
 
-/// How far a host was told what it is to know.
+/// Leases that a host is to receive, and how far they were sent to it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct ToldHost {
+struct SyncState {
     scope: LeaseScope,
-    first: InitialSync,
+    initial_sync: InitialSync,
     cursor: DeltaCursor,
 }
 
 impl LeaseBroadcaster {
-    /// A broadcaster that has told nobody anything.
+    /// Creates a broadcaster that has sent nothing to any host.
     pub fn new(
         fleet: Arc<BackendFleet>,
         clock: Arc<dyn TimeSource>,
@@ -82,23 +84,24 @@
             recipients: LeaseRecipients::new(keepers, feed),
             clock,
             cursors: Mutex::default(),
-            linked: Mutex::default(),
-            left_told: Mutex::default(),
+            linked_at: Mutex::default(),
+            leaves_sent: Mutex::default(),
             surveys: SurveyRelay::default(),
         }
     }
 
-    /// Takes what the peer `from` knows, and asks for what it takes to be known here and is not.
+    /// Merges a batch of the peer `from`, and requests leases that the batch refers to and this
+    /// host lacks.
     ///
-    /// A question or its answer that is lost is made up for by the next renewal.
+    /// If the request or its answer is lost, the next renewal causes another request.
     pub fn receive_leases(&self, hub: &PeerHub, from: &HostName, batch: LeaseBatch) {
         let now = self.clock.now();
-        let sender = (from, self.recipients.kind_of(from));
+        let source = (from, self.recipients.kind_of(from));
         let outcome = self
             .fleet
-            .merge_batch(now, sender, batch, TRANSIT_ALLOWANCE);
+            .merge_batch(now, source, batch, TRANSIT_ALLOWANCE);
         if let Some(fault) = outcome.fault {
-            log::warn!(host:% = from, reason:% = fault; "renewals not taken");
+            log::warn!(host:% = from, reason:% = fault; "renewals rejected");
         }
         if !outcome.unknown_servers.is_empty() {
             let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown_servers));
@@ -108,58 +111,65 @@
         }
     }
 
-    /// A host asked this keeper for the configuration: it follows this one.
+    /// Records that `host` asked this keeper for the configuration, and therefore follows it.
     pub fn record_follower(&self, host: &HostName) {
         self.recipients.record_follower(self.clock.now(), host);
     }
 
-    /// Tells keepers what this one's survey of engines found; those that follow it hear it with the
-    /// next tick.
-    pub fn broadcast_survey(&self, hub: &PeerHub, notes: &[SurveyResult]) {
+    /// Sends the results of this keeper's survey of engines to the other keepers; its followers get
+    /// them on the next tick.
+    pub fn broadcast_survey(&self, hub: &PeerHub, results: &[SurveyResult]) {
         let keepers = self.recipients.other_keepers(hub);
-        self.surveys.send_to_keepers(hub, &keepers, notes);
-        self.surveys.enqueue(self.clock.now(), notes.to_vec());
+        self.surveys.send_to_keepers(hub, &keepers, results);
+        self.surveys.enqueue(self.clock.now(), results.to_vec());
     }
 
-    /// Takes what another keeper's survey found, and passes it on with the next tick.
-    pub fn receive_survey(&self, notes: Vec<SurveyResult>, pass_on: bool) {
+    /// Applies another keeper's survey results; with `pass_on`, forwards them on the next tick.
+    pub fn receive_survey(&self, results: Vec<SurveyResult>, pass_on: bool) {
         let now = self.clock.now();
         if pass_on {
-            self.surveys.enqueue(now, notes.clone());
+            self.surveys.enqueue(now, results.clone());
         }
-        self.fleet.take_survey(now, notes);
+        self.fleet.take_survey(now, results);
     }
 
-    /// Answers a peer's question for full announcements.
+    /// Sends a peer the full announcements that it requested.
     pub fn answer_lease_question(&self, hub: &PeerHub, from: &HostName, servers: &[ServerName]) {
         let now = self.clock.now();
         for servers in servers.chunks(FRAME_LEASES) {
             let named = self.fleet.full_leases(now, servers);
-            self.tell_named(hub, std::slice::from_ref(from), named);
+            self.send_named(hub, std::slice::from_ref(from), named);
         }
     }
 
-    /// Answers a peer's question for the names of leases that it was told by number.
+    /// Sends a peer the server names of leases that it received by number only.
     pub fn answer_number_question(&self, hub: &PeerHub, from: &HostName, numbers: &[LeaseNumber]) {
         let now = self.clock.now();
         let named = self.fleet.leases_by_number(now, numbers);
         for named in named.chunks(FRAME_LEASES) {
-            self.tell_named(hub, std::slice::from_ref(from), named.to_vec());
+            self.send_named(hub, std::slice::from_ref(from), named.to_vec());
         }
     }
 
-    /// The link to `host` came up: it is told everything again.
+    /// Records that the link to `host` came up; the host then gets everything again.
     pub fn reset_peer(&self, host: &HostName) {
         self.lock().remove(host);
-        let mut linked = self.linked.lock().unwrap_or_else(PoisonError::into_inner);
-        linked.insert(host.clone(), self.clock.now());
+        let mut linked_at = self
+            .linked_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        linked_at.insert(host.clone(), self.clock.now());
     }
 
-    /// How `host` is told of leases for the first time: one that was linked long before it is to be told
-    /// turns to this keeper from another one.
-    fn first_telling(&self, now: MonotonicTime, host: &HostName) -> InitialSync {
-        let linked = self.linked.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_new = linked
+    /// Returns the form in which `host` gets each lease for the first time. A host whose link has
+    /// been up for longer than [`NEW_LINK_TIME`] followed another keeper before, and already has
+    /// the content.
+    fn choose_initial_sync(&self, now: MonotonicTime, host: &HostName) -> InitialSync {
+        let linked_at = self
+            .linked_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let is_new = linked_at
             .get(host)
             .is_none_or(|at| now.since(*at) < NEW_LINK_TIME);
         if is_new {
@@ -169,7 +179,7 @@
         }
     }
 
-    /// Spreads for as long as the host runs.
+    /// Sends leases and surveys on each tick, for as long as the host runs.
     pub async fn run(self: Arc<Self>, hub: PeerHub) {
         let mut ticks = tokio::time::interval(BROADCAST_TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -181,98 +191,105 @@
     }
 
     fn tick(&self, hub: &PeerHub, now: MonotonicTime, has_renewals: bool) {
-        let told = self.recipients.hosts(hub, now);
-        for (told, hosts) in self.group(now, &told) {
-            self.tell(hub, now, told, &hosts, has_renewals);
+        let recipients = self.recipients.hosts(hub, now);
+        for (state, hosts) in self.group(now, &recipients) {
+            self.send_batches(hub, now, state, &hosts, has_renewals);
         }
-        let others = hub.hosts().into_iter();
-        let others: Vec<HostName> = others.filter(|host| !told.contains_key(host)).collect();
-        self.tell_left(hub, now, &others);
+        let other_hosts = hub.hosts().into_iter();
+        let other_hosts: Vec<HostName> = other_hosts
+            .filter(|host| !recipients.contains_key(host))
+            .collect();
+        self.send_leaves(hub, now, &other_hosts);
         let followers = self.recipients.followers(now);
         self.surveys.send_to_followers(hub, now, &followers);
     }
 
-    /// Hosts that are to be told, grouped by what they were told so far. One that is to be told another
-    /// scope than before begins anew.
+    /// Groups recipients by sync state. A host whose scope changed starts again from the initial
+    /// sync.
     fn group(
         &self,
         now: MonotonicTime,
         hosts: &BTreeMap<HostName, LeaseScope>,
-    ) -> Vec<(ToldHost, Vec<HostName>)> {
+    ) -> Vec<(SyncState, Vec<HostName>)> {
         let mut cursors = self.lock();
-        cursors.retain(|host, told| hosts.get(host) == Some(&told.scope));
-        let mut groups: Vec<(ToldHost, Vec<HostName>)> = Vec::new();
+        cursors.retain(|host, state| hosts.get(host) == Some(&state.scope));
+        let mut groups: Vec<(SyncState, Vec<HostName>)> = Vec::new();
         for (host, scope) in hosts {
-            let told = cursors.get(host).copied().unwrap_or_else(|| ToldHost {
+            let state = cursors.get(host).copied().unwrap_or_else(|| SyncState {
                 scope: *scope,
-                first: self.first_telling(now, host),
+                initial_sync: self.choose_initial_sync(now, host),
                 cursor: DeltaCursor::default(),
             });
-            match groups.iter_mut().find(|(other, _)| *other == told) {
+            match groups.iter_mut().find(|(other, _)| *other == state) {
                 Some((_, group)) => group.push(host.clone()),
-                None => groups.push((told, vec![host.clone()])),
+                None => groups.push((state, vec![host.clone()])),
             }
         }
         groups
     }
 
-    /// Tells `hosts`, which were all told as much, what they weren't told, in as many frames as it
-    /// takes. What only renews waits for a tick with `has_renewals`.
-    fn tell(
+    /// Sends the leases after `state` to `hosts`, which all have that sync state, in as many frames
+    /// as needed. Leases without changed content wait for a tick with `has_renewals`.
+    fn send_batches(
         &self,
         hub: &PeerHub,
         now: MonotonicTime,
-        mut told: ToldHost,
+        mut state: SyncState,
         hosts: &[HostName],
         has_renewals: bool,
     ) {
         let mut hosts = hosts.to_vec();
         loop {
-            let (batch, reached) =
-                self.fleet
-                    .batch(now, told.cursor, FRAME_LEASES, told.scope, told.first);
+            let (batch, next_cursor) = self.fleet.batch(
+                now,
+                state.cursor,
+                FRAME_LEASES,
+                state.scope,
+                state.initial_sync,
+            );
             let is_frame_full = batch.named.len() >= FRAME_LEASES;
             if !batch.is_empty() {
-                let is_news = |named: &NamedLease| matches!(named.delta, LeaseDelta::Full(_));
-                if !has_renewals && !is_frame_full && !batch.named.iter().any(is_news) {
+                let has_content = |named: &NamedLease| matches!(named.delta, LeaseDelta::Full(_));
+                if !has_renewals && !is_frame_full && !batch.named.iter().any(has_content) {
                     return;
                 }
                 let queued = hub.send_to(&hosts, &PeerFrame::Leases(batch));
                 hosts = queued.into_iter().cloned().collect();
             }
-            told.cursor = reached;
+            state.cursor = next_cursor;
             self.lock()
-                .extend(hosts.iter().map(|host| (host.clone(), told)));
+                .extend(hosts.iter().map(|host| (host.clone(), state)));
             if !is_frame_full || hosts.is_empty() {
                 return;
             }
         }
     }
 
-    /// Tells hosts that follow other keepers of servers that leave.
+    /// Sends the leaves of servers to hosts that follow other keepers.
     ///
-    /// Failure: the keeper that a host follows stands still for seconds, and the host hears no news until
-    /// it has turned to another one. Symptom: it sent work to a server whose leave had been acknowledged
-    /// long before. A leave is a frame of one lease, so every keeper tells it to everyone.
-    fn tell_left(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
+    /// Failure: the keeper that a host follows stalls for seconds, and the host gets no changes
+    /// until it follows another keeper. Symptom: the host sent work to a server long after its
+    /// leave had been acknowledged. A leave is a frame of one lease, so every keeper sends it to
+    /// every host.
+    fn send_leaves(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
         if !self.recipients.is_keeper() {
             return;
         }
-        let left = {
-            let mut told = self
-                .left_told
+        let leaving = {
+            let mut sent_version = self
+                .leaves_sent
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let (left, version) = self.fleet.leaving_since(now, *told);
-            *told = version;
-            left
+            let (leaving, version) = self.fleet.leaving_since(now, *sent_version);
+            *sent_version = version;
+            leaving
         };
-        for left in left.chunks(FRAME_LEASES) {
-            self.tell_named(hub, hosts, left.to_vec());
+        for leaving in leaving.chunks(FRAME_LEASES) {
+            self.send_named(hub, hosts, leaving.to_vec());
         }
     }
 
-    fn tell_named(&self, hub: &PeerHub, hosts: &[HostName], named: Vec<NamedLease>) {
+    fn send_named(&self, hub: &PeerHub, hosts: &[HostName], named: Vec<NamedLease>) {
         if named.is_empty() || hosts.is_empty() {
             return;
         }
@@ -284,7 +301,7 @@
         hub.send_to(hosts, &PeerFrame::Leases(batch));
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<HostName, ToldHost>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<HostName, SyncState>> {
         self.cursors.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/lease_broadcast/recipients.rs
+++ b/crates/daemon/src/lease_broadcast/recipients.rs
@@ -1,4 +1,4 @@
-//! Who is told of which leases.
+//! Selects the hosts that receive leases, and the leases that each receives.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,7 +11,8 @@
 use crate::keeper::KeeperList;
 use crate::peers::PeerHub;
 
-/// The hosts around this one: keepers, those that follow it, and the keeper that it follows.
+/// Hosts that this host exchanges leases with: keepers, followers of this host, and the keeper that
+/// this host follows.
 pub(super) struct LeaseRecipients {
     keepers: KeeperList,
     feed: Arc<ConfigurationFeed>,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Whether this host passes on what others tell it: a keeper, where hosts find each other.
+    /// Whether this host forwards other hosts' leases: with discovery, keepers do.
     pub(super) fn is_keeper(&self) -> bool {
         match &self.keepers {
             KeeperList::Fixed(_) => false,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// What `host` is to the leases that it tells of.
+    /// Returns the kind of source that `host` is for the leases it sends.
     pub(super) fn kind_of(&self, host: &HostName) -> LeaseSource {
         match &self.keepers {
             KeeperList::Discovered(discovery) if discovery.is_keeper(host) => LeaseSource::Keeper,
@@ -43,26 +44,26 @@
         }
     }
 
-    /// A host asked this one for the configuration.
+    /// Records that `host` asked this host for the configuration.
     pub(super) fn record_follower(&self, now: MonotonicTime, host: &HostName) {
         self.table().record_question(now, host);
     }
 
-    /// Hosts that follow this keeper and are no keepers themselves.
+    /// Returns the hosts that follow this keeper and are not keepers themselves.
     pub(super) fn followers(&self, now: MonotonicTime) -> Vec<HostName> {
         let mut hosts = self.table().hosts(now);
         hosts.retain(|host| self.kind_of(host) != LeaseSource::Keeper);
         hosts
     }
 
-    /// Keepers besides this host.
+    /// Returns the keepers other than this host.
     pub(super) fn other_keepers(&self, hub: &PeerHub) -> Vec<HostName> {
         let mut keepers = self.keepers.hosts();
         keepers.retain(|keeper| keeper != hub.host());
         keepers
     }
 
-    /// Hosts that are to be told now, and what.
+    /// Returns the hosts that receive leases now, with the scope of leases for each.
     pub(super) fn hosts(
         &self,
         hub: &PeerHub,
--- a/crates/daemon/src/lease_broadcast/surveys.rs
+++ b/crates/daemon/src/lease_broadcast/surveys.rs
@@ -1,4 +1,4 @@
-//! What surveys of engines found, on its way to other hosts.
+//! Forwards the results of engine surveys to other hosts.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -8,62 +8,64 @@
 
 use crate::peers::{PeerFrame, PeerHub};
 
-/// Engines in one frame.
+/// Maximum number of engines in one frame.
 const FRAME_ENGINES: usize = 512;
 
-/// Notes that wait for the next tick, the youngest of each engine. Keepers' surveys come in one after
-/// the other; passed on one by one, each would cost a frame to every host that follows.
+/// Survey results that wait for the next tick, the newest for each engine. Keepers' surveys arrive
+/// one after the other; forwarding each at once would cost a frame per survey to every follower.
 #[derive(Default)]
 pub(super) struct SurveyRelay {
-    waiting: Mutex<BTreeMap<ServerName, (MonotonicTime, SurveyResult)>>,
+    pending: Mutex<BTreeMap<ServerName, (MonotonicTime, SurveyResult)>>,
 }
 
 impl SurveyRelay {
-    /// Tells keepers at once; they pass it on to the hosts that follow them.
+    /// Sends results to `keepers` at once; they forward them to their followers.
     pub(super) fn send_to_keepers(
         &self,
         hub: &PeerHub,
         keepers: &[HostName],
-        notes: &[SurveyResult],
+        results: &[SurveyResult],
     ) {
-        tell(hub, keepers, notes, true);
+        send_results(hub, keepers, results, true);
     }
 
-    /// Keeps notes for the next tick.
-    pub(super) fn enqueue(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
-        let mut waiting = self.lock();
-        for note in notes {
-            let taken = now.before(note.age);
-            let held = waiting.get(&note.server);
-            if held.is_none_or(|(held, _)| *held < taken) {
-                waiting.insert(note.server.clone(), (taken, note));
+    /// Stores results until the next tick; drops those older than a stored one.
+    pub(super) fn enqueue(&self, now: MonotonicTime, results: Vec<SurveyResult>) {
+        let mut pending = self.lock();
+        for result in results {
+            let taken_at = now.before(result.age);
+            let stored = pending.get(&result.server);
+            if stored.is_none_or(|(stored, _)| *stored < taken_at) {
+                pending.insert(result.server.clone(), (taken_at, result));
             }
         }
     }
 
-    /// Tells hosts that follow this keeper what came in since the last tick. Who misses it is told
-    /// again with the next survey.
+    /// Sends the results since the last tick to followers of this keeper. A host that misses them
+    /// gets the results of the next survey.
     pub(super) fn send_to_followers(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
-        let waiting = std::mem::take(&mut *self.lock());
-        let notes = waiting.into_values().map(|(taken, note)| SurveyResult {
-            age: now.since(taken),
-            ..note
-        });
-        let notes: Vec<SurveyResult> = notes.collect();
-        tell(hub, hosts, &notes, false);
+        let pending = std::mem::take(&mut *self.lock());
+        let results = pending
+            .into_values()
+            .map(|(taken_at, result)| SurveyResult {
+                age: now.since(taken_at),
+                ..result
+            });
+        let results: Vec<SurveyResult> = results.collect();
+        send_results(hub, hosts, &results, false);
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<ServerName, (MonotonicTime, SurveyResult)>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn tell(hub: &PeerHub, hosts: &[HostName], notes: &[SurveyResult], pass_on: bool) {
+fn send_results(hub: &PeerHub, hosts: &[HostName], results: &[SurveyResult], pass_on: bool) {
     if hosts.is_empty() {
         return;
     }
-    for notes in notes.chunks(FRAME_ENGINES) {
-        let notes = notes.to_vec();
+    for results in results.chunks(FRAME_ENGINES) {
+        let notes = results.to_vec();
         hub.send_to(hosts, &PeerFrame::Survey { notes, pass_on });
     }
 }
