--- a/crates/daemon/examples/feed_measure.rs
+++ b/crates/daemon/examples/feed_measure.rs
@@ -1,7 +1,7 @@
-//! Measures what a change of one document costs a host that follows the configuration.
+//! Measures the cost of a change of one document for a host that follows the configuration.
 //!
-//! Prints the bytes of the keeper's answer as it travels, and the median times to make it at the
-//! keeper and to take it at the follower, for the whole text and for a delta.
+//! Prints the encoded size of the keeper's answer, and the median times to create it at the keeper
+//! and to apply it at the follower, for the complete text and for a delta.
 //! Run with `cargo run --release -p pollendrift --example feed_measure`.
 
 #![allow(
@@ -26,17 +26,18 @@
 const CUSTOMERS: usize = 1_600;
 const CHANGES: u64 = 25;
 const MODELS: usize = 5;
-const FRAME_BOUND: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Costs of one way to follow, a sample for each change.
+/// Costs of one kind of content, with one sample for each change.
 #[derive(Default)]
-struct WayCosts {
+struct ContentCosts {
     bytes: usize,
-    made: Vec<Duration>,
-    taken: Vec<Duration>,
+    create_times: Vec<Duration>,
+    apply_times: Vec<Duration>,
 }
 
-/// A rule and a selector for each customer; `weight` is that of the last one.
+/// Returns a text with a label rule and a selector for each customer; `weight` is the weight of the
+/// last customer.
 fn text_for(weight: u64) -> String {
     let mut text = String::from("kind: labels\non: customer\nname: '*'\nlabels: {tier: basic}\n");
     for customer in 0..CUSTOMERS {
@@ -61,33 +62,38 @@
         text: text_for(1 + number % 9).into(),
     };
     log.decide(&request, WallTime(0), ReplicatedTime::default());
-    assert_eq!(log.revision(), Revision(number + 1), "change is accepted");
+    assert_eq!(
+        log.revision(),
+        Revision(number + 1),
+        "the change must be accepted"
+    );
 }
 
-/// Makes an answer, sends it through the encoding and takes it, and notes what that cost.
-fn follow<M, T>(costs: &mut WayCosts, revision: Revision, make: M, take: T)
+/// Creates, encodes, decodes and applies an answer, and adds the size and the times to `costs`.
+fn measure_answer<M, T>(costs: &mut ContentCosts, revision: Revision, create: M, apply: T)
 where
     M: FnOnce() -> ConfigurationContent,
     T: FnOnce(ConfigurationContent),
 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = PeerAnswer::Configuration {
         revision,
-        content: make(),
+        content: create(),
     };
     let number = CallNumber(1);
-    let frame = encode_frame(&PeerFrame::Answer { number, answer }, FRAME_BOUND).expect("fits");
-    costs.made.push(begun.elapsed());
+    let frame =
+        encode_frame(&PeerFrame::Answer { number, answer }, MAX_FRAME_BYTES).expect("frame fits");
+    costs.create_times.push(started.elapsed());
     costs.bytes = costs.bytes.max(frame.len());
-    let begun = Instant::now();
+    let started = Instant::now();
     let Ok(PeerFrame::Answer { answer, .. }) = decode_frame(&frame) else {
-        panic!("another frame");
+        panic!("decoded a frame of another kind");
     };
     let PeerAnswer::Configuration { content, .. } = answer else {
-        panic!("another answer");
+        panic!("decoded an answer of another kind");
     };
-    take(content);
-    costs.taken.push(begun.elapsed());
+    apply(content);
+    costs.apply_times.push(started.elapsed());
 }
 
 fn median(times: &mut [Duration]) -> Duration {
@@ -98,50 +104,54 @@
 fn main() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     change(&mut log, 0);
-    let mut whole = WayCosts::default();
-    let mut delta = WayCosts::default();
+    let mut whole = ContentCosts::default();
+    let mut delta = ContentCosts::default();
     for number in 1..=CHANGES {
         change(&mut log, number);
         let revision = log.revision();
-        let make_whole = || {
+        let create_whole = || {
             let text = log.canonical().text().into_bytes();
             ConfigurationContent::Whole(text.into())
         };
-        let take_whole = |content| {
+        let apply_whole = |content| {
             let ConfigurationContent::Whole(text) = content else {
-                panic!("another content");
+                panic!("received content of another kind");
             };
             let text = std::str::from_utf8(&text.0).expect("text");
             let parsed = ParsedConfiguration::parse("whole", text).expect("parses");
             let _ = Configuration::build(revision, &parsed);
         };
-        follow(&mut whole, revision, make_whole, take_whole);
+        measure_answer(&mut whole, revision, create_whole, apply_whole);
     }
-    // Apart from the wholes, whose freed memory would be tidied up at the deltas' cost.
+    // Runs after the samples of complete texts: in between, freeing their memory would slow the
+    // deltas down.
     let mut follower = FollowedConfiguration::default();
     follower
         .apply_text(log.revision(), &log.canonical().text())
-        .expect("whole is taken");
+        .expect("the complete text applies");
     for number in CHANGES + 1..=2 * CHANGES {
         change(&mut log, number);
         let revision = log.revision();
-        let make_delta = || {
+        let create_delta = || {
             let delta = log.delta_since(Revision(number)).expect("retained");
             ConfigurationContent::Delta(delta)
         };
-        let take_delta = |content| {
+        let apply_new_delta = |content| {
             let ConfigurationContent::Delta(delta) = content else {
-                panic!("another content");
+                panic!("received content of another kind");
             };
-            follower.apply_delta(&delta).expect("fits");
+            follower.apply_delta(&delta).expect("delta applies");
         };
-        follow(&mut delta, revision, make_delta, take_delta);
+        measure_answer(&mut delta, revision, create_delta, apply_new_delta);
     }
     println!("{CUSTOMERS} customers, {CHANGES} changes of one document, medians");
-    for (way, mut costs) in [("whole", whole), ("delta", delta)] {
-        let (made, taken) = (median(&mut costs.made), median(&mut costs.taken));
+    for (kind, mut costs) in [("whole", whole), ("delta", delta)] {
+        let (create_time, apply_time) = (
+            median(&mut costs.create_times),
+            median(&mut costs.apply_times),
+        );
         println!(
-            "{way}: {} bytes, made in {made:?}, taken in {taken:?}",
+            "{kind}: {} bytes, created in {create_time:?}, applied in {apply_time:?}",
             costs.bytes
         );
     }
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -1,7 +1,8 @@
-//! Keeps this host's configuration current: asks keepers, and tells peers what it holds.
+//! Keeps this host's configuration current: asks keepers for newer revisions, and sends peers the
+//! revision that this host serves.
 //!
-//! Every host follows in the same way, keepers included: an isolated keeper has the old state on
-//! its disk and must not serve it.
+//! Every host follows keepers in the same way, keepers included: an isolated keeper has old state
+//! on its disk and must not serve it.
 
 mod barrier;
 mod copy;
@@ -30,28 +31,28 @@
 use crate::state::SharedState;
 use crate::telemetry::RecorderSlot;
 
-/// Least time between two statements of the revision held, if it does not change.
-const STATEMENT_PERIOD: Duration = Duration::from_secs(1);
-/// Time that each peer adds to it, beyond the least: every host states it to every peer.
-const STATEMENT_SHARE: Duration = Duration::from_millis(10);
+/// Least time between two broadcasts of an unchanged revision.
+const BROADCAST_PERIOD: Duration = Duration::from_secs(1);
+/// Broadcast period per entry in large deployments, since every host broadcasts to every peer.
+const BROADCAST_PERIOD_PER_ENTRY: Duration = Duration::from_millis(10);
 
-/// What a peer said that it serves.
+/// Revision that a peer reported to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct PeerRevision {
-    /// The host.
+    /// Host that reported the revision.
     pub host: HostName,
-    /// Revision that it serves.
+    /// Revision that the host serves.
     pub revision: Revision,
-    /// When it last said so, in this host's time.
+    /// Time of the last report, on this host's clock.
     pub heard_at: MonotonicTime,
 }
 
-/// The configuration that this host holds, and its lease.
+/// Follows the configuration at a keeper, and holds this host's copy and its lease.
 pub struct ConfigurationFeed {
     state: Mutex<FeedState>,
-    /// Locked before `state`, never after it: reading a text must not hold up requests.
+    /// Locked before `state`, never after it: requests must not wait while a text is parsed.
     copy: Mutex<ConfigurationCopy>,
-    answered: Mutex<Option<AnsweredContent>>,
+    cached_answer: Mutex<Option<CachedAnswer>>,
     hub: PeerHub,
     keepers: KeeperList,
     client: KeeperClient,
@@ -60,19 +61,19 @@
     clock: Arc<dyn TimeSource>,
     recorder: Arc<RecorderSlot>,
     wake: Notify,
-    patience: Duration,
-    barriers: CoalescedBarrier,
+    answer_timeout: Duration,
+    barrier_reads: CoalescedBarrier,
 }
 
-/// The content that was answered last. After a change all hosts ask from the same revision; without it
-/// a keeper compares the two texts anew for each of them.
-struct AnsweredContent {
+/// The last answer with content. After a change all hosts ask from the same revision; without this
+/// cache a keeper would compare the two texts again for each host.
+struct CachedAnswer {
     have: Option<Revision>,
     revision: Revision,
     content: ConfigurationContent,
 }
 
-impl AnsweredContent {
+impl CachedAnswer {
     fn answer(&self) -> PeerAnswer {
         PeerAnswer::Configuration {
             revision: self.revision,
@@ -83,24 +84,25 @@
 
 struct FeedState {
     follower: RevisionFollower,
-    /// Content of the follower's revision; `None` before the first answer.
-    held: Option<Arc<Configuration>>,
-    /// Revision in force that was put on record last.
+    /// Configuration at the follower's revision; `None` before the first answer.
+    configuration: Option<Arc<Configuration>>,
+    /// Revision that was recorded last as in force.
     recorded: Option<Revision>,
-    /// A content was refused: the next question asks for the whole.
-    ask_whole: bool,
-    /// Bounded by the hosts of the settings: only peers can speak.
+    /// Whether the next question requests the complete text, since a content was refused.
+    needs_full_text: bool,
+    /// Revisions that peers reported. Only peers can send frames, so the hosts of the settings
+    /// bound its size.
     peers: BTreeMap<HostName, PeerRevision>,
 }
 
-/// A quorum-checked answer: the revision, and what leads there.
-struct FreshRevision {
+/// A quorum-checked answer: the revision, and the content that leads to it.
+struct ConfirmedRevision {
     revision: Revision,
     content: OfferedContent,
 }
 
 impl ConfigurationFeed {
-    /// A feed that holds nothing yet.
+    /// Creates a feed without a configuration or a lease.
     pub fn new(
         settings: FollowSettings,
         keepers: KeeperList,
@@ -110,18 +112,18 @@
         clock: Arc<dyn TimeSource>,
         recorder: Arc<RecorderSlot>,
     ) -> Self {
-        let spread = usize::from(rand::random::<u16>());
-        let follower = RevisionFollower::new(settings, Vec::new(), spread);
+        let keeper_offset = usize::from(rand::random::<u16>());
+        let follower = RevisionFollower::new(settings, Vec::new(), keeper_offset);
         Self {
             state: Mutex::new(FeedState {
                 follower,
-                held: None,
+                configuration: None,
                 recorded: None,
-                ask_whole: false,
+                needs_full_text: false,
                 peers: BTreeMap::new(),
             }),
             copy: Mutex::default(),
-            answered: Mutex::default(),
+            cached_answer: Mutex::default(),
             hub,
             keepers,
             client,
@@ -129,15 +131,15 @@
             clock,
             recorder,
             wake: Notify::new(),
-            patience: settings.period,
-            barriers: CoalescedBarrier::default(),
+            answer_timeout: settings.period,
+            barrier_reads: CoalescedBarrier::default(),
         }
     }
 
-    /// The configuration to serve now.
+    /// Returns the configuration to serve now.
     ///
     /// # Errors
-    /// The lease ran out, or nothing was ever confirmed.
+    /// The lease has expired, or no keeper has confirmed a revision yet.
     pub fn current(&self) -> Result<Arc<Configuration>, StaleConfiguration> {
         let now = self.clock.now();
         let state = self.lock();
@@ -147,35 +149,36 @@
             .current(now)
             .map_err(|gap| stale(gap.to_string()))?;
         state
-            .held
+            .configuration
             .clone()
             .ok_or_else(|| stale("it holds no configuration".to_owned()))
     }
 
-    /// Whether a peer serves a newer revision than the one held here.
+    /// Whether a peer serves a newer revision than this host.
     pub fn is_behind(&self) -> bool {
         self.lock().follower.is_behind()
     }
 
-    /// Every change accepted before this time is known here; `None` before the first answer.
+    /// Returns the time before which every accepted change is known here; `None` before the first
+    /// answer.
     pub fn confirmed_at(&self) -> Option<MonotonicTime> {
         self.lock().follower.confirmed_at()
     }
 
-    /// The revision held, and the time for which it may still be served.
+    /// Returns the revision of this host's copy, and the time left of its lease.
     pub fn lease(&self) -> (Revision, Duration) {
         let now = self.clock.now();
         let state = self.lock();
-        let held = state.follower.held().unwrap_or(Revision(0));
-        (held, state.follower.remaining(now))
+        let revision = state.follower.held().unwrap_or(Revision(0));
+        (revision, state.follower.remaining(now))
     }
 
-    /// The keeper that this host asks; `None` before it knows one.
+    /// Returns the keeper that this host asks; `None` before it knows a keeper.
     pub(crate) fn followed_keeper(&self) -> Option<HostName> {
         self.lock().follower.followed_keeper().cloned()
     }
 
-    /// Revisions that hosts serve, this one included.
+    /// Returns the revisions that peers reported, and this host's own while its lease is valid.
     pub fn in_force(&self) -> Vec<PeerRevision> {
         let now = self.clock.now();
         let state = self.lock();
@@ -191,7 +194,7 @@
         state.peers.values().cloned().chain(own).collect()
     }
 
-    /// Takes what a peer says of the configuration.
+    /// Records the revision that a peer reports; ignores other frames.
     pub fn receive_frame(&self, from: &HostName, frame: ConfigurationFrame) {
         let ConfigurationFrame::Holds { revision } = frame else {
             return;
@@ -199,12 +202,12 @@
         let heard_at = self.clock.now();
         let mut state = self.lock();
         state.follower.observe(heard_at, revision);
-        let statement = PeerRevision {
+        let peer_revision = PeerRevision {
             host: from.clone(),
             revision,
             heard_at,
         };
-        state.peers.insert(from.clone(), statement);
+        state.peers.insert(from.clone(), peer_revision);
         drop(state);
         self.wake.notify_one();
     }
@@ -221,8 +224,11 @@
             let content = ConfigurationContent::Unchanged;
             return PeerAnswer::Configuration { revision, content };
         }
-        let mut answered = self.answered.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(last) = answered.as_ref()
+        let mut cached_answer = self
+            .cached_answer
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(last) = cached_answer.as_ref()
             && (last.have, last.revision) == (have, revision)
         {
             return last.answer();
@@ -231,93 +237,95 @@
             let delta = have.and_then(|have| state.changes().delta_since(have));
             (state.configuration(), delta)
         });
-        let fresh = AnsweredContent {
+        let cached = CachedAnswer {
             have,
             revision: configuration.revision(),
             content: content_for(have, &configuration, delta),
         };
-        let answer = fresh.answer();
-        *answered = Some(fresh);
+        let answer = cached.answer();
+        *cached_answer = Some(cached);
         answer
     }
 
-    /// Asks keepers in turn for as long as the host runs.
+    /// Asks keepers in turn, and broadcasts the revision, for as long as the host runs.
     pub async fn run(self: Arc<Self>) {
-        let mut stated_at = MonotonicTime::START;
+        let mut broadcast_at = MonotonicTime::START;
         loop {
             let now = self.clock.now();
-            let (near, far) = self.keepers.by_distance(self.hub.host());
+            let (near_keepers, far_keepers) = self.keepers.by_distance(self.hub.host());
             let question = {
                 let mut state = self.lock();
-                state.follower.set_keepers(near, far);
+                state.follower.set_keepers(near_keepers, far_keepers);
                 state.follower.tick(now)
             };
             if let Some(question) = question {
-                tokio::spawn(Arc::clone(&self).ask(question));
+                tokio::spawn(Arc::clone(&self).ask_keeper(question));
             }
-            if now.since(stated_at) >= self.statement_period() {
-                self.state_revision();
+            if now.since(broadcast_at) >= self.broadcast_period() {
+                self.broadcast_revision();
                 self.record_revision(now);
-                stated_at = now;
+                broadcast_at = now;
             }
             let pause = self.lock().follower.next_deadline().since(self.clock.now());
             tokio::select! {
-                () = tokio::time::sleep(pause.min(STATEMENT_PERIOD)) => {}
+                () = tokio::time::sleep(pause.min(BROADCAST_PERIOD)) => {}
                 () = self.wake.notified() => {}
             }
         }
     }
 
-    fn statement_period(&self) -> Duration {
+    fn broadcast_period(&self) -> Duration {
         let entries = self.hub.discovery().and_then(|found| found.entry_count());
-        STATEMENT_PERIOD.max(STATEMENT_SHARE * entries.unwrap_or(0))
+        BROADCAST_PERIOD.max(BROADCAST_PERIOD_PER_ENTRY * entries.unwrap_or(0))
     }
 
-    async fn ask(self: Arc<Self>, question: RevisionQuestion) {
+    async fn ask_keeper(self: Arc<Self>, question: RevisionQuestion) {
         let answer = if question.keeper == *self.hub.host() {
             self.read_own().await
         } else {
             self.read_from(&question).await
         };
         match answer {
-            Ok(fresh) => {
-                // Reading a long source takes tens of milliseconds of a small host. Among its requests,
-                // that was a part of late pauses in all its streams at each change.
+            Ok(confirmed) => {
+                // Parsing a long source takes tens of milliseconds on a small host. On the threads
+                // that serve requests it contributed to late pauses in all streams at each change.
                 let feed = Arc::clone(&self);
-                let taking = move || feed.take_answer(question.asked_at, fresh);
-                if let Err(error) = tokio::task::spawn_blocking(taking).await {
-                    log::error!(reason:% = error; "configuration not taken");
+                let apply_answer = move || feed.apply_answer(question.asked_at, confirmed);
+                if let Err(error) = tokio::task::spawn_blocking(apply_answer).await {
+                    log::error!(reason:% = error; "configuration update failed");
                 }
             }
             Err(reason) => {
-                log::debug!(keeper:% = question.keeper, reason:% = reason; "no revision")
+                log::debug!(keeper:% = question.keeper, reason:% = reason; "revision question failed")
             }
         }
     }
 
-    fn take_answer(&self, asked_at: MonotonicTime, fresh: FreshRevision) {
+    fn apply_answer(&self, asked_at: MonotonicTime, confirmed: ConfirmedRevision) {
         let mut copy = self.copy.lock().unwrap_or_else(PoisonError::into_inner);
-        let taken = match copy.apply(fresh.revision, fresh.content) {
+        let applied = match copy.apply(confirmed.revision, confirmed.content) {
             CopyVerdict::Applied(configuration) => Some(configuration),
             CopyVerdict::NotNeeded | CopyVerdict::StaleBase => None,
             CopyVerdict::Refused(reason) => {
-                // As if unanswered: the next question goes to another keeper.
-                self.lock().ask_whole = true;
-                log::warn!(revision:% = fresh.revision, reason:% = reason; "configuration refused");
+                // Handled like a missing answer: the next question goes to another keeper.
+                self.lock().needs_full_text = true;
+                log::warn!(revision:% = confirmed.revision, reason:% = reason; "configuration refused");
                 return;
             }
         };
         let verdict = {
             let mut state = self.lock();
-            let has_content = taken.is_some();
-            let verdict = state.follower.answer(asked_at, fresh.revision, has_content);
+            let has_content = applied.is_some();
+            let verdict = state
+                .follower
+                .answer(asked_at, confirmed.revision, has_content);
             match verdict {
                 AnswerVerdict::Advanced => {
-                    state.held = taken;
-                    state.ask_whole = false;
+                    state.configuration = applied;
+                    state.needs_full_text = false;
                 }
                 AnswerVerdict::ContentMissing => {
-                    state.follower.observe(self.clock.now(), fresh.revision);
+                    state.follower.observe(self.clock.now(), confirmed.revision);
                     self.wake.notify_one();
                 }
                 AnswerVerdict::Renewed | AnswerVerdict::Stale => {}
@@ -326,48 +334,53 @@
         };
         drop(copy);
         if verdict == AnswerVerdict::Advanced {
-            log::info!(revision:% = fresh.revision; "configuration in force");
-            self.state_revision();
+            log::info!(revision:% = confirmed.revision; "configuration in force");
+            self.broadcast_revision();
         }
     }
 
-    /// State of this host's keeper, which holds all that was accepted before this call.
+    /// Returns the state of this host's keeper after a read barrier: it contains every change
+    /// accepted before this call.
     async fn read_barrier(&self) -> Result<&SharedState, String> {
         let shared = self.shared.as_ref().ok_or("this host has no keeper")?;
         let read = async || {
             let index = self.client.read_barrier().await;
             index.map(drop).map_err(|error| error.to_string())
         };
-        self.barriers.wait(read).await?;
+        self.barrier_reads.wait(read).await?;
         Ok(shared)
     }
 
-    async fn read_own(&self) -> Result<FreshRevision, String> {
+    async fn read_own(&self) -> Result<ConfirmedRevision, String> {
         let configuration = self.read_barrier().await?.configuration();
-        Ok(FreshRevision {
+        Ok(ConfirmedRevision {
             revision: configuration.revision(),
             content: OfferedContent::Local(configuration),
         })
     }
 
-    async fn read_from(&self, question: &RevisionQuestion) -> Result<FreshRevision, String> {
-        let ask_whole = self.lock().ask_whole;
-        let have = question.have.filter(|_| !ask_whole);
-        let ask = PeerQuestion::ConfigurationAfter { have };
-        let answer = self.hub.call(&question.keeper, ask, 0, self.patience).await;
+    async fn read_from(&self, question: &RevisionQuestion) -> Result<ConfirmedRevision, String> {
+        let needs_full_text = self.lock().needs_full_text;
+        let have = question.have.filter(|_| !needs_full_text);
+        let request = PeerQuestion::ConfigurationAfter { have };
+        let answer = self
+            .hub
+            .call(&question.keeper, request, 0, self.answer_timeout)
+            .await;
         match answer.map_err(|error| error.to_string())? {
             PeerAnswer::Configuration { revision, content } => {
                 let content = OfferedContent::Remote(content);
-                Ok(FreshRevision { revision, content })
+                Ok(ConfirmedRevision { revision, content })
             }
             PeerAnswer::NotRun { reason } | PeerAnswer::Unknown { reason } => Err(reason),
             _ => Err("keeper answered another question".to_owned()),
         }
     }
 
-    /// Puts the revision in force on record, once. Of several within a [`STATEMENT_PERIOD`] that is the
-    /// last: each request's record names its own, and one of every host for every change would cost
-    /// keepers more than the changes do.
+    /// Records the revision in force as evidence, once per revision. Of several revisions within a
+    /// [`BROADCAST_PERIOD`] it records the last only: the record of each request names its own
+    /// revision, and a record of every host for every change would cost keepers more than the
+    /// changes do.
     fn record_revision(&self, now: MonotonicTime) {
         let revision = {
             let mut state = self.lock();
@@ -383,14 +396,14 @@
         self.recorder.note(EvidenceEvent::RevisionInForce(event));
     }
 
-    /// Tells every peer what is served here: those that hold less ask at once, and operators see
-    /// where a change is in force.
-    fn state_revision(&self) {
+    /// Sends every peer the revision that this host serves. Peers with an older revision ask a
+    /// keeper at once, and operators see on which hosts a change is in force.
+    fn broadcast_revision(&self) {
         let Ok(revision) = self.lock().follower.current(self.clock.now()) else {
             return;
         };
         let frame = PeerFrame::Configuration(ConfigurationFrame::Holds { revision });
-        // A statement that can't be sent is made again within a second.
+        // The next broadcast, a period later, replaces a frame that can't be sent.
         self.hub.send_to(&self.hub.hosts(), &frame);
     }
 
@@ -399,7 +412,7 @@
     }
 }
 
-/// Wakes the feed when this host's keeper applies a change, so that it asks at once.
+/// Wakes the feed when this host's keeper applies a change, so that the feed asks at once.
 pub async fn follow_own_keeper(feed: Arc<ConfigurationFeed>, shared: SharedState) {
     let mut revisions = shared.watch_revision();
     while revisions.changed().await.is_ok() {
--- a/crates/daemon/src/feed/barrier.rs
+++ b/crates/daemon/src/feed/barrier.rs
@@ -1,31 +1,32 @@
-//! One quorum-checked read for all that wait for one.
+//! Combines concurrent quorum-checked reads into one.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use tokio::sync::Mutex;
 
-/// Shares reads between callers: each is answered by one that began after it came.
+/// Shares one read among concurrent callers; each gets a read that began after its call.
 ///
-/// Failure: while no keeper leads, every host that follows this one asks it each second, and each of
-/// those questions asked all keepers again and again. Symptom: hundreds of hosts kept the keepers so busy
-/// that none was elected. Shared, the questions cost one read at a time, however many wait.
+/// Failure: while no keeper leads, every follower of this host asks it each second, and each of
+/// those questions asked all keepers again and again. Symptom: hundreds of hosts kept the keepers
+/// too busy to elect a leader. With shared reads at most one read runs at a time, for any number of
+/// waiting questions.
 #[derive(Default)]
 pub(super) struct CoalescedBarrier {
     arrivals: AtomicU64,
     last: Mutex<LastBarrier>,
 }
 
-/// The read that ended last.
+/// The read that completed last.
 struct LastBarrier {
-    /// Arrivals before it began.
-    covers: u64,
+    /// Number of calls that arrived before the read began.
+    covered_arrivals: u64,
     outcome: Result<(), String>,
 }
 
 impl Default for LastBarrier {
     fn default() -> Self {
         Self {
-            covers: 0,
+            covered_arrivals: 0,
             outcome: Ok(()),
         }
     }
@@ -35,20 +36,20 @@
     /// Waits for a read that began after this call.
     ///
     /// # Errors
-    /// That read's.
+    /// The error of that read.
     pub(super) async fn wait<R>(&self, read: R) -> Result<(), String>
     where
         R: AsyncFnOnce() -> Result<(), String>,
     {
         let arrival = self.arrivals.fetch_add(1, Ordering::SeqCst);
         let mut last = self.last.lock().await;
-        if last.covers > arrival {
+        if last.covered_arrivals > arrival {
             return last.outcome.clone();
         }
-        let covers = self.arrivals.load(Ordering::SeqCst);
+        let covered_arrivals = self.arrivals.load(Ordering::SeqCst);
         let outcome = read().await;
         *last = LastBarrier {
-            covers,
+            covered_arrivals,
             outcome: outcome.clone(),
         };
         outcome
--- a/crates/daemon/src/feed/barrier/tests.rs
+++ b/crates/daemon/src/feed/barrier/tests.rs
@@ -7,12 +7,13 @@
 
 use super::CoalescedBarrier;
 
-/// Time of one read.
+/// Duration of one read.
 const READ_TIME: Duration = Duration::from_millis(100);
 
-// Guards against hundreds of hosts that keep keepers from electing a leader by their questions.
+// Guards against hundreds of hosts whose questions keep the keepers too busy to elect a leader:
+// without shared reads each question asks all keepers.
 #[tokio::test(start_paused = true)]
-async fn a_storm_of_questions_costs_one_read_at_a_time() {
+async fn concurrent_questions_share_one_read_at_a_time() {
     let barrier = Arc::new(CoalescedBarrier::default());
     let reads = Arc::new(AtomicU32::new(0));
     let mut questions = JoinSet::new();
@@ -34,19 +35,20 @@
     assert!(reads <= 5, "{reads} reads in 300 ms of questions");
 }
 
-// Guards against an answer by a read that began before its question: it would lack a change in between.
+// Guards against an answer from a read that began before the question: it would lack a change
+// accepted between the two.
 #[tokio::test(start_paused = true)]
-async fn a_question_is_answered_by_a_read_that_began_after_it() {
+async fn question_gets_a_read_that_began_after_it() {
     let barrier = Arc::new(CoalescedBarrier::default());
     let accepted = Arc::new(AtomicU32::new(0));
-    let seen = Arc::new(AtomicU32::new(0));
+    let observed = Arc::new(AtomicU32::new(0));
     let ask = |barrier: Arc<CoalescedBarrier>| {
-        let (accepted, seen) = (Arc::clone(&accepted), Arc::clone(&seen));
+        let (accepted, observed) = (Arc::clone(&accepted), Arc::clone(&observed));
         tokio::spawn(async move {
             let read = async || {
                 let now = accepted.load(Ordering::Relaxed);
                 sleep(READ_TIME).await;
-                seen.store(now, Ordering::Relaxed);
+                observed.store(now, Ordering::Relaxed);
                 Ok(())
             };
             barrier.wait(read).await
@@ -58,5 +60,5 @@
     let second = ask(Arc::clone(&barrier));
     assert!(matches!(first.await, Ok(Ok(()))));
     assert!(matches!(second.await, Ok(Ok(()))));
-    assert_eq!(seen.load(Ordering::Relaxed), 1);
+    assert_eq!(observed.load(Ordering::Relaxed), 1);
 }
--- a/crates/daemon/src/feed/copy.rs
+++ b/crates/daemon/src/feed/copy.rs
@@ -1,4 +1,4 @@
-//! This host's copy of the configuration, and what becomes of the content of an answer.
+//! This host's copy of the configuration, and how the content of an answer is applied to it.
 
 use std::sync::Arc;
 
@@ -9,59 +9,62 @@
 
 use crate::peers::{ConfigurationContent, FrameBytes};
 
-/// Most bytes that a delta is taken to need; beyond it the whole is sent.
+/// Largest estimated size of a delta in bytes; above it the complete text is sent.
 ///
-/// Without it a delta over the bound of a frame is never sent, the host asks for the same delta
-/// again until its lease is over, and nothing ends that. A whole always fits.
+/// Without this limit a delta larger than a frame is never sent, and the host asks for the same
+/// delta again without end, also after its lease has expired. The complete text always fits.
 const MAX_DELTA_BYTES: usize = 256 * 1024;
 
-/// Bytes that a change is taken to need besides its text.
+/// Estimated bytes of a change besides its text.
 const CHANGE_BYTES: usize = 512;
 
 /// Content of a revision, from this host's own keeper or another's.
 #[derive(Debug)]
 pub(super) enum OfferedContent {
-    /// As this host's keeper laid it out.
+    /// As built by this host's keeper.
     Local(Arc<Configuration>),
-    /// As another host sent it.
+    /// As sent by another host.
     Remote(ConfigurationContent),
 }
 
-/// What became of an answer's content.
+/// Result of applying the content of an answer.
 #[derive(Debug)]
 pub(super) enum CopyVerdict {
-    /// The copy moved on to it.
+    /// The copy now has this content.
     Applied(Arc<Configuration>),
-    /// It is not needed: the copy is as new, or the answer left the content out.
+    /// The content is not needed: the copy is at least as new, or the answer omitted the content.
     NotNeeded,
-    /// Another answer moved the copy while this one was on its way; a delta from there is due.
+    /// Another answer advanced the copy while this one was in transit; the host must request a
+    /// delta from the new revision.
     StaleBase,
-    /// It can't be trusted; the copy is unchanged and the whole is to be asked for.
+    /// The content can't be trusted. The copy is unchanged, and the host must request the complete
+    /// text.
     Refused(String),
 }
 
-/// The copy.
+/// This host's copy of the configuration.
 #[derive(Debug, Default)]
 pub(super) struct ConfigurationCopy {
-    held: FollowedConfiguration,
-    /// Whether anything was taken yet; revision 0 is a configuration too.
-    begun: bool,
+    followed: FollowedConfiguration,
+    /// Whether a content was applied yet; revision 0 alone does not show this, since it is a valid
+    /// configuration.
+    is_initialized: bool,
 }
 
 impl ConfigurationCopy {
-    /// Takes the content of `revision`, unless the copy is as new.
+    /// Applies the content of `revision` unless the copy is at least as new.
     pub(super) fn apply(&mut self, revision: Revision, content: OfferedContent) -> CopyVerdict {
-        if self.begun && revision <= self.held.current().revision() {
+        if self.is_initialized && revision <= self.followed.current().revision() {
             return CopyVerdict::NotNeeded;
         }
-        let taken = match content {
-            OfferedContent::Local(built) => self.held.adopt(built),
+        let applied = match content {
+            OfferedContent::Local(built) => self.followed.adopt(built),
             OfferedContent::Remote(ConfigurationContent::Unchanged) => {
                 return CopyVerdict::NotNeeded;
             }
             OfferedContent::Remote(ConfigurationContent::Whole(text)) => {
                 match std::str::from_utf8(&text.0) {
-                    Ok(text) => self.held.apply_text(revision, text),
+                    Ok(text) => self.followed.apply_text(revision, text),
                     Err(error) => return CopyVerdict::Refused(error.to_string()),
                 }
             }
@@ -69,28 +72,30 @@
                 return self.apply_delta(revision, &delta);
             }
         };
-        self.verdict(taken)
+        self.verdict(applied)
     }
 
     fn apply_delta(&mut self, revision: Revision, delta: &ConfigurationDelta) -> CopyVerdict {
-        if !self.begun {
-            return CopyVerdict::Refused("a delta came before any whole".to_owned());
+        if !self.is_initialized {
+            return CopyVerdict::Refused(
+                "received a delta before any complete configuration".to_owned(),
+            );
         }
         if delta.to != revision {
             let reason = format!("the delta leads to revision {}, not {revision}", delta.to);
             return CopyVerdict::Refused(reason);
         }
-        if delta.from < self.held.current().revision() {
+        if delta.from < self.followed.current().revision() {
             return CopyVerdict::StaleBase;
         }
-        let taken = self.held.apply_delta(delta);
-        self.verdict(taken)
+        let applied = self.followed.apply_delta(delta);
+        self.verdict(applied)
     }
 
-    fn verdict(&mut self, taken: Result<Arc<Configuration>, ApplyError>) -> CopyVerdict {
-        match taken {
+    fn verdict(&mut self, applied: Result<Arc<Configuration>, ApplyError>) -> CopyVerdict {
+        match applied {
             Ok(configuration) => {
-                self.begun = true;
+                self.is_initialized = true;
                 CopyVerdict::Applied(configuration)
             }
             Err(failure) => CopyVerdict::Refused(failure.to_string()),
@@ -98,7 +103,8 @@
     }
 }
 
-/// The smallest content that leads a host to `configuration`: `delta` starts at what it holds.
+/// Returns the smallest content that brings a host at revision `have` to `configuration`; `delta`
+/// starts at `have`.
 pub(super) fn content_for(
     have: Option<Revision>,
     configuration: &Configuration,
@@ -111,11 +117,11 @@
         Some(delta) if delta.to == configuration.revision() && is_small(&delta) => {
             ConfigurationContent::Delta(delta)
         }
-        _ => ConfigurationContent::Whole(whole(configuration)),
+        _ => ConfigurationContent::Whole(full_text(configuration)),
     }
 }
 
-fn whole(configuration: &Configuration) -> FrameBytes {
+fn full_text(configuration: &Configuration) -> FrameBytes {
     configuration.canonical().text().into_bytes().into()
 }
 
--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -7,7 +7,7 @@
 use super::{ConfigurationCopy, CopyVerdict, OfferedContent, content_for};
 use crate::peers::ConfigurationContent;
 
-/// Documents of the tests' texts; only the last one's weight differs between revisions.
+/// Text of two documents; only the weight of the last one differs between revisions.
 fn text(weight: usize) -> String {
     format!(
         "kind: labels\non: customer\nname: a\nlabels: {{weight: 5}}\n---\n\
@@ -15,7 +15,7 @@
     )
 }
 
-/// A log at revision `revisions`; revision N gives customer b the weight N.
+/// Returns a log at revision `revisions`; revision N gives customer b the weight N.
 fn log(revisions: u64) -> ChangeLog {
     let mut log = ChangeLog::new(ChangeRetention::default());
     for number in 0..revisions {
@@ -30,7 +30,7 @@
     log
 }
 
-fn sent_whole(log: &ChangeLog) -> OfferedContent {
+fn full_content(log: &ChangeLog) -> OfferedContent {
     let text = log.canonical().text().into_bytes();
     OfferedContent::Remote(ConfigurationContent::Whole(text.into()))
 }
@@ -44,12 +44,11 @@
     }
 }
 
-/// The caller sees the old configuration until a good content comes, never a mixture.
-/// A copy at revision 2 gets a delta that does not fit, then the whole of revision 4.
-/// Answers cross, keepers may be damaged, and a lost delta leaves a gap; the digest and the start
-/// of a delta tell, and only the whole is sure to mend it.
+/// Guards against serving a mixture of two configurations after a delta that does not fit the copy.
+/// Answers may cross, keepers may be damaged, and a lost delta leaves a gap. The digest and the
+/// start revision of the delta reveal this, and the complete text of revision 4 repairs the copy.
 #[test]
-fn delta_that_does_not_fit_is_never_served() {
+fn mismatched_delta_is_never_served() {
     let good = log(4).delta_since(Revision(2)).unwrap();
     let other = |from: u64, to: u64| ConfigurationDelta {
         from: Revision(from),
@@ -77,12 +76,12 @@
     let mut shown = String::new();
     for (case, revision, delta) in cases {
         let mut copy = ConfigurationCopy::default();
-        copy.apply(Revision(2), sent_whole(&log(2)));
+        copy.apply(Revision(2), full_content(&log(2)));
         let content = OfferedContent::Remote(ConfigurationContent::Delta(delta));
         let verdict = show(copy.apply(Revision(revision), content));
-        let after = copy.held.current().revision();
-        let mended = show(copy.apply(Revision(4), sent_whole(&log(4))));
-        shown += &format!("{case}: {verdict}; holds {after}; whole of 4: {mended}\n");
+        let after = copy.followed.current().revision();
+        let repaired = show(copy.apply(Revision(4), full_content(&log(4))));
+        shown += &format!("{case}: {verdict}; holds {after}; whole of 4: {repaired}\n");
     }
     let mut empty = ConfigurationCopy::default();
     let content = OfferedContent::Remote(ConfigurationContent::Delta(good));
@@ -96,14 +95,14 @@
     another revision: refused, asks for the whole: the delta leads to revision 4, not 5; holds 2; whole of 4: taken, serves 4
     as new: not needed; holds 2; whole of 4: taken, serves 4
     older: not needed; holds 2; whole of 4: taken, serves 4
-    first: refused, asks for the whole: a delta came before any whole
+    first: refused, asks for the whole: received a delta before any complete configuration
     ");
 }
 
-/// The host asks with what it holds; a revision no longer retained, or a delta too large for a
-/// frame, gets the whole.
+/// Guards against a host that can never catch up: a host at a revision that is no longer retained,
+/// or whose delta is too large for a frame, must get the complete text.
 #[test]
-fn content_is_the_smallest_that_leads_there() {
+fn host_gets_the_smallest_sufficient_content() {
     let large = "x".repeat(super::MAX_DELTA_BYTES);
     let cases = [Some(4), Some(3), Some(9), None];
     let mut changes = log(4);
