--- a/crates/daemon/src/announcements.rs
+++ b/crates/daemon/src/announcements.rs
@@ -1,4 +1,4 @@
-//! Backend servers' face: announcements and heartbeats.
+//! HTTP handler for announcements and heartbeats of backend servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::clock::{TimeSource, millis};
 use crate::fleet::{AnnounceError, BackendFleet, HeldAnnouncement};
 
-/// Path that announcements come on.
+/// Path of announcement requests.
 pub const ANNOUNCEMENT_PATH: &str = "/backend/v1/announcements";
-/// Time in which an announcement must have come.
+/// Time limit for receiving the body of an announcement.
 const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_ANNOUNCEMENT_BYTES: usize = 64 * 1024;
 
-/// Takes announcements.
+/// Receives announcements and records them in the fleet.
 pub struct AnnouncementHandler {
-    /// Backend servers.
+    /// Table of backend servers that announcements update.
     pub fleet: Arc<BackendFleet>,
-    /// Who may announce.
+    /// Access rules that decide which senders may announce.
     pub access: Arc<AccessControl>,
-    /// The present time.
+    /// Source of the current time.
     pub clock: Arc<dyn TimeSource>,
     /// Lease that an announcement renews.
     pub lease: Duration,
-    /// How often servers are asked to announce.
+    /// Period at which replies ask servers to announce themselves.
     pub heartbeat: Duration,
 }
 
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -1,4 +1,5 @@
-//! Streams that can go on at another entry: tells one peer of each token, and asks for others'.
+//! Lets streams resume at another entry: replicates each token to one peer, and looks up streams of
+//! other entries.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,12 +12,13 @@
 use crate::clock::TimeSource;
 use crate::peers::{PeerAnswer, PeerFrame, PeerHub, PeerQuestion};
 
-/// Time that a peer has to answer what it knows of a stream.
-const LOOK_UP_PATIENCE: Duration = Duration::from_millis(800);
-/// Hosts that may hold a stream: the first in rank, or the second where the first was the entry.
-const HOLDERS: usize = 2;
+/// Time limit for a peer's answer to a look-up of a stream.
+const LOOK_UP_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of hosts that may store a stream: the first in rank, or the second if the first is the
+/// stream's entry.
+const MAX_HOLDERS: usize = 2;
 
-/// This host's part in remembering streams.
+/// Replicates the streams of this entry, and stores the streams that other entries replicate here.
 pub struct StreamStore {
     table: Mutex<StreamTable>,
     hub: PeerHub,
@@ -24,7 +26,7 @@
 }
 
 impl StreamStore {
-    /// A keeper of no streams.
+    /// Creates a store without streams.
     pub fn new(hub: PeerHub, clock: Arc<dyn TimeSource>) -> Self {
         Self {
             table: Mutex::new(StreamTable::new(StreamSettings::default())),
@@ -33,28 +35,30 @@
         }
     }
 
-    /// Tells the request's host of tokens that are about to go to the caller; waits for nothing.
-    pub fn replicate(&self, note: StreamUpdate) {
+    /// Sends tokens that are about to go to the caller to the host that stores the stream. Does not
+    /// wait for the host.
+    pub fn replicate(&self, update: StreamUpdate) {
         let Some(holder) = self
-            .ranked(&note.request)
+            .ranked(&update.request)
             .into_iter()
             .find(|host| host != self.hub.host())
         else {
             return;
         };
-        // A note that is lost here leaves a gap there, which makes the stream unknown, not wrong.
-        let _ = self.hub.send(&holder, &PeerFrame::Stream(note));
+        // A lost update leaves a gap in the stored stream, which makes the stream unknown there
+        // rather than wrong.
+        let _ = self.hub.send(&holder, &PeerFrame::Stream(update));
     }
 
-    /// Takes what an entry tells.
-    pub fn receive_update(&self, note: StreamUpdate) {
+    /// Records an update of another entry's stream.
+    pub fn receive_update(&self, update: StreamUpdate) {
         let now = self.clock.now();
         let mut table = self.lock();
-        table.record(now, note);
+        table.record(now, update);
         table.tick(now);
     }
 
-    /// What this host knows of a stream, for a peer.
+    /// Answers a peer's look-up with this host's encoded record of a stream, if it has one.
     pub fn answer_look_up(&self, request: &RequestId) -> PeerAnswer {
         let record = self.lock().look_up(request).cloned();
         let encoded = record.and_then(|record| {
@@ -65,13 +69,15 @@
         PeerAnswer::Request(encoded)
     }
 
-    /// What is known of a stream here or at the hosts that may hold it.
+    /// Looks up a stream in rank order at the hosts that may store it, which may include this host.
+    ///
+    /// Returns `None` if none of them has the stream or answers in time.
     pub async fn find(&self, request: &RequestId) -> Option<StreamRecord> {
-        for host in self.ranked(request).iter().take(HOLDERS) {
+        for host in self.ranked(request).iter().take(MAX_HOLDERS) {
             let found = if host == self.hub.host() {
                 self.lock().look_up(request).cloned()
             } else {
-                self.ask(host, request).await
+                self.look_up_at(host, request).await
             };
             if found.is_some() {
                 return found;
@@ -80,11 +86,11 @@
         None
     }
 
-    async fn ask(&self, host: &HostName, request: &RequestId) -> Option<StreamRecord> {
+    async fn look_up_at(&self, host: &HostName, request: &RequestId) -> Option<StreamRecord> {
         let question = PeerQuestion::RequestLookUp(request.clone());
         let answer = self
             .hub
-            .call(host, question, 0, LOOK_UP_PATIENCE)
+            .call(host, question, 0, LOOK_UP_TIMEOUT)
             .await
             .ok()?;
         let PeerAnswer::Request(Some(bytes)) = answer else {
--- a/crates/daemon/tests/announcement_decoder.rs
+++ b/crates/daemon/tests/announcement_decoder.rs
@@ -1,4 +1,7 @@
-//! Announcements take any JSON: accepted, or refused without a trace in the fleet.
+//! Decoder tests: the fleet accepts an announcement, or refuses it and no server serves.
+//!
+//! Guards against panics, and against refused announcements that leave a serving server in the
+//! fleet. Both can result from malformed JSON that a backend server sends.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use std::time::Duration;
@@ -20,8 +23,9 @@
     )
 }
 
-/// An announcement that is taken; one that is nearly right reaches more of the decoder.
-fn example() -> Value {
+/// Returns a valid announcement; a change of a few values reaches more of the decoder than random
+/// text.
+fn valid_announcement() -> Value {
     let engine = mixed_engines(&ModelShape::default(), 8).remove(0);
     let announcement = Announcement {
         server: "engine-0".to_owned(),
@@ -42,7 +46,7 @@
     serde_json::to_value(announcement).unwrap()
 }
 
-fn hostile(choice: usize) -> Value {
+fn invalid_value(choice: usize) -> Value {
     let values = [
         json!(null),
         json!(0),
@@ -61,42 +65,44 @@
     values[choice % values.len()].clone()
 }
 
-/// Pointers to every value of the example.
-fn pointers(value: &Value, at: &str, found: &mut Vec<String>) {
-    found.push(at.to_owned());
+/// Collects JSON pointers to `value` and to all values below it.
+fn pointers(value: &Value, path: &str, found: &mut Vec<String>) {
+    found.push(path.to_owned());
     match value {
         Value::Object(fields) => {
             for (key, inner) in fields {
-                pointers(inner, &format!("{at}/{key}"), found);
+                pointers(inner, &format!("{path}/{key}"), found);
             }
         }
         Value::Array(items) => {
             for (index, inner) in items.iter().enumerate() {
-                pointers(inner, &format!("{at}/{index}"), found);
+                pointers(inner, &format!("{path}/{index}"), found);
             }
         }
         _ => {}
     }
 }
 
-/// Gives the text to a fleet; a refused one must leave nothing behind.
-fn is_taken_or_leaves_no_trace(text: &str) -> bool {
+/// Announces `text` to an empty fleet; returns false if the fleet refuses it but a server serves.
+fn is_accepted_or_serves_nobody(text: &str) -> bool {
     let fleet = fleet();
     let now = MonotonicTime::START;
     let Ok(announcement) = serde_json::from_str::<Announcement>(text) else {
         return true;
     };
-    let taken = fleet.announce(now, &announcement).is_ok();
+    let is_accepted = fleet.announce(now, &announcement).is_ok();
     fleet.tick(now);
     let serving = fleet.serving(now).len();
     fleet.tick(now.after(Duration::from_secs(3_600)));
-    serving == 0 || taken
+    serving == 0 || is_accepted
 }
 
+/// Guards against an example that the fleet refuses: the test with replaced values would then reach
+/// only the outer part of the decoder.
 #[test]
-fn the_example_is_taken() {
+fn valid_announcement_is_accepted() {
     let fleet = fleet();
-    let announcement = serde_json::from_value(example()).unwrap();
+    let announcement = serde_json::from_value(valid_announcement()).unwrap();
     fleet.announce(MonotonicTime::START, &announcement).unwrap();
     assert_eq!(fleet.serving(MonotonicTime::START).len(), 1);
 }
@@ -104,23 +110,26 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
+    /// Guards against a decoder that panics on a body that is not an announcement.
     #[test]
-    fn any_text(text in any::<String>()) {
-        prop_assert!(is_taken_or_leaves_no_trace(&text));
+    fn any_text_is_accepted_or_refused(text in any::<String>()) {
+        prop_assert!(is_accepted_or_serves_nobody(&text));
     }
 
+    /// Guards against extreme or mistyped values, such as a zero port or a huge number, that pass
+    /// the decoder in an otherwise valid announcement and leave a refused server in the fleet.
     #[test]
-    fn the_example_with_values_replaced(
+    fn announcement_with_replaced_values_is_accepted_or_refused(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<usize>()), 1..4),
     ) {
-        let mut value = example();
-        for (place, choice) in changes {
+        let mut value = valid_announcement();
+        for (position, choice) in changes {
             let mut found = Vec::new();
             pointers(&value, "", &mut found);
-            if let Some(target) = value.pointer_mut(&found[place.index(found.len())]) {
-                *target = hostile(choice);
+            if let Some(target) = value.pointer_mut(&found[position.index(found.len())]) {
+                *target = invalid_value(choice);
             }
         }
-        prop_assert!(is_taken_or_leaves_no_trace(&value.to_string()));
+        prop_assert!(is_accepted_or_serves_nobody(&value.to_string()));
     }
 }
