--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -300,7 +300,7 @@
             customer = request.customer.as_ref().map_or("", |customer| customer.as_str()),
             outcome:% = outcome, last_event = last.map_or(0, |last| last.0),
             sends = self.sends, declined = self.declined, first_ms = times.first.map(millis),
-            pause_ms = millis(times.longest_pause), took_ms = millis(elapsed); "draft ended");
+            pause_ms = millis(times.longest_pause), took_ms = millis(elapsed); "ended");
     }
 
     /// Whether no further send is allowed: the draft must not run twice, or a limit is reached.
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -37,7 +37,7 @@
             .collect();
         log::info!(request = request.attempt.as_str(), route = &*request.route.name,
             try = attempt, chain = stages.join(" ").as_str(),
-            predicted_ms = millis(plan.first_token), left_ms = millis(request.time_left(now)); "draft sent to a chain");
+            predicted_ms = millis(plan.first_token), left_ms = millis(request.time_left(now)); "sent");
     }
 
     /// Records received events; `is_first` if they are the first of the chain.
