--- a/crates/daemon/src/keeper.rs
+++ b/crates/daemon/src/keeper.rs
@@ -1,8 +1,8 @@
-//! The keeper of a host: drives the agreement core, its disk and the replicated state.
+//! The keeper of a host runs the agreement core, its store and the replicated state.
 //!
-//! One task owns the core and the state machine. The store has a thread of its own; while it
-//! syncs, whatever arrives shares the next sync. Requests of this host and of peers come in
-//! through bounded queues, and each is answered as done, not run, or unknown.
+//! One task owns the core and the state machine. The store runs in its own thread; writes that
+//! arrive during a sync share the next sync. Requests of this host and of peers arrive through
+//! bounded queues. Each request ends as done, not run, or unknown.
 
 mod calls;
 mod client;
--- a/crates/daemon/src/keeper/calls.rs
+++ b/crates/daemon/src/keeper/calls.rs
@@ -1,7 +1,8 @@
-//! Answers questions of peers to this keeper.
+//! Answers calls of peers to this keeper.
 //!
-//! A keeper that doesn't lead never passes a question on: it names the leader, and the asker goes
-//! there itself. So a question has one hop, and at most one keeper works on it at a time.
+//! A keeper that doesn't lead never forwards a question: it answers with the leader, and the
+//! requester calls the leader itself. So a question has one hop, and at most one keeper processes
+//! it at a time.
 
 use pollendrift_coordination::agreement::{KeeperId, MembershipChange, RefusalReason};
 use pollendrift_coordination::base::HostName;
@@ -11,7 +12,8 @@
 use super::port::{KeeperPort, KeeperRequest, LocalOutcome};
 use crate::peers::{KeeperIntroduction, PeerAnswer, PeerCall, PeerHub, PeerQuestion};
 
-/// Works on a call and sends the answer; returns the call where it is none for a keeper.
+/// Spawns a task that processes the call and sends the answer; returns the call if it is not for a
+/// keeper.
 pub(super) fn serve_call(
     port: &KeeperPort,
     hub: &PeerHub,
@@ -32,7 +34,7 @@
     tokio::spawn(async move {
         let number = call.number;
         let work = answer(&port, &hub, &from, call.question);
-        // Later than the asker's patience nobody listens.
+        // The requester ignores an answer after its timeout.
         if let Ok(answer) = timeout(call.patience, work).await {
             let _ = hub.answer(&from, number, answer);
         }
@@ -58,10 +60,10 @@
             let outcome = port.ask(|outcome| KeeperRequest::Read { outcome }).await;
             into_answer(outcome, |index| PeerAnswer::Readable(index.0))
         }
-        PeerQuestion::Introduction(asker) => introduce(port, &asker),
+        PeerQuestion::Introduction(requester) => introduce(port, &requester),
         PeerQuestion::Join(keeper) => {
-            let is_open = hub.discovery().is_some();
-            join(port, from, keeper, is_open).await
+            let accepts_any_host = hub.discovery().is_some();
+            join(port, from, keeper, accepts_any_host).await
         }
         PeerQuestion::RequestLookUp(_)
         | PeerQuestion::ConfigurationAfter { .. }
@@ -85,32 +87,38 @@
     }
 }
 
-fn introduce(port: &KeeperPort, asker: &KeeperIntroduction) -> PeerAnswer {
+fn introduce(port: &KeeperPort, requester: &KeeperIntroduction) -> PeerAnswer {
     let Some(mut introduction) = port.introduction() else {
         return PeerAnswer::NotRun {
             reason: "keeper is still starting".to_owned(),
         };
     };
     let membership = port.status().membership;
-    let own = &asker.keeper;
-    let rivals = membership
+    let own = &requester.keeper;
+    let incarnations = membership
         .keepers()
         .filter(|keeper| keeper.host == own.host);
-    let rival = rivals.map(|keeper| keeper.incarnation).max();
+    let newest = incarnations.map(|keeper| keeper.incarnation).max();
     introduction.outranked_by =
-        rival.filter(|rival| !membership.contains(own) && *rival >= own.incarnation);
+        newest.filter(|newest| !membership.contains(own) && *newest >= own.incarnation);
     PeerAnswer::Introduced(introduction)
 }
 
-/// Does the next step that takes a keeper in: first as a learner, then as a voter.
-async fn join(port: &KeeperPort, from: &HostName, keeper: KeeperId, is_open: bool) -> PeerAnswer {
+/// Proposes the next step that adds a keeper to the membership, first as a learner, then as a
+/// voter. With `accepts_any_host`, a host that the settings don't name may join too.
+async fn join(
+    port: &KeeperPort,
+    from: &HostName,
+    keeper: KeeperId,
+    accepts_any_host: bool,
+) -> PeerAnswer {
     if keeper.host != *from {
         return PeerAnswer::NotRun {
             reason: "a host joins for itself only".to_owned(),
         };
     }
     let known = port.introduction();
-    if !is_open && !known.is_some_and(|own| own.keepers.contains(from)) {
+    if !accepts_any_host && !known.is_some_and(|own| own.keepers.contains(from)) {
         return PeerAnswer::NotRun {
             reason: "settings don't name the host as a keeper".to_owned(),
         };
@@ -129,9 +137,9 @@
     into_answer(outcome, |index| PeerAnswer::Readable(index.0))
 }
 
-/// Whether a refusal of a join step only means "ask again later".
+/// Whether a refused join step may succeed later without a change of the request.
 pub(super) fn is_transient(reason: &str) -> bool {
     [RefusalReason::NotCaughtUp, RefusalReason::ChangePending]
         .iter()
-        .any(|passing| passing.to_string() == reason)
+        .any(|refusal| refusal.to_string() == reason)
 }
--- a/crates/daemon/src/keeper/client.rs
+++ b/crates/daemon/src/keeper/client.rs
@@ -1,4 +1,4 @@
-//! Reaches the agreement group from any host: through the own keeper, or through peers.
+//! Client of the agreement group on any host; uses the local keeper or keepers of peers.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use super::port::{KeeperPort, KeeperRequest, LocalOutcome};
 use crate::peers::{CallError, PeerAnswer, PeerHub, PeerQuestion};
 
-/// Settings of a client of the keepers.
+/// Timeouts and back-off of a [`KeeperClient`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientSettings {
-    /// Time for one request, attempts at other keepers included.
+    /// Time limit for one request, including attempts at other keepers.
     pub request_timeout: Duration,
-    /// Time for one attempt at one keeper.
+    /// Time limit for one attempt at one keeper.
     pub attempt_timeout: Duration,
-    /// First wait before the keepers are asked again while none leads; each further one is twice as long.
+    /// First wait before the next attempt while there is no known leader; doubles with each wait.
     pub base_backoff: Duration,
-    /// Longest such wait.
+    /// Upper limit of that wait.
     pub max_backoff: Duration,
 }
 
-/// Least time that must be left for another attempt: within it a busy host answers.
+/// Minimum time left for another attempt; a busy host answers within it.
 ///
-/// An attempt that was cut short a moment after it was sent ended a command as one that may have been
-/// done, though no keeper had taken it, and its caller could not come back with it.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(250);
+/// An attempt that timed out right after it was sent turned the command's outcome into "unknown"
+/// although no keeper had accepted it, and the caller could not send it again.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(250);
 
 impl Default for ClientSettings {
     fn default() -> Self {
@@ -42,40 +42,40 @@
     }
 }
 
-/// What may be done with a command whose fate isn't known.
+/// Whether a command with an unknown outcome may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPermission {
-    /// Nothing: sent twice, it would run twice.
+    /// Not sent again: it would run twice.
     Never,
-    /// Send it again: the state machine recognises it by its id and answers the same.
+    /// Sent again: the state machine recognises the command by its id and returns the same answer.
     Idempotent,
 }
 
-/// Submits commands and asks for read barriers; clones share what they know of the leader.
+/// Submits commands and requests read barriers; clones share the last known leader.
 #[derive(Clone)]
 pub struct KeeperClient {
     hub: PeerHub,
-    /// The own keeper, on a host that has one.
+    /// Keeper of this host, if it has one.
     local: Option<KeeperPort>,
     keepers: KeeperList,
     settings: ClientSettings,
     leader: Arc<Mutex<Option<HostName>>>,
 }
 
-/// What one keeper made of a question.
+/// Result of sending a question to one keeper.
 enum Attempt {
     Answered(PeerAnswer),
-    /// Surely not done there; another keeper may be asked.
-    Elsewhere {
+    /// Not run by this keeper; another keeper may run it.
+    TryAnother {
         leader: Option<HostName>,
         reason: String,
     },
-    /// May have been done.
+    /// The keeper may have run it; contains the reason.
     Unknown(String),
 }
 
 impl KeeperClient {
-    /// A client of `keepers`; `local` is this host's own.
+    /// Creates a client of `keepers` with no known leader; `local` is the keeper of this host.
     #[must_use]
     pub fn new(
         hub: PeerHub,
@@ -95,7 +95,8 @@
     /// Runs a command through the agreement group and returns the state machine's answer.
     ///
     /// # Errors
-    /// [`SubmitError::NotRun`] only where every keeper that was asked proved that it took nothing.
+    /// [`SubmitError::NotRun`] only if no attempt may have run the command;
+    /// [`SubmitError::Unknown`] otherwise.
     pub async fn submit(
         &self,
         command: Vec<u8>,
@@ -108,11 +109,12 @@
         }
     }
 
-    /// Index that a state must contain to show everything accepted before this call. On a host
-    /// with a keeper, the state machine here contains it on return.
+    /// Returns the log index that a state must contain to include every command accepted before
+    /// this call. On a host with a keeper, the local state machine contains it on return.
     ///
     /// # Errors
-    /// No leader was confirmed by a quorum in time.
+    /// No leader was confirmed by a quorum in time, or the local keeper did not apply the index
+    /// in time.
     pub async fn read_barrier(&self) -> Result<LogIndex, SubmitError> {
         let answer = self.ask(PeerQuestion::ReadBarrier, RetryPermission::Idempotent);
         let PeerAnswer::Readable(index) = answer.await? else {
@@ -128,11 +130,13 @@
         Ok(index)
     }
 
-    /// Asks the likely leader, then the others, until one answers or time is up.
+    /// Sends the question to the likely leader, then to the other keepers, until one answers or the
+    /// request times out.
     ///
-    /// Waits count by the steady clock of the timers that bound them. Nothing is believed for longer
-    /// by it: an answer shows the state behind a quorum at or after the question, however late it
-    /// comes, and leases that rest on it count from before the question by the boot clock.
+    /// Timeouts use tokio's monotonic clock, which may stop while the machine is suspended. This
+    /// doesn't extend the validity of an answer: however late it arrives, it shows the state of a
+    /// quorum at or after the question, and leases based on it start before the question by the
+    /// boot clock.
     async fn ask(
         &self,
         question: PeerQuestion,
@@ -141,36 +145,37 @@
         let deadline = Instant::now() + self.settings.request_timeout;
         let mut unknown = None;
         let mut reason = "no keeper is known".to_owned();
-        let mut next = self.first_choice();
-        let mut pause = self.settings.base_backoff;
-        let mut asked = 0;
+        let mut next = self.likely_leader();
+        let mut backoff = self.settings.base_backoff;
+        let mut attempts = 0;
         loop {
-            let Some(host) = next.take().or_else(|| self.choice(asked)) else {
+            let Some(host) = next.take().or_else(|| self.keeper_in_turn(attempts)) else {
                 return Err(SubmitError::not_run(reason));
             };
-            asked += 1;
+            attempts += 1;
             match self.attempt(&host, question.clone(), deadline).await {
                 Attempt::Answered(answer) => return self.conclude(host, answer, unknown),
-                Attempt::Elsewhere {
+                Attempt::TryAnother {
                     leader,
-                    reason: why,
+                    reason: new_reason,
                 } => {
-                    reason = why;
+                    reason = new_reason;
                     next = leader.filter(|leader| *leader != host);
                 }
-                Attempt::Unknown(why) if retry == RetryPermission::Never => {
-                    self.remember(None);
-                    return Err(SubmitError::unknown(why));
+                Attempt::Unknown(new_reason) if retry == RetryPermission::Never => {
+                    self.set_leader(None);
+                    return Err(SubmitError::unknown(new_reason));
                 }
-                Attempt::Unknown(why) => unknown = Some(why),
+                Attempt::Unknown(new_reason) => unknown = Some(new_reason),
             }
             if next.is_none() {
-                self.remember(None);
-                // Hundreds of hosts that ask at the same pace would keep keepers from electing a leader.
-                sleep(pause.mul_f64(rand::random_range(0.5..=1.0))).await;
-                pause = (pause * 2).min(self.settings.max_backoff);
+                self.set_leader(None);
+                // Jitter: hundreds of hosts that retry in step would keep the keepers from electing a
+                // leader.
+                sleep(backoff.mul_f64(rand::random_range(0.5..=1.0))).await;
+                backoff = (backoff * 2).min(self.settings.max_backoff);
             }
-            if Instant::now() + LEAST_ATTEMPT >= deadline {
+            if Instant::now() + MIN_ATTEMPT_TIME >= deadline {
                 return Err(
                     unknown.map_or_else(|| SubmitError::not_run(reason), SubmitError::unknown)
                 );
@@ -178,7 +183,8 @@
         }
     }
 
-    /// The last answer decides, except that an earlier attempt of unknown fate outweighs "not run".
+    /// Converts the last answer. An earlier attempt with an unknown outcome takes precedence over
+    /// "not run".
     fn conclude(
         &self,
         host: HostName,
@@ -190,7 +196,7 @@
                 Err(unknown.map_or_else(|| SubmitError::not_run(reason), SubmitError::unknown))
             }
             answer => {
-                self.remember(Some(host));
+                self.set_leader(Some(host));
                 Ok(answer)
             }
         }
@@ -200,7 +206,7 @@
         let attempt_end = deadline.min(Instant::now() + self.settings.attempt_timeout);
         match &self.local {
             Some(local) if host == self.hub.host() => {
-                let outcome = timeout_at(attempt_end, ask_local(local, question)).await;
+                let outcome = timeout_at(attempt_end, attempt_local(local, question)).await;
                 outcome.unwrap_or_else(|_| Attempt::Unknown("no answer in time".to_owned()))
             }
             _ => self.attempt_peer(host, question, attempt_end).await,
@@ -213,15 +219,15 @@
         question: PeerQuestion,
         attempt_end: Instant,
     ) -> Attempt {
-        let patience = attempt_end.saturating_duration_since(Instant::now());
-        match self.hub.call(host, question, 1, patience).await {
-            Ok(PeerAnswer::NotLeader { leader }) => Attempt::Elsewhere {
+        let answer_timeout = attempt_end.saturating_duration_since(Instant::now());
+        match self.hub.call(host, question, 1, answer_timeout).await {
+            Ok(PeerAnswer::NotLeader { leader }) => Attempt::TryAnother {
                 leader,
                 reason: "no keeper leads".to_owned(),
             },
             Ok(PeerAnswer::Unknown { reason }) => Attempt::Unknown(reason),
             Ok(answer) => Attempt::Answered(answer),
-            Err(CallError::NotSent { reason }) => Attempt::Elsewhere {
+            Err(CallError::NotSent { reason }) => Attempt::TryAnother {
                 leader: None,
                 reason: format!("{host}: {reason}"),
             },
@@ -229,8 +235,9 @@
         }
     }
 
-    /// The own keeper's view of the leader, or the keeper that answered last, or the own one.
-    fn first_choice(&self) -> Option<HostName> {
+    /// Leader known to the local keeper, or the local keeper itself. On a host without a keeper,
+    /// the keeper that answered last.
+    fn likely_leader(&self) -> Option<HostName> {
         let Some(local) = &self.local else {
             let leader = self.leader.lock().unwrap_or_else(PoisonError::into_inner);
             return leader.clone();
@@ -239,45 +246,46 @@
         leader.or_else(|| Some(self.hub.host().clone()))
     }
 
-    /// The keepers in turn, starting at one that differs between hosts.
-    fn choice(&self, asked: usize) -> Option<HostName> {
+    /// Keepers in round-robin order; the first one depends on the host's name, so that hosts start
+    /// at different keepers.
+    fn keeper_in_turn(&self, attempts: usize) -> Option<HostName> {
         let own = self.hub.host().as_str().bytes().map(usize::from);
         let start = own.fold(0, usize::wrapping_add);
         let keepers = self.keepers.hosts();
-        let position = start.wrapping_add(asked).checked_rem(keepers.len())?;
+        let position = start.wrapping_add(attempts).checked_rem(keepers.len())?;
         keepers.get(position).cloned()
     }
 
-    fn remember(&self, leader: Option<HostName>) {
+    fn set_leader(&self, leader: Option<HostName>) {
         *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = leader;
     }
 }
 
-async fn ask_local(local: &KeeperPort, question: PeerQuestion) -> Attempt {
+async fn attempt_local(local: &KeeperPort, question: PeerQuestion) -> Attempt {
     match question {
         PeerQuestion::Submit(command) => {
             let command = command.0.as_ref().into();
-            let asking = local.ask(|outcome| KeeperRequest::Submit { command, outcome });
-            into_attempt(asking.await, |answer: Vec<u8>| {
+            let outcome = local.ask(|outcome| KeeperRequest::Submit { command, outcome });
+            into_attempt(outcome.await, |answer: Vec<u8>| {
                 PeerAnswer::Submitted(answer.into())
             })
         }
         _ => {
-            let asking = local.ask(|outcome| KeeperRequest::Read { outcome });
-            into_attempt(asking.await, |index: LogIndex| {
+            let outcome = local.ask(|outcome| KeeperRequest::Read { outcome });
+            into_attempt(outcome.await, |index: LogIndex| {
                 PeerAnswer::Readable(index.0)
             })
         }
     }
 }
 
-fn into_attempt<T, F>(outcome: LocalOutcome<T>, done: F) -> Attempt
+fn into_attempt<T, F>(outcome: LocalOutcome<T>, to_answer: F) -> Attempt
 where
     F: FnOnce(T) -> PeerAnswer,
 {
     match outcome {
-        LocalOutcome::Done(value) => Attempt::Answered(done(value)),
-        LocalOutcome::NotLeader(leader) => Attempt::Elsewhere {
+        LocalOutcome::Done(value) => Attempt::Answered(to_answer(value)),
+        LocalOutcome::NotLeader(leader) => Attempt::TryAnother {
             leader: leader.map(|leader| leader.host),
             reason: "no keeper leads".to_owned(),
         },
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -1,4 +1,4 @@
-//! Does what the agreement core says, in its order.
+//! Executes the effects of the agreement core in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,15 @@
 use crate::clock::millis;
 use crate::peers::{PeerFrame, encode_agreement};
 
-/// Answer of the state machine to one entry.
+/// Answer of the state machine to the entry at `index`.
 pub(super) struct AppliedResult {
     index: LogIndex,
     answer: Result<Vec<u8>, StateMachineError>,
 }
 
 impl KeeperRuntime {
-    /// Does at once what does not wait for committed entries; the rest joins the backlog in its order.
+    /// Executes effects that don't depend on committed entries at once; appends the others to the
+    /// backlog in order.
     pub(super) fn run_effects(&mut self, effects: Vec<AgreementEffect>) -> Result<(), KeeperError> {
         for effect in effects {
             match effect {
@@ -49,16 +50,17 @@
                     log::debug!(keeper:% = from, reason:% = reason; "agreement message dropped");
                 }
                 AgreementEffect::Committed(entries) => {
-                    let each = entries.into_iter().map(|entry| vec![entry]);
-                    self.backlog.extend(each.map(AgreementEffect::Committed));
+                    let single_entries = entries.into_iter().map(|entry| vec![entry]);
+                    self.backlog
+                        .extend(single_entries.map(AgreementEffect::Committed));
                 }
-                later => self.backlog.push_back(later),
+                dependent => self.backlog.push_back(dependent),
             }
         }
         Ok(())
     }
 
-    /// Does what waits for the entries before it.
+    /// Executes an effect of the backlog, after all entries before it are applied.
     pub(super) fn run_queued_effect(&mut self, effect: AgreementEffect) -> Result<(), KeeperError> {
         match effect {
             AgreementEffect::Committed(entries) => self.apply(entries),
@@ -73,12 +75,13 @@
                 let snapshot = self.take_snapshot()?;
                 self.follow_up.push(snapshot);
             }
-            at_once => self.run_effects(vec![at_once])?,
+            immediate => self.run_effects(vec![immediate])?,
         }
         Ok(())
     }
 
-    /// Messages that don't leave are lost, as on the wire; the core repeats what matters.
+    /// Sends a message. A message that can't be sent is lost, as on the network; the core repeats
+    /// messages that matter.
     fn send(&self, envelope: &AgreementEnvelope) {
         match encode_agreement(envelope) {
             Ok(bytes) => {
@@ -101,7 +104,7 @@
 
     fn apply(&mut self, entries: Vec<LogEntry>) {
         for entry in entries {
-            let began = self.clock.now();
+            let start = self.clock.now();
             self.status.applied = entry.index;
             if let EntryPayload::Command(command) = &entry.payload {
                 let answer = self.machine.apply(entry.index, command);
@@ -110,13 +113,13 @@
                     answer,
                 });
             }
-            let work = self.clock.now().since(began);
+            let work = self.clock.now().since(start);
             self.schedule.record_work(work);
-            self.count_replay(entry.index, work);
+            self.record_replay(entry.index, work);
         }
     }
 
-    fn count_replay(&mut self, index: LogIndex, work: Duration) {
+    fn record_replay(&mut self, index: LogIndex, work: Duration) {
         let Some(replay) = &mut self.replay else {
             return;
         };
@@ -145,7 +148,7 @@
             ProposalOutcome::NotAppended(reason) => refused(reason),
             ProposalOutcome::Unknown => LocalOutcome::Failed(lost_leadership()),
         };
-        tell(sender, outcome);
+        send_outcome(sender, outcome);
     }
 
     fn settle_read(&mut self, token: RequestToken, outcome: ReadOutcome) {
@@ -154,13 +157,13 @@
                 ReadOutcome::Ready(index) => LocalOutcome::Done(index),
                 ReadOutcome::Refused(reason) => refused(reason),
             };
-            tell(sender, outcome);
+            send_outcome(sender, outcome);
         }
     }
 
     fn settle_hand_over(&mut self, token: RequestToken, outcome: HandOverOutcome) {
         if let Some(sender) = self.pending.hand_overs.remove(&token) {
-            tell(sender, LocalOutcome::Done(outcome));
+            send_outcome(sender, LocalOutcome::Done(outcome));
         }
     }
 
@@ -171,7 +174,7 @@
                 ProposalOutcome::NotAppended(reason) => refused(reason),
                 ProposalOutcome::Unknown => LocalOutcome::Failed(lost_leadership()),
             };
-            tell(sender, outcome);
+            send_outcome(sender, outcome);
         }
     }
 }
@@ -180,7 +183,8 @@
     SubmitError::unknown("leadership ended before the command was committed")
 }
 
-/// A command that the state machine can't read changes nothing, on any keeper.
+/// Takes the answer to the entry at `index`. A command that the state machine can't decode changes
+/// nothing on any keeper, so its outcome is "not run".
 fn answer_at(index: LogIndex, answers: &mut Vec<AppliedResult>) -> LocalOutcome<Vec<u8>> {
     let position = answers.iter().position(|applied| applied.index == index);
     match position.map(|position| answers.swap_remove(position).answer) {
@@ -193,13 +197,13 @@
 fn refused<T>(reason: RefusalReason) -> LocalOutcome<T> {
     match reason {
         RefusalReason::NotLeader { leader } => LocalOutcome::NotLeader(leader),
-        // The next leader is about to be known: the request may be asked again.
+        // A new leader is elected soon, so the requester may send the request again.
         RefusalReason::HandingOver => LocalOutcome::NotLeader(None),
         reason => LocalOutcome::Failed(SubmitError::not_run(reason)),
     }
 }
 
-fn tell<T>(sender: OutcomeSender<T>, outcome: LocalOutcome<T>) {
-    // The asker may have given up in the meantime.
+fn send_outcome<T>(sender: OutcomeSender<T>, outcome: LocalOutcome<T>) {
+    // The requester may have given up.
     let _ = sender.send(outcome);
 }
--- a/crates/daemon/src/keeper/error.rs
+++ b/crates/daemon/src/keeper/error.rs
@@ -1,22 +1,22 @@
-//! Why a request to the keepers was not done, or a keeper can't go on.
+//! Errors of requests to the keepers, and errors that stop a keeper.
 
 use derive_more::{Display, Error, From};
 use pollendrift_coordination::agreement::{LogIndex, StateMachineError};
 use pollendrift_store::StoreError;
 
-/// What a caller may conclude of a command that was not answered.
+/// Outcome of a command without an answer.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SubmitError {
     /// The command did not run and never will.
     #[display("not run: {reason}")]
     NotRun {
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
     },
-    /// The command may have run, or may still.
+    /// The command may have run or may still run.
     #[display("unknown: {reason}")]
     Unknown {
-        /// Why.
+        /// Reason why the outcome is unknown.
         reason: String,
     },
 }
@@ -41,39 +41,40 @@
     }
 }
 
-/// Why a keeper can't start or go on.
+/// Error that keeps a keeper from starting or stops it.
 #[derive(Debug, Display, Error, From)]
 pub enum KeeperError {
-    /// The data folder.
+    /// Error of the store in the data folder.
     #[display("{_0}")]
     Store(StoreError),
-    /// The snapshot can't be read by the state machine of this program.
+    /// The state machine can't restore or encode a snapshot.
     #[display("{_0}")]
     Machine(StateMachineError),
-    /// The operating system has no thread for the store.
+    /// The operating system can't start a thread for the store.
     #[display("can't start the store's thread: {_0}")]
     Thread(std::io::Error),
-    /// The store takes nothing more.
-    #[display("store takes nothing more: {reason}")]
+    /// The store's thread refuses further writes, or the keeper's task ended early.
+    #[display("store accepts no further writes: {reason}")]
     #[from(skip)]
     Refused {
-        /// Why.
+        /// Reason given by the store or the task.
         reason: String,
     },
-    /// The disk is older than what it acknowledged before.
+    /// The disk lacks entries that this keeper acknowledged, for example after a restore from an
+    /// old image.
     #[display(
         "disk is older than what this keeper acknowledged (entry {index}): empty the data folder, \
          the keeper joins again as a learner"
     )]
     #[from(skip)]
     OldDisk {
-        /// Entry that was acknowledged.
+        /// Index of the acknowledged entry.
         index: LogIndex,
     },
 }
 
 impl KeeperError {
-    /// Whether the disk has no room for what the keeper writes: it can go on once there is some.
+    /// Whether the disk is full; the keeper can start again once space is free.
     #[must_use]
     pub fn is_disk_full(&self) -> bool {
         matches!(self, Self::Store(StoreError::DiskFull { .. }))
--- a/crates/daemon/src/keeper/formation.rs
+++ b/crates/daemon/src/keeper/formation.rs
@@ -1,11 +1,12 @@
-//! Finds the group of a keeper that has none, or founds it together with all others.
+//! Finds the group of a keeper without one, or founds it together with all founders.
 //!
-//! Only a keeper with a fresh folder comes here, and it has never voted. It asks every other keeper
-//! that it knows. If one belongs to a group, this one joins that group. If all founders answer and
-//! none does, the founder with the lowest name writes down the first membership, and the others
-//! learn it by asking. All founders have to answer: one that can't be asked may hold a group's log,
-//! and a second group beside it would accept changes that contradict the first. Founders are the
-//! keepers of the settings, or the hosts at the seed addresses; others can't hold a log before.
+//! Only a keeper with an empty folder, which has never voted, runs this. It queries every other
+//! known keeper. If one belongs to a group, this keeper joins that group. If all founders answer
+//! and none has a group, the founder with the lowest name stores the first membership, and the
+//! others get it with their next query. All founders must answer: an unreachable one may contain
+//! the log of a group, and a second group would accept changes that contradict the first. The
+//! founders are the keepers in the settings, or the hosts at the seed addresses; no other host can
+//! contain a log before the group exists.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,23 +23,26 @@
 use super::settings::KeeperSettings;
 use crate::peers::{KeeperIntroduction, PeerAnswer, PeerHub, PeerQuestion};
 
-/// Time for another keeper's answer. After the first start of a fleet it has hundreds of hosts to answer
-/// beside; asked anew each half second, no founder ever had all answers.
-const INTRODUCTION_PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout for the answer of another keeper. After the first start of a fleet, each keeper also
+/// answers hundreds of hosts; with a new query each half second, no founder ever got all answers.
+const INTRODUCTION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What asking around has shown.
-enum Findings {
-    /// A group exists.
+/// Result of querying the known keepers once.
+enum GroupSearch {
+    /// A keeper belongs to this group.
     Group(JoinedGroup),
-    /// Another incarnation of this host is known, and it is not lower.
+    /// A keeper knows another incarnation of this host that is not lower.
     Outranked(KeeperIntroduction),
-    /// Everybody answered; nobody has a group.
-    Nobody(Vec<KeeperId>),
-    /// Somebody didn't answer, or takes others for keepers.
-    Unsettled,
+    /// All founders answered and none has a group; contains the other founders.
+    NoGroup(Vec<KeeperId>),
+    /// A founder didn't answer or has a different list of founders.
+    Incomplete,
 }
 
-/// Waits until the keeper has a group, and writes it down.
+/// Waits until the keeper has a group and stores it.
+///
+/// # Errors
+/// The store can't write the group or a raised incarnation.
 pub(super) async fn find_group(
     store: &mut SegmentStore,
     hub: &PeerHub,
@@ -52,17 +56,17 @@
         if own.group.is_some() {
             return Ok(());
         }
-        match ask_around(hub, &own, keepers, settings).await {
-            Findings::Group(group) => store.join_group(group)?,
-            Findings::Outranked(answer) => {
-                if let Some(rival) = answer.outranked_by {
-                    store.raise_incarnation(rival)?;
+        match query_keepers(hub, &own, keepers, settings).await {
+            GroupSearch::Group(group) => store.join_group(group)?,
+            GroupSearch::Outranked(answer) => {
+                if let Some(known) = answer.outranked_by {
+                    store.raise_incarnation(known)?;
                 }
             }
-            Findings::Nobody(others) if may_found(&own, settings) => {
-                store.join_group(found(&own.keeper, others))?;
+            GroupSearch::NoGroup(others) if may_found(&own, settings) => {
+                store.join_group(new_group(&own.keeper, others))?;
             }
-            Findings::Nobody(_) | Findings::Unsettled => sleep(settings.join_pause).await,
+            GroupSearch::NoGroup(_) | GroupSearch::Incomplete => sleep(settings.join_pause).await,
         }
     }
 }
@@ -84,9 +88,10 @@
     settings.may_found && own.keepers.first() == Some(&own.keeper.host)
 }
 
-/// The founder's incarnation is the wall clock at its disk's formatting, so it also tells this
-/// group from an earlier one on the same hosts.
-fn found(own: &KeeperId, others: Vec<KeeperId>) -> JoinedGroup {
+/// Creates a group of `own` and `others`. Its id is the founder's incarnation, which is the wall
+/// clock at the formatting of its disk, so it differs from the id of an earlier group on the same
+/// hosts.
+fn new_group(own: &KeeperId, others: Vec<KeeperId>) -> JoinedGroup {
     let mut voters: BTreeSet<KeeperId> = others.into_iter().collect();
     voters.insert(own.clone());
     JoinedGroup {
@@ -98,53 +103,53 @@
     }
 }
 
-async fn ask_around(
+async fn query_keepers(
     hub: &PeerHub,
     own: &KeeperIntroduction,
     keepers: &KeeperList,
     settings: &KeeperSettings,
-) -> Findings {
+) -> GroupSearch {
     let mut others = Vec::new();
-    let mut unsettled = !own.keepers.contains(&own.keeper.host);
+    let mut incomplete = !own.keepers.contains(&own.keeper.host);
     let known = keepers.hosts().into_iter().chain(own.keepers.clone());
     let known: BTreeSet<HostName> = known.filter(|host| *host != own.keeper.host).collect();
-    let patience = INTRODUCTION_PATIENCE.max(settings.join_pause * 5);
-    let mut asking = JoinSet::new();
+    let answer_timeout = INTRODUCTION_TIMEOUT.max(settings.join_pause * 5);
+    let mut queries = JoinSet::new();
     for host in known {
         let (hub, own) = (hub.clone(), own.clone());
-        asking.spawn(async move {
+        queries.spawn(async move {
             let question = PeerQuestion::Introduction(own);
-            let answer = hub.call(&host, question, 1, patience).await;
+            let answer = hub.call(&host, question, 1, answer_timeout).await;
             (host, answer)
         });
     }
-    while let Some(asked) = asking.join_next().await {
-        let Ok((host, answer)) = asked else {
-            unsettled = true;
+    while let Some(query) = queries.join_next().await {
+        let Ok((host, answer)) = query else {
+            incomplete = true;
             continue;
         };
         let is_founder = own.keepers.contains(&host);
         let Ok(PeerAnswer::Introduced(answer)) = answer else {
-            unsettled |= is_founder;
+            incomplete |= is_founder;
             continue;
         };
         if answer.outranked_by.is_some() {
-            return Findings::Outranked(answer);
+            return GroupSearch::Outranked(answer);
         }
         if let Some(group) = answer.group {
-            return Findings::Group(group);
+            return GroupSearch::Group(group);
         }
         if !is_founder {
             continue;
         }
         if answer.keepers != own.keepers {
-            log::warn!(peer:% = host; "it takes others for founders than this host; no group is founded");
-            unsettled = true;
+            log::warn!(peer:% = host; "founder has a different list of founders than this host; no group is founded");
+            incomplete = true;
         }
         others.push(answer.keeper);
     }
-    if unsettled {
-        return Findings::Unsettled;
+    if incomplete {
+        return GroupSearch::Incomplete;
     }
-    Findings::Nobody(others)
+    GroupSearch::NoGroup(others)
 }
--- a/crates/daemon/src/keeper/frames.rs
+++ b/crates/daemon/src/keeper/frames.rs
@@ -1,4 +1,4 @@
-//! Takes the keepers' frames out of what peers send.
+//! Routes frames of peers to the keeper of this host.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use super::port::KeeperPort;
 use crate::peers::{PeerFrame, PeerHandler, PeerHub};
 
-/// Handles agreement messages and calls to keepers; all other frames go on to `next`.
+/// Handles agreement messages and calls to keepers; passes all other frames to `next`.
 pub struct KeeperFrameHandler {
     port: KeeperPort,
     next: Arc<dyn PeerHandler>,
 }
 
 impl KeeperFrameHandler {
-    /// Frames of the keeper behind `port`.
+    /// Creates a handler that sends frames for the keeper to `port` and others to `next`.
     #[must_use]
     pub fn new(port: KeeperPort, next: Arc<dyn PeerHandler>) -> Self {
         Self { port, next }
@@ -25,7 +25,7 @@
 impl PeerHandler for KeeperFrameHandler {
     fn handle(&self, hub: &PeerHub, from: &HostName, frame: PeerFrame) {
         match frame {
-            PeerFrame::Agreement(bytes) => self.port.take_message(from, &bytes.0),
+            PeerFrame::Agreement(bytes) => self.port.receive_message(from, &bytes.0),
             PeerFrame::Call(call) => {
                 if let Some(call) = serve_call(&self.port, hub, from, call) {
                     self.next.handle(hub, from, PeerFrame::Call(call));
--- a/crates/daemon/src/keeper/handle.rs
+++ b/crates/daemon/src/keeper/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of a daemon does with its own keeper.
+//! Handle to the keeper of this host, for the other parts of the daemon.
 
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
         Self { port, client }
     }
 
-    /// Runs a command through the group; goes to the leader where this keeper doesn't lead. The
-    /// command is never sent again once its fate is unknown.
+    /// Runs a command through the group; sends it to the leader if this keeper doesn't lead. The
+    /// command is not sent again once its outcome is unknown.
     ///
     /// # Errors
     /// See [`KeeperClient::submit`].
@@ -33,36 +33,37 @@
         self.client.submit(command, RetryPermission::Never).await
     }
 
-    /// Waits until the state machine here holds everything that was accepted before this call.
+    /// Waits until the local state machine has applied every command accepted before this call.
     ///
     /// # Errors
-    /// No leader was confirmed by a quorum in time, or this keeper lags.
+    /// No leader was confirmed by a quorum in time, or this keeper did not apply the entries in
+    /// time.
     pub async fn read_barrier(&self) -> Result<LogIndex, SubmitError> {
         self.client.read_barrier().await
     }
 
-    /// The client behind this handle.
+    /// Client that this handle sends requests with.
     #[must_use]
     pub fn client(&self) -> &KeeperClient {
         &self.client
     }
 
-    /// State of the keeper now.
+    /// Current status of the keeper.
     #[must_use]
     pub fn status(&self) -> KeeperStatus {
         self.port.status()
     }
 
-    /// Follows the state of the keeper.
+    /// Returns a receiver of status changes of the keeper.
     #[must_use]
     pub fn watch_status(&self) -> watch::Receiver<KeeperStatus> {
         self.port.watch_status()
     }
 
-    /// Gives leadership away before a planned stop, to any voter that takes it; returns whether
-    /// this keeper no longer leads.
-    pub async fn hand_over(&self, patience: Duration) -> bool {
-        timeout(patience, self.try_voters()).await.unwrap_or(false)
+    /// Transfers leadership to any voter that accepts it, before a planned stop; tries for at most
+    /// `limit`. Returns whether this keeper no longer leads.
+    pub async fn hand_over(&self, limit: Duration) -> bool {
+        timeout(limit, self.try_voters()).await.unwrap_or(false)
     }
 
     async fn try_voters(&self) -> bool {
@@ -70,10 +71,10 @@
             if self.port.status().role != KeeperRole::Leader {
                 return true;
             }
-            let asking = self
+            let outcome = self
                 .port
                 .ask(|outcome| KeeperRequest::HandOver { target, outcome });
-            match asking.await {
+            match outcome.await {
                 LocalOutcome::Done(HandOverOutcome::Done) | LocalOutcome::NotLeader(_) => {
                     return true;
                 }
@@ -93,7 +94,8 @@
             .collect()
     }
 
-    /// Ends the keeper once all that it decided is synced; the caller waits for the task.
+    /// Stops the keeper after the sync in progress; the caller waits for the task. Returns whether
+    /// the stop request was queued.
     pub fn stop(&self) -> bool {
         self.port.stop()
     }
--- a/crates/daemon/src/keeper/join.rs
+++ b/crates/daemon/src/keeper/join.rs
@@ -1,4 +1,4 @@
-//! Brings a keeper that isn't in the membership back to voting, one step at a time.
+//! Takes a keeper that isn't a voter back into the membership, one step at a time.
 
 use pollendrift_coordination::agreement::KeeperId;
 use tokio::sync::watch;
@@ -11,11 +11,11 @@
 use super::status::KeeperStatus;
 use crate::peers::{PeerAnswer, PeerHub, PeerQuestion};
 
-/// Asks the leader for the next step until this keeper votes.
+/// Requests the next step from the leader whenever this keeper is no voter, until it stops.
 ///
-/// The steps are the leader's to grant: it refuses to count a keeper that has not caught up, and
-/// changes one keeper at a time. So asking is safe at every moment, also while another host is
-/// being repaired or is lost in between.
+/// The leader decides about each step: it refuses to promote a keeper that has not caught up, and
+/// changes one keeper at a time. So a request is safe at any time, including while another host is
+/// being repaired or fails.
 pub(super) async fn keep_joining(
     port: KeeperPort,
     hub: PeerHub,
@@ -24,29 +24,30 @@
     settings: KeeperSettings,
 ) {
     let mut status = port.watch_status();
-    let mut turn = 0;
+    let mut attempts = 0;
     loop {
         if status.borrow().stopped.is_some() {
             return;
         }
-        if status.borrow().is_voter() && !is_stranded(&mut status, settings.stranded_timeout).await
+        if status.borrow().is_voter()
+            && !is_leaderless(&mut status, settings.stranded_timeout).await
         {
             continue;
         }
         let leader = status.borrow().leader.clone().map(|leader| leader.host);
         let mut others = keepers.hosts();
         others.retain(|host| host != hub.host());
-        let in_turn = others.get(turn % others.len().max(1)).cloned();
-        turn += 1;
-        let Some(host) = leader.filter(|leader| leader != hub.host()).or(in_turn) else {
+        let fallback = others.get(attempts % others.len().max(1)).cloned();
+        attempts += 1;
+        let Some(host) = leader.filter(|leader| leader != hub.host()).or(fallback) else {
             sleep(settings.join_pause).await;
             continue;
         };
         let question = PeerQuestion::Join(keeper.clone());
-        let patience = settings.agreement.election_timeout * 4;
-        match hub.call(&host, question, 1, patience).await {
+        let answer_timeout = settings.agreement.election_timeout * 4;
+        match hub.call(&host, question, 1, answer_timeout).await {
             Ok(PeerAnswer::NotRun { reason }) if !is_transient(&reason) => {
-                log::warn!(peer:% = host, reason:% = reason; "can't join the group");
+                log::warn!(peer:% = host, reason:% = reason; "peer refused the join request");
             }
             Ok(_) | Err(_) => {}
         }
@@ -54,20 +55,20 @@
     }
 }
 
-/// Whether a voter hears of no leader for `patience`; returns early when its status changes.
+/// Whether a voter has no leader for `leader_timeout`; returns early when its status changes.
 ///
-/// A voter that was removed while it was cut off never learns so from the log: nobody sends it the
-/// log any more. It would stand for elections that it can't win for ever, and the group would miss
-/// a keeper. Asking to join is harmless for one that still votes.
-async fn is_stranded(
+/// A voter that was removed while it was disconnected doesn't learn this from the log, because no
+/// keeper sends it the log any more. It would start elections forever that it can't win, and the
+/// group would lack a keeper. A join request of a keeper that is still a voter has no effect.
+async fn is_leaderless(
     status: &mut watch::Receiver<KeeperStatus>,
-    patience: std::time::Duration,
+    leader_timeout: std::time::Duration,
 ) -> bool {
     if status.borrow_and_update().leader.is_some() {
-        // An error means that the keeper ended, which the caller sees.
+        // An error means that the keeper has ended; the caller checks this.
         let _ = status.changed().await;
         return false;
     }
-    let heard = status.wait_for(|status| status.leader.is_some() || status.stopped.is_some());
-    timeout(patience, heard).await.is_err()
+    let change = status.wait_for(|status| status.leader.is_some() || status.stopped.is_some());
+    timeout(leader_timeout, change).await.is_err()
 }
--- a/crates/daemon/src/keeper/list.rs
+++ b/crates/daemon/src/keeper/list.rs
@@ -1,4 +1,4 @@
-//! Which hosts are keepers: those of the settings, or those that were found.
+//! List of the hosts that are keepers, from the settings or from discovery.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,17 +7,17 @@
 
 use crate::peers::PeerDiscovery;
 
-/// The keepers; clones see the same.
+/// Hosts that are keepers; clones share the discovered list.
 #[derive(Clone, Debug)]
 pub enum KeeperList {
-    /// Those that the settings name.
+    /// Keepers named in the settings.
     Fixed(Arc<[HostName]>),
-    /// Those that were found, from seed addresses on.
+    /// Keepers that discovery finds from the seed addresses.
     Discovered(Arc<PeerDiscovery>),
 }
 
 impl KeeperList {
-    /// Keepers that are known now, by name.
+    /// Currently known keepers; discovered ones are sorted by name.
     #[must_use]
     pub fn hosts(&self) -> Vec<HostName> {
         match self {
@@ -26,8 +26,9 @@
         }
     }
 
-    /// Keepers that `own`, this host, is to ask first, and the others: itself, else those of its data
-    /// centre. All are equally near where that is not known.
+    /// Splits the keepers into near and far ones, as seen from `own`, this host. Near is the host
+    /// itself if it is a keeper, otherwise the keepers of its data centre; with a fixed list, all
+    /// keepers are near.
     pub(crate) fn by_distance(&self, own: &HostName) -> (Vec<HostName>, Vec<HostName>) {
         let hosts = self.hosts();
         if hosts.contains(own) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Keepers that found the group together; `None` until all of them are known.
+    /// Hosts that found the group together, sorted by name; `None` until all of them are known.
     pub(super) fn founders(&self) -> Option<Vec<HostName>> {
         let hosts = match self {
             Self::Fixed(hosts) => hosts.to_vec(),
--- a/crates/daemon/src/keeper/port.rs
+++ b/crates/daemon/src/keeper/port.rs
@@ -1,4 +1,4 @@
-//! The queues between a keeper's task and everybody else.
+//! Queues between the task of a keeper and the other parts of the daemon.
 
 use std::sync::Arc;
 
@@ -12,24 +12,25 @@
 use super::status::KeeperStatus;
 use crate::peers::{KeeperIntroduction, decode_agreement};
 
-/// Agreement messages that wait for the task; they are repeated, so more are dropped.
+/// Capacity of the queue of agreement messages; further ones are dropped, since the core repeats
+/// them.
 const MESSAGE_QUEUE: usize = 4_096;
 
-/// What this keeper made of a request.
+/// Outcome of a request to this keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LocalOutcome<T> {
-    /// Done.
+    /// The keeper executed the request; contains its result.
     Done(T),
-    /// Not done here; the leader may.
+    /// This keeper doesn't lead and executed nothing; contains the leader, if known.
     NotLeader(Option<KeeperId>),
-    /// Not done.
+    /// The request failed; contains whether it may have run.
     Failed(SubmitError),
 }
 
 /// Sender of a request's outcome.
 pub(super) type OutcomeSender<T> = oneshot::Sender<LocalOutcome<T>>;
 
-/// What a keeper is asked.
+/// Request to the task of a keeper, with the sender of its outcome.
 pub(super) enum KeeperRequest {
     Submit {
         command: Arc<[u8]>,
@@ -46,12 +47,12 @@
         change: MembershipChange,
         outcome: OutcomeSender<LogIndex>,
     },
-    /// Ends the task once all that was decided is synced.
+    /// Ends the task after the sync in progress.
     Stop,
 }
 
 impl KeeperRequest {
-    /// Whether the asker has given up.
+    /// Whether the requester has given up.
     pub(super) fn is_abandoned(&self) -> bool {
         match self {
             Self::Submit { outcome, .. } => outcome.is_closed(),
@@ -63,7 +64,7 @@
     }
 }
 
-/// Sending side; clones are cheap.
+/// Sending side of a keeper's queues; clones are cheap.
 #[derive(Clone)]
 pub struct KeeperPort {
     requests: mpsc::Sender<KeeperRequest>,
@@ -72,7 +73,7 @@
     introduction: watch::Receiver<Option<KeeperIntroduction>>,
 }
 
-/// Receiving side, for the keeper's task.
+/// Receiving side of a keeper's queues, for its task.
 pub struct KeeperInbox {
     pub(super) requests: mpsc::Receiver<KeeperRequest>,
     pub(super) messages: mpsc::Receiver<AgreementEnvelope>,
@@ -80,7 +81,7 @@
     pub(super) introduction: watch::Sender<Option<KeeperIntroduction>>,
 }
 
-/// Queues of a keeper that holds up to `requests` requests.
+/// Creates the queues of a keeper, with a capacity of `requests` requests.
 #[must_use]
 pub fn keeper_queue(requests: usize) -> (KeeperPort, KeeperInbox) {
     let (request_sender, request_receiver) = mpsc::channel(requests.max(1));
@@ -103,56 +104,58 @@
 }
 
 impl KeeperInbox {
-    /// Answers requests of a keeper that has no group yet; returns once it is to stop.
+    /// Refuses requests while the keeper has no group; returns after a stop request.
     ///
-    /// Left in the queue they would run once the group is found, long after their askers gave up.
+    /// Requests left in the queue would run once the group is found, long after their requesters
+    /// gave up.
     pub(super) async fn refuse_requests(&mut self) {
         while let Some(request) = self.requests.recv().await {
-            // Askers may have given up in the meantime.
+            // The requester may have given up.
             let _ = match request {
-                KeeperRequest::Submit { outcome, .. } => elsewhere(outcome),
-                KeeperRequest::Read { outcome } => elsewhere(outcome),
-                KeeperRequest::HandOver { outcome, .. } => elsewhere(outcome),
-                KeeperRequest::Change { outcome, .. } => elsewhere(outcome),
+                KeeperRequest::Submit { outcome, .. } => send_not_leader(outcome),
+                KeeperRequest::Read { outcome } => send_not_leader(outcome),
+                KeeperRequest::HandOver { outcome, .. } => send_not_leader(outcome),
+                KeeperRequest::Change { outcome, .. } => send_not_leader(outcome),
                 KeeperRequest::Stop => return,
             };
         }
     }
 }
 
-fn elsewhere<T>(outcome: OutcomeSender<T>) -> bool {
+fn send_not_leader<T>(outcome: OutcomeSender<T>) -> bool {
     outcome.send(LocalOutcome::NotLeader(None)).is_ok()
 }
 
 impl KeeperPort {
-    /// State of the keeper now.
+    /// Current status of the keeper.
     #[must_use]
     pub fn status(&self) -> KeeperStatus {
         self.status.borrow().clone()
     }
 
-    /// Follows the state of the keeper.
+    /// Returns a receiver of status changes of the keeper.
     #[must_use]
     pub fn watch_status(&self) -> watch::Receiver<KeeperStatus> {
         self.status.clone()
     }
 
-    /// This keeper and its group; `None` until its folder is open.
+    /// Introduction of this keeper and its group; `None` until the keeper's task has started.
     pub(super) fn introduction(&self) -> Option<KeeperIntroduction> {
         self.introduction.borrow().clone()
     }
 
-    /// Gives an encoded agreement message of `from` to the task; drops what it can't take.
-    pub(super) fn take_message(&self, from: &HostName, bytes: &[u8]) {
+    /// Queues an encoded agreement message of `from` for the task. Drops messages that can't be
+    /// decoded, name another sender or don't fit into the queue.
+    pub(super) fn receive_message(&self, from: &HostName, bytes: &[u8]) {
         let Ok(envelope) = decode_agreement(bytes) else {
-            log::warn!(peer:% = from; "agreement message can't be read");
+            log::warn!(peer:% = from; "agreement message can't be decoded");
             return;
         };
         if envelope.from.host != *from {
-            log::warn!(peer:% = from; "agreement message under another host's name");
+            log::warn!(peer:% = from; "agreement message names another host as its sender");
             return;
         }
-        // A full queue drops the message; the core repeats what matters.
+        // A full queue drops the message; the core repeats messages that matter.
         let _ = self.messages.try_send(envelope);
     }
 
@@ -167,8 +170,8 @@
                 mpsc::error::TrySendError::Full(_) => LocalOutcome::Failed(SubmitError::not_run(
                     "too many requests wait for the keeper",
                 )),
-                // Its host may live on for a while, and answer for a keeper that is gone. Said to be
-                // not run, the command would not be taken to the keepers that go on.
+                // The host may run on for a while after its keeper has stopped. "Not run" would keep
+                // the caller from sending the command to the other keepers.
                 mpsc::error::TrySendError::Closed(_) => LocalOutcome::NotLeader(None),
             };
         }
@@ -177,11 +180,15 @@
         })
     }
 
+    /// Queues a stop request; returns whether the queue accepted it.
     pub(super) fn stop(&self) -> bool {
         self.requests.try_send(KeeperRequest::Stop).is_ok()
     }
 
-    /// Waits until the state machine holds `index`.
+    /// Waits until the state machine has applied `index`.
+    ///
+    /// # Errors
+    /// [`SubmitError::NotRun`] if the keeper stops before.
     pub(super) async fn wait_applied(&self, index: LogIndex) -> Result<(), SubmitError> {
         let mut status = self.status.clone();
         let reached = status
--- a/crates/daemon/src/keeper/runtime.rs
+++ b/crates/daemon/src/keeper/runtime.rs
@@ -1,4 +1,4 @@
-//! The task of a keeper: gathers what happened, ticks the core and does what it says.
+//! The task of a keeper: collects inputs, ticks the agreement core and executes its effects.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -22,14 +22,14 @@
 use crate::clock::{TimeSource, millis};
 use crate::peers::PeerHub;
 
-/// Messages and requests that one tick takes at most, so that heartbeats are never far off.
+/// Maximum number of messages and requests in one tick, so that heartbeats are not delayed.
 const TICK_INPUTS: usize = 512;
 
-/// Time after which applying committed entries makes way for messages: a few of these fit between two
-/// heartbeats.
+/// Time for which committed entries are applied before messages are processed again. Several
+/// slices fit between two heartbeats.
 const APPLY_SLICE: Duration = Duration::from_millis(25);
 
-/// Requests whose outcome the core has not told yet.
+/// Requests whose outcome the core has not reported yet.
 #[derive(Default)]
 pub(super) struct PendingRequests {
     last: u64,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Everything that a keeper's task owns.
+/// State that the task of a keeper owns.
 pub(super) struct KeeperRuntime {
     pub(super) node: AgreementNode,
     pub(super) machine: Box<dyn StateMachine>,
@@ -57,21 +57,22 @@
     pub(super) reports: mpsc::UnboundedReceiver<CommitReport>,
     pub(super) pending: PendingRequests,
     pub(super) status: KeeperStatus,
-    /// What follows from committed entries, in its order; see [`KeeperRuntime::work_on`].
+    /// Effects that wait for committed entries to be applied, in order; see
+    /// [`KeeperRuntime::run_backlog`].
     pub(super) backlog: VecDeque<AgreementEffect>,
-    /// Answers to entries of the backlog.
+    /// Answers of the state machine to applied entries of the backlog.
     pub(super) answers: Vec<AppliedResult>,
-    /// Entries of the start that are not applied yet; `None` once all are.
+    /// Replay of the log entries found at the start; `None` once all of them are applied.
     pub(super) replay: Option<LogReplay>,
-    /// Inputs that effects of the last tick led to.
+    /// Inputs for the next tick that the effects of the last tick produced.
     pub(super) follow_up: Vec<AgreementInput>,
-    /// The order that is being synced; the core gives out one at a time.
+    /// Input that confirms the persist request in progress; the core issues one at a time.
     pub(super) syncing: Option<AgreementInput>,
     pub(super) schedule: SnapshotSchedule,
 }
 
-/// What woke the task.
-enum WakeUp {
+/// Event that wakes the task.
+enum KeeperEvent {
     Message(AgreementEnvelope),
     Request(KeeperRequest),
     Report(CommitReport),
@@ -79,15 +80,15 @@
 }
 
 impl KeeperRuntime {
-    /// Runs until it is stopped or can't go on; every open request is answered.
+    /// Runs until a stop request or an error, then answers every pending request.
     pub(super) async fn run(mut self) -> Result<(), KeeperError> {
         let result = self.run_ticks().await;
         let reason: Arc<str> = match &result {
             Ok(()) => Arc::from("planned stop"),
             Err(error) => Arc::from(error.to_string()),
         };
-        self.refuse_waiting(&reason);
-        self.abandon_open(&reason);
+        self.refuse_queued(&reason);
+        self.abandon_pending(&reason);
         result
     }
 
@@ -95,70 +96,74 @@
         let mut stopping = false;
         self.tick(Vec::new())?;
         while !(stopping && self.syncing.is_none()) {
-            let wake_up = if self.backlog.is_empty() {
+            let event = if self.backlog.is_empty() {
                 self.wait().await
             } else {
-                // Links and their messages have their turn between two slices.
+                // Lets the link tasks run between two slices.
                 yield_now().await;
-                self.try_next().unwrap_or(WakeUp::Deadline)
+                self.try_next().unwrap_or(KeeperEvent::Deadline)
             };
             let mut inputs = Vec::new();
-            stopping |= self.take(wake_up, &mut inputs)?;
+            stopping |= self.convert_event(event, &mut inputs)?;
             while inputs.len() < TICK_INPUTS {
                 let Some(next) = self.try_next() else {
                     break;
                 };
-                stopping |= self.take(next, &mut inputs)?;
+                stopping |= self.convert_event(next, &mut inputs)?;
             }
             self.tick(inputs)?;
         }
         Ok(())
     }
 
-    async fn wait(&mut self) -> WakeUp {
-        let pause = self.node.next_deadline().since(self.clock.now());
+    async fn wait(&mut self) -> KeeperEvent {
+        let time_left = self.node.next_deadline().since(self.clock.now());
         tokio::select! {
             biased;
-            Some(report) = self.reports.recv() => WakeUp::Report(report),
-            Some(message) = self.inbox.messages.recv() => WakeUp::Message(message),
-            Some(request) = self.inbox.requests.recv() => WakeUp::Request(request),
-            () = sleep(pause) => WakeUp::Deadline,
+            Some(report) = self.reports.recv() => KeeperEvent::Report(report),
+            Some(message) = self.inbox.messages.recv() => KeeperEvent::Message(message),
+            Some(request) = self.inbox.requests.recv() => KeeperEvent::Request(request),
+            () = sleep(time_left) => KeeperEvent::Deadline,
         }
     }
 
-    fn try_next(&mut self) -> Option<WakeUp> {
+    fn try_next(&mut self) -> Option<KeeperEvent> {
         if let Ok(report) = self.reports.try_recv() {
-            return Some(WakeUp::Report(report));
+            return Some(KeeperEvent::Report(report));
         }
         if let Ok(message) = self.inbox.messages.try_recv() {
-            return Some(WakeUp::Message(message));
+            return Some(KeeperEvent::Message(message));
         }
-        self.inbox.requests.try_recv().ok().map(WakeUp::Request)
+        self.inbox
+            .requests
+            .try_recv()
+            .ok()
+            .map(KeeperEvent::Request)
     }
 
-    /// Turns what happened into inputs; `true` where the task is to stop.
-    fn take(
+    /// Converts an event into inputs; returns `true` if the task must stop.
+    fn convert_event(
         &mut self,
-        wake_up: WakeUp,
+        event: KeeperEvent,
         inputs: &mut Vec<AgreementInput>,
     ) -> Result<bool, KeeperError> {
-        match wake_up {
-            WakeUp::Message(message) => inputs.push(AgreementInput::Message(message)),
-            WakeUp::Report(report) => self.take_report(report, inputs)?,
-            WakeUp::Request(KeeperRequest::Stop) => return Ok(true),
-            // Nobody waits for it any more, and nothing of it has run: so it stays.
-            WakeUp::Request(request) if request.is_abandoned() => {}
-            WakeUp::Request(request) => {
+        match event {
+            KeeperEvent::Message(message) => inputs.push(AgreementInput::Message(message)),
+            KeeperEvent::Report(report) => self.process_report(report, inputs)?,
+            KeeperEvent::Request(KeeperRequest::Stop) => return Ok(true),
+            // The requester gave up before the request ran, so it is dropped.
+            KeeperEvent::Request(request) if request.is_abandoned() => {}
+            KeeperEvent::Request(request) => {
                 if let Some(request) = self.prepare(request) {
-                    inputs.push(self.open_request(request)?);
+                    inputs.push(self.register_request(request)?);
                 }
             }
-            WakeUp::Deadline => {}
+            KeeperEvent::Deadline => {}
         }
         Ok(false)
     }
 
-    fn take_report(
+    fn process_report(
         &mut self,
         report: CommitReport,
         inputs: &mut Vec<AgreementInput>,
@@ -167,14 +172,14 @@
         self.status.usage = report.usage;
         inputs.extend(self.syncing.take());
         let log_bytes = self.status.usage.log_bytes;
-        // Callers wait for the end of a replay: a snapshot comes after it.
+        // Callers wait for the end of the replay, so a snapshot is taken only after it.
         if self.replay.is_none() && self.schedule.is_due(self.status.applied, log_bytes) {
             inputs.push(self.take_snapshot()?);
         }
         Ok(())
     }
 
-    /// Encodes the state as it is now.
+    /// Encodes the current state as a snapshot at the last applied entry.
     pub(super) fn take_snapshot(&mut self) -> Result<AgreementInput, KeeperError> {
         let began = self.clock.now();
         let bytes = self.machine.snapshot()?;
@@ -189,7 +194,8 @@
         })
     }
 
-    /// Stamps a command; one that can't be read is answered here, since no keeper could apply it.
+    /// Stamps a command. A command that can't be decoded is refused here, since no keeper could
+    /// apply it.
     fn prepare(&self, request: KeeperRequest) -> Option<KeeperRequest> {
         let KeeperRequest::Submit { command, outcome } = request else {
             return Some(request);
@@ -200,13 +206,13 @@
         {
             Ok(command) => Some(KeeperRequest::Submit { command, outcome }),
             Err(error) => {
-                settle(outcome, SubmitError::not_run(error));
+                send_failure(outcome, SubmitError::not_run(error));
                 None
             }
         }
     }
 
-    fn open_request(&mut self, request: KeeperRequest) -> Result<AgreementInput, KeeperError> {
+    fn register_request(&mut self, request: KeeperRequest) -> Result<AgreementInput, KeeperError> {
         let token = self.pending.token();
         Ok(match request {
             KeeperRequest::Submit { command, outcome } => {
@@ -233,13 +239,13 @@
         })
     }
 
-    /// Ticks until nothing follows from the effects.
+    /// Ticks the core until its effects produce no further inputs, then publishes the status.
     fn tick(&mut self, inputs: Vec<AgreementInput>) -> Result<(), KeeperError> {
         let mut inputs = inputs;
         loop {
             let effects = self.node.tick(self.clock.now(), inputs);
             self.run_effects(effects)?;
-            self.work_on()?;
+            self.run_backlog()?;
             if self.follow_up.is_empty() {
                 break;
             }
@@ -249,14 +255,14 @@
         Ok(())
     }
 
-    /// Applies committed entries and tells their outcomes, for [`APPLY_SLICE`] at a time.
+    /// Applies committed entries and reports their outcomes, for [`APPLY_SLICE`] per call.
     ///
-    /// Failure: a keeper that starts again applies its whole log once a leader has committed. Symptom:
-    /// on small hosts that took longer than an election, a new leader sent no heartbeat meanwhile and
-    /// stepped down, one after the other, and no host knew its routes. In slices, the core ticks on
-    /// between the entries, and each entry takes a few milliseconds; [`SnapshotSchedule`] bounds how
-    /// many there are.
-    fn work_on(&mut self) -> Result<(), KeeperError> {
+    /// A restarted keeper applies its whole log once a leader has committed. On small hosts this
+    /// took longer than an election: each new leader sent no heartbeats while it applied the log,
+    /// stepped down and was followed by the next, and no host knew its routes. With slices, the
+    /// core ticks between entries, and each entry takes a few milliseconds. [`SnapshotSchedule`]
+    /// limits the number of entries.
+    fn run_backlog(&mut self) -> Result<(), KeeperError> {
         let until = self.clock.now().after(APPLY_SLICE);
         while let Some(effect) = self.backlog.pop_front() {
             self.run_queued_effect(effect)?;
@@ -274,51 +280,52 @@
         self.status.commit = self.node.commit_index();
         self.status.last = self.node.last_index();
         let status = &self.status;
-        self.inbox.status.send_if_modified(|shown| {
-            let changed = shown != status;
+        self.inbox.status.send_if_modified(|published| {
+            let changed = published != status;
             if changed {
-                shown.clone_from(status);
+                published.clone_from(status);
             }
             changed
         });
     }
 
-    /// Requests that no tick has seen were not run.
-    fn refuse_waiting(&mut self, reason: &str) {
+    /// Answers queued requests that no tick has processed with "not run".
+    fn refuse_queued(&mut self, reason: &str) {
         self.inbox.requests.close();
         let reason = format!("keeper has stopped: {reason}");
         while let Ok(request) = self.inbox.requests.try_recv() {
             let failed = SubmitError::not_run(&reason);
             match request {
-                KeeperRequest::Submit { outcome, .. } => settle(outcome, failed),
-                KeeperRequest::Read { outcome } => settle(outcome, failed),
-                KeeperRequest::HandOver { outcome, .. } => settle(outcome, failed),
-                KeeperRequest::Change { outcome, .. } => settle(outcome, failed),
+                KeeperRequest::Submit { outcome, .. } => send_failure(outcome, failed),
+                KeeperRequest::Read { outcome } => send_failure(outcome, failed),
+                KeeperRequest::HandOver { outcome, .. } => send_failure(outcome, failed),
+                KeeperRequest::Change { outcome, .. } => send_failure(outcome, failed),
                 KeeperRequest::Stop => {}
             }
         }
     }
 
-    /// Requests that the core took may yet be committed by the others; reads were not answered.
-    fn abandon_open(&mut self, reason: &str) {
-        let open = std::mem::take(&mut self.pending);
+    /// Answers requests that the core accepted: other keepers may still commit commands, so their
+    /// outcome is unknown; reads were not answered and are "not run".
+    fn abandon_pending(&mut self, reason: &str) {
+        let pending = std::mem::take(&mut self.pending);
         let reason = format!("keeper has stopped: {reason}");
-        for outcome in open.submits.into_values() {
-            settle(outcome, SubmitError::unknown(&reason));
+        for outcome in pending.submits.into_values() {
+            send_failure(outcome, SubmitError::unknown(&reason));
         }
-        for outcome in open.changes.into_values() {
-            settle(outcome, SubmitError::unknown(&reason));
+        for outcome in pending.changes.into_values() {
+            send_failure(outcome, SubmitError::unknown(&reason));
         }
-        for outcome in open.hand_overs.into_values() {
-            settle(outcome, SubmitError::unknown(&reason));
+        for outcome in pending.hand_overs.into_values() {
+            send_failure(outcome, SubmitError::unknown(&reason));
         }
-        for outcome in open.reads.into_values() {
-            settle(outcome, SubmitError::not_run(&reason));
+        for outcome in pending.reads.into_values() {
+            send_failure(outcome, SubmitError::not_run(&reason));
         }
     }
 }
 
-fn settle<T>(outcome: OutcomeSender<T>, error: SubmitError) {
-    // The asker may have given up in the meantime.
+fn send_failure<T>(outcome: OutcomeSender<T>, error: SubmitError) {
+    // The requester may have given up.
     let _ = outcome.send(LocalOutcome::Failed(error));
 }
--- a/crates/daemon/src/keeper/schedule.rs
+++ b/crates/daemon/src/keeper/schedule.rs
@@ -1,19 +1,19 @@
-//! When a keeper takes a snapshot by itself.
+//! Decides when a keeper takes a snapshot.
 
 use std::time::Duration;
 
 use pollendrift_coordination::agreement::LogIndex;
 
-/// Work at the log that is behind a snapshot, as a multiple of the work of the snapshot, below which
-/// none is taken: at most a fifth of a keeper's work goes into snapshots.
-const LEAST_WORK_RATIO: u32 = 4;
+/// Minimum time spent applying entries since the last snapshot, as a multiple of the time that the
+/// last snapshot took. It limits snapshots to a fifth of a keeper's work.
+const MIN_WORK_RATIO: u32 = 4;
 
-/// Bounds of what a start has to read and apply again.
+/// Limits of the log that a start reads and applies again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotThresholds {
-    /// Bytes of log since the last snapshot after which the next one is taken.
+    /// Growth of the log in bytes after which the next snapshot is taken.
     pub log_bytes: u64,
-    /// Work of applying the log since the last snapshot after which the next one is taken.
+    /// Time spent applying entries since the last snapshot after which the next one is taken.
     pub replay_work: Duration,
 }
 
@@ -26,64 +26,69 @@
     }
 }
 
-/// Weighs the log since the last snapshot, however few entries it is.
+/// Tracks the size of the log since the last snapshot and the time that applying it took.
 ///
-/// Failure: a keeper that starts again applies its log before it answers a read, and a change of a
-/// large configuration takes as long as many small commands. Symptom: after all keepers had been
-/// killed no host knew which routes were in force for seconds, longer with each change that the group
-/// had ever accepted. The time that applying took says what a start will take on the same host,
-/// whatever the entries are, so a snapshot at that bound keeps the next start within it.
+/// A restarted keeper applies its log before it answers a read, and a change of a large
+/// configuration takes as long as many small commands. After all keepers were killed, no host knew
+/// the routes in force for seconds, and longer with each change that the group had ever accepted.
+/// The time that applying took predicts the time of a start on the same host, whatever the entries
+/// are, so a snapshot at that threshold limits the next start, even with few entries.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SnapshotSchedule {
-    bounds: SnapshotThresholds,
-    /// Last entry in the snapshot.
-    taken_at: LogIndex,
-    /// Bytes of log when the last snapshot was taken; falls with the log.
-    log_bytes_then: u64,
-    /// Work of applying what is behind the snapshot.
+    thresholds: SnapshotThresholds,
+    /// Last entry in the last snapshot.
+    snapshot_index: LogIndex,
+    /// Size of the log in bytes at the last snapshot; decreases when the log shrinks.
+    log_bytes_at_snapshot: u64,
+    /// Time spent applying entries after the snapshot.
     replay_work: Duration,
-    /// Work of the last snapshot that this process took.
+    /// Time that the last snapshot of this process took; zero before the first one.
     snapshot_work: Duration,
 }
 
 impl SnapshotSchedule {
-    /// The schedule of a keeper that holds a snapshot up to `taken_at`.
-    pub(super) fn new(bounds: SnapshotThresholds, taken_at: LogIndex, log_bytes: u64) -> Self {
+    /// Creates the schedule of a keeper whose snapshot ends at `snapshot_index` and whose log has
+    /// `log_bytes` bytes.
+    pub(super) fn new(
+        thresholds: SnapshotThresholds,
+        snapshot_index: LogIndex,
+        log_bytes: u64,
+    ) -> Self {
         Self {
-            bounds,
-            taken_at,
-            log_bytes_then: log_bytes,
+            thresholds,
+            snapshot_index,
+            log_bytes_at_snapshot: log_bytes,
             replay_work: Duration::ZERO,
             snapshot_work: Duration::ZERO,
         }
     }
 
-    /// Counts the work of an entry that was applied.
+    /// Adds the time that applying an entry took.
     pub(super) fn record_work(&mut self, work: Duration) {
         self.replay_work += work;
     }
 
-    /// Whether a snapshot up to `applied` is due.
+    /// Whether a snapshot up to `applied` is due, with a log of `log_bytes` bytes.
     pub(super) fn is_due(&mut self, applied: LogIndex, log_bytes: u64) -> bool {
-        self.log_bytes_then = self.log_bytes_then.min(log_bytes);
-        if applied <= self.taken_at {
+        self.log_bytes_at_snapshot = self.log_bytes_at_snapshot.min(log_bytes);
+        if applied <= self.snapshot_index {
             return false;
         }
-        let worth_it = self.snapshot_work * LEAST_WORK_RATIO;
-        log_bytes - self.log_bytes_then >= self.bounds.log_bytes
-            || self.replay_work >= self.bounds.replay_work.max(worth_it)
+        let min_replay_work = self.snapshot_work * MIN_WORK_RATIO;
+        log_bytes - self.log_bytes_at_snapshot >= self.thresholds.log_bytes
+            || self.replay_work >= self.thresholds.replay_work.max(min_replay_work)
     }
 
-    /// Notes a snapshot up to `applied`, taken here with `work`.
+    /// Records a snapshot up to `applied` that this process took in the time `work`.
     pub(super) fn record_taken(&mut self, applied: LogIndex, log_bytes: u64, work: Duration) {
         self.record_installed(applied, log_bytes);
         self.snapshot_work = work;
     }
 
-    /// Notes a snapshot up to `applied` that a peer sent.
+    /// Records a snapshot up to `applied` that a peer sent.
     pub(super) fn record_installed(&mut self, applied: LogIndex, log_bytes: u64) {
-        self.taken_at = applied;
-        self.log_bytes_then = log_bytes;
+        self.snapshot_index = applied;
+        self.log_bytes_at_snapshot = log_bytes;
         self.replay_work = Duration::ZERO;
     }
 }
--- a/crates/daemon/src/keeper/settings.rs
+++ b/crates/daemon/src/keeper/settings.rs
@@ -10,22 +10,22 @@
 /// Settings of one keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeeperSettings {
-    /// The agreement core.
+    /// Settings of the agreement core.
     pub agreement: AgreementSettings,
-    /// The store's files.
+    /// Settings of the store's files.
     pub store: StoreSettings,
-    /// The store's thread.
+    /// Settings of the store's thread.
     pub commit: CommitSettings,
-    /// When a snapshot is taken by what is behind the last one, beside the core's count of entries.
+    /// Thresholds for snapshots by log size and replay time, in addition to the core's entry count.
     pub snapshots: SnapshotThresholds,
-    /// Requests of this host and of peers that wait for the keeper; more are refused.
+    /// Capacity of the queue of requests of this host and of peers; further ones are refused.
     pub queue: usize,
-    /// Time between two attempts to found or find the group, and to join it.
+    /// Time between two attempts to find or found the group, and between two join requests.
     pub join_pause: Duration,
-    /// Time without a leader after which a voter asks whether it still belongs.
+    /// Time without a leader after which a voter sends a join request, in case it was removed.
     pub stranded_timeout: Duration,
-    /// Whether this host may found a group together with all other keepers of the settings, where
-    /// none of them has one. Off, an empty group stays empty until an operator turns it on.
+    /// Whether this host may found a group together with the other founders if none of them has a
+    /// group. If false, no group is founded until an operator enables it.
     pub may_found: bool,
     /// Seed of the election timeouts.
     pub seed: u64,
--- a/crates/daemon/src/keeper/start.rs
+++ b/crates/daemon/src/keeper/start.rs
@@ -1,4 +1,4 @@
-//! Opens the data folder, finds the group and starts the task.
+//! Start of a keeper: opens the data folder, finds the group and starts the task.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -29,45 +29,46 @@
 use crate::clock::TimeSource;
 use crate::peers::PeerHub;
 
-/// What a keeper needs to start.
+/// Parameters of [`start_keeper`].
 pub struct KeeperStart {
     /// Data folder.
     pub folder: PathBuf,
-    /// Settings.
+    /// Settings of the keeper.
     pub settings: KeeperSettings,
-    /// Settings of requests to the group.
+    /// Settings of the client that sends requests to the group.
     pub client: ClientSettings,
-    /// The keepers, this host included.
+    /// All keepers, including this host.
     pub keepers: KeeperList,
-    /// Links to the peers; their handler feeds `port` by [`super::KeeperFrameHandler`].
+    /// Links to the peers; their handler passes frames to `port` with
+    /// [`super::KeeperFrameHandler`].
     pub hub: PeerHub,
     /// Sending side of `inbox`.
     pub port: KeeperPort,
-    /// Queues that the peers' handler fills.
+    /// Receiving side of `port`.
     pub inbox: KeeperInbox,
-    /// The replicated state.
+    /// State machine that applies committed commands.
     pub machine: Box<dyn StateMachine>,
-    /// Clock.
+    /// Clock of this host.
     pub clock: Arc<dyn TimeSource>,
 }
 
-/// A keeper that runs; dropping it ends its task at once, as a crash would.
+/// A running keeper; dropping it aborts its task at once, like a crash.
 pub struct RunningKeeper {
     handle: KeeperHandle,
     task: JoinHandle<Result<(), KeeperError>>,
 }
 
 impl RunningKeeper {
-    /// Handle for the rest of the daemon.
+    /// Handle for the other parts of the daemon.
     #[must_use]
     pub fn handle(&self) -> &KeeperHandle {
         &self.handle
     }
 
-    /// Waits for the end of the keeper, after [`KeeperHandle::stop`] or a fault.
+    /// Waits until the keeper has stopped, after [`KeeperHandle::stop`] or an error.
     ///
     /// # Errors
-    /// The fault that stopped it; the message says what the operator does.
+    /// The error that stopped the keeper; the message says how the operator can fix it.
     pub async fn finish(mut self) -> Result<(), KeeperError> {
         (&mut self.task).await.unwrap_or_else(|error| {
             Err(KeeperError::Refused {
@@ -78,10 +79,10 @@
 }
 
 impl RunningKeeper {
-    /// Ends the task at once, as a crash would, and waits until the folder is free again.
+    /// Aborts the task at once, like a crash, and waits until the folder is unlocked.
     pub async fn abort(mut self) {
         self.task.abort();
-        // The task was cancelled, or had ended already.
+        // The task was cancelled or had already ended.
         let _ = (&mut self.task).await;
     }
 }
@@ -92,17 +93,18 @@
     }
 }
 
-/// Opens the folder and starts the keeper's task. A keeper without a group looks for it in the
-/// background; requests go to the other keepers meanwhile.
+/// Opens the folder and starts the keeper's task. A keeper without a group searches for one in the
+/// background; until then, requests go to the other keepers.
 ///
 /// # Errors
-/// The folder can't be opened, or its snapshot can't be read.
+/// The folder can't be opened or its files can't be read. A snapshot that the state machine can't
+/// restore stops the task later, see [`RunningKeeper::finish`].
 pub fn start_keeper(start: KeeperStart) -> Result<RunningKeeper, KeeperError> {
     let files = Box::new(DiskFiles::new(&start.folder));
     start_keeper_on(start, files)
 }
 
-/// Starts a keeper on other files than those of its folder, such as ones that fail.
+/// Starts a keeper on `files` in place of its folder, for example with injected faults.
 ///
 /// # Errors
 /// See [`start_keeper`].
@@ -118,7 +120,7 @@
     let opened = SegmentStore::open(files, &request)?;
     if let Some(tail) = &opened.report.torn_tail {
         log::warn!(path:% = tail.path, offset:% = tail.offset, bytes:% = tail.bytes;
-            "cut a record that a crash left unfinished; nothing that was answered is lost");
+            "truncated an incomplete record left by a crash; no acknowledged entry is lost");
     }
     let client = KeeperClient::new(
         start.hub.clone(),
@@ -161,9 +163,9 @@
         host: store.identity().host.clone(),
         incarnation: store.identity().incarnation,
     };
-    let recovered = write_founding(&mut store, &keeper, opened.recovered)?;
-    let mut helpers = JoinSet::new();
-    helpers.spawn(keep_joining(
+    let recovered = write_founding_entry(&mut store, &keeper, opened.recovered)?;
+    let mut background_tasks = JoinSet::new();
+    background_tasks.spawn(keep_joining(
         start.port.clone(),
         start.hub.clone(),
         keeper.clone(),
@@ -182,8 +184,8 @@
     runtime.run().await
 }
 
-/// Writes the first entry of a first voter, unless an earlier start has.
-fn write_founding(
+/// Writes the founding entry if this keeper is a founding voter and its log is empty.
+fn write_founding_entry(
     store: &mut SegmentStore,
     keeper: &KeeperId,
     recovered: RecoveredLog,
@@ -193,17 +195,17 @@
         Some(group) if empty && group.founding.voters.contains(keeper) => group.founding.clone(),
         _ => return Ok(recovered),
     };
-    let founded = RestoredState::founding(founding);
+    let founding_state = RestoredState::founding(founding);
     let batch = PersistBatch {
-        hard: Some(founded.hard_state.clone()),
+        hard: Some(founding_state.hard_state.clone()),
         truncate_from: None,
-        entries: founded.entries.clone(),
+        entries: founding_state.entries.clone(),
     };
     store.persist(&batch)?;
     Ok(RecoveredLog {
-        hard: founded.hard_state,
+        hard: founding_state.hard_state,
         snapshot: None,
-        entries: founded.entries,
+        entries: founding_state.entries,
     })
 }
 
@@ -234,12 +236,12 @@
         }),
         entries: recovered.entries,
     };
-    // Another seed at every start: two keepers that always drew the same timeouts could split
-    // their votes again and again.
+    // Uses a different seed at every start: two keepers that always draw the same election timeouts
+    // could split their votes repeatedly.
     let seed = start.settings.seed ^ keeper.incarnation.0 ^ store.mark().opens.rotate_left(32);
     let (report_sender, reports) = mpsc::unbounded_channel();
     let commit = CommitThread::start(Box::new(store), start.settings.commit, move |report| {
-        // The task may have ended; then nobody waits for the sync.
+        // If the task has ended, nothing waits for the sync.
         let _ = report_sender.send(report);
     })
     .map_err(KeeperError::Thread)?;
--- a/crates/daemon/src/keeper/status.rs
+++ b/crates/daemon/src/keeper/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper tells of itself.
+//! Status of a keeper.
 
 use std::sync::Arc;
 
@@ -9,36 +9,36 @@
 
 use super::replay::ReplayReport;
 
-/// State of one keeper, for the dump, the status and those who wait for it.
+/// Status of one keeper, for the dump, the operators' status and tasks that wait for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeeperStatus {
     /// This keeper; `None` until it has found its group.
     pub keeper: Option<KeeperId>,
-    /// Part that it plays.
+    /// Role in the agreement group.
     pub role: KeeperRole,
-    /// Present term.
+    /// Current term.
     pub term: Term,
-    /// Leader of that term, where known.
+    /// Leader of that term, if known.
     pub leader: Option<KeeperId>,
-    /// Last entry that is known to be committed.
+    /// Last entry known to be committed.
     pub commit: LogIndex,
-    /// Last entry that the state machine holds.
+    /// Last entry that the state machine has applied.
     pub applied: LogIndex,
     /// Last entry of the log.
     pub last: LogIndex,
-    /// Membership in force.
+    /// Current membership.
     pub membership: Arc<Membership>,
-    /// What the group can lose; only a leader knows.
+    /// Number of failures that the group tolerates; only known to a leader.
     pub redundancy: Option<Arc<RedundancyReport>>,
-    /// What the store takes up.
+    /// Disk usage of the store.
     pub usage: StoreUsage,
     /// Mark of the last sync.
     pub mark: SyncMark,
-    /// Cut end of the log that was found at the start.
+    /// Incomplete record at the end of the log that the start truncated.
     pub torn_tail: Option<TornTail>,
-    /// What the start applied again; `None` until it has.
+    /// Statistics of the log entries that the start applied again; `None` until all are applied.
     pub replay: Option<ReplayReport>,
-    /// Why the keeper stopped; `None` while it runs.
+    /// Reason why the keeper stopped; `None` while it runs.
     pub stopped: Option<Arc<str>>,
     /// Whether it stopped because its disk is full.
     pub is_disk_full: bool,
@@ -67,7 +67,7 @@
 }
 
 impl KeeperStatus {
-    /// Whether this keeper votes.
+    /// Whether this keeper is a voter of the current membership.
     #[must_use]
     pub fn is_voter(&self) -> bool {
         let own = self.keeper.as_ref();
