--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,8 +1,10 @@
-//! Links between the system's own processes: one outbound websocket to each peer.
+//! Links between daemons: each process opens one websocket to each peer.
 //!
-//! A process sends on the links that it opened and reads from those that it accepted. Sending
-//! never waits: agreement traffic, which is repeated anyway, pushes out its own oldest frames;
-//! everything else is refused while a link is down, so that the caller knows it was not sent.
+//! A process sends frames on the links that it opened and receives frames on the links that it
+//! accepted; answers to calls and echoes go back on the link of the call or heartbeat. Sending
+//! never waits. A full queue drops its oldest agreement frames, which the core repeats, and refuses
+//! all other frames. While a link is down, every frame is refused, so that the caller knows that it
+//! was not sent.
 
 mod backoff;
 mod calls;
--- a/crates/daemon/src/peers/backoff.rs
+++ b/crates/daemon/src/peers/backoff.rs
@@ -1,4 +1,4 @@
-//! Waits between attempts to reach a peer.
+//! Back-off between attempts to open a link.
 
 use std::time::Duration;
 
@@ -7,35 +7,36 @@
 
 use super::settings::LinkSettings;
 
-/// Exponential back-off with jitter over the whole wait.
+/// Exponential back-off with jitter.
 ///
-/// After a switch returns, all hosts would connect in the same instant again and again; the jitter
-/// spreads them. A seed for each pair of hosts keeps the spread the same at every run.
+/// Without jitter, all hosts would connect in the same instants after a network switch recovers.
+/// The seed per pair of hosts makes the waits reproducible.
 pub(super) struct RetryBackoff {
-    first: Duration,
-    next: Duration,
+    base_backoff: Duration,
+    bound: Duration,
     random: ChaCha8Rng,
 }
 
 impl RetryBackoff {
     pub(super) fn new(settings: &LinkSettings, salt: u64) -> Self {
         Self {
-            first: settings.base_backoff,
-            next: settings.base_backoff,
+            base_backoff: settings.base_backoff,
+            bound: settings.base_backoff,
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ salt),
         }
     }
 
-    /// Wait before the next attempt: between half and the whole of a bound that doubles up to `most`.
-    pub(super) fn next_wait(&mut self, most: Duration) -> Duration {
-        let bound = self.next;
-        self.next = (bound * 2).min(most);
+    /// Returns the wait before the next attempt: between half of a bound and the bound, which
+    /// doubles with each call up to `max_backoff`.
+    pub(super) fn next_wait(&mut self, max_backoff: Duration) -> Duration {
+        let bound = self.bound;
+        self.bound = (bound * 2).min(max_backoff);
         bound.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
-    /// Starts over, after a link that worked.
+    /// Resets the bound to the base back-off, after a link was up.
     pub(super) fn reset(&mut self) {
-        self.next = self.first;
+        self.bound = self.base_backoff;
     }
 }
 
@@ -43,8 +44,10 @@
 mod tests {
     use super::{LinkSettings, RetryBackoff};
 
+    /// Guards against attempts that are too frequent or too rare: the waits double up to the
+    /// maximum and start again at the base after a link was up.
     #[test]
-    fn waits_double_up_to_the_bound_and_start_over() {
+    fn waits_double_up_to_the_maximum_and_restart_after_reset() {
         let settings = LinkSettings::default();
         let mut backoff = RetryBackoff::new(&settings, 7);
         let mut next = || backoff.next_wait(settings.max_backoff).as_millis();
--- a/crates/daemon/src/peers/calls.rs
+++ b/crates/daemon/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Questions to peers that wait for their answers.
+//! Table of the calls to peers that wait for an answer.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,31 +10,31 @@
 
 use super::frame::PeerAnswer;
 
-/// Number of a call, unique in the asking process.
+/// Number of a call, unique in the process that sends it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct CallNumber(pub u64);
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum CallError {
     /// The question never left this process.
     #[display("not sent: {reason}")]
     NotSent {
-        /// Why.
+        /// Reason why it was not sent.
         reason: String,
     },
-    /// The question may have arrived.
+    /// The question may have reached the peer.
     #[display("no answer: {reason}")]
     NoAnswer {
-        /// Why.
+        /// Reason why there is no answer.
         reason: String,
     },
 }
 
-struct OpenCall {
+struct CallEntry {
     host: HostName,
     answer: oneshot::Sender<PeerAnswer>,
 }
@@ -42,20 +42,20 @@
 #[derive(Default)]
 struct CallState {
     last: CallNumber,
-    open: BTreeMap<CallNumber, OpenCall>,
+    pending: BTreeMap<CallNumber, CallEntry>,
 }
 
-/// All calls of this process that wait.
+/// Pending calls of this process, at most `max_pending`.
 pub(super) struct CallTable {
     state: Mutex<CallState>,
-    bound: usize,
+    max_pending: usize,
 }
 
 impl CallTable {
-    pub(super) fn new(bound: usize) -> Self {
+    pub(super) fn new(max_pending: usize) -> Self {
         Self {
             state: Mutex::default(),
-            bound,
+            max_pending,
         }
     }
 
@@ -63,20 +63,20 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a call to `host`; `None` if as many wait as the bound allows.
+    /// Adds a call to `host`; `None` if the maximum number of calls is pending.
     pub(super) fn open(&self, host: &HostName) -> Option<PendingCall<'_>> {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.lock();
-        if state.open.len() >= self.bound {
+        if state.pending.len() >= self.max_pending {
             return None;
         }
         let number = CallNumber(state.last.0 + 1);
         state.last = number;
-        let call = OpenCall {
+        let call = CallEntry {
             host: host.clone(),
             answer: sender,
         };
-        state.open.insert(number, call);
+        state.pending.insert(number, call);
         Some(PendingCall {
             table: self,
             number,
@@ -84,29 +84,29 @@
         })
     }
 
-    /// Gives an answer to its call; only the host that was asked may answer.
+    /// Delivers an answer to its call; ignores answers of hosts other than the called one.
     pub(super) fn complete(&self, from: &HostName, number: CallNumber, answer: PeerAnswer) {
         let mut state = self.lock();
-        let asked = state
-            .open
+        let is_called_host = state
+            .pending
             .get(&number)
             .is_some_and(|call| call.host == *from);
-        if !asked {
+        if !is_called_host {
             return;
         }
-        if let Some(call) = state.open.remove(&number) {
-            // The asker may have given up in the meantime.
+        if let Some(call) = state.pending.remove(&number) {
+            // The requester may have given up.
             let _ = call.answer.send(answer);
         }
     }
 
-    /// Ends all calls to a host whose link broke.
+    /// Fails all calls to a host whose link broke.
     pub(super) fn fail_all(&self, host: &HostName) {
-        self.lock().open.retain(|_, call| call.host != *host);
+        self.lock().pending.retain(|_, call| call.host != *host);
     }
 }
 
-/// One call that waits; dropping it forgets the call.
+/// A call that waits for its answer; dropping it removes the call from the table.
 pub(super) struct PendingCall<'table> {
     table: &'table CallTable,
     pub(super) number: CallNumber,
@@ -123,6 +123,6 @@
 
 impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.table.lock().open.remove(&self.number);
+        self.table.lock().pending.remove(&self.number);
     }
 }
--- a/crates/daemon/src/peers/compression/tests.rs
+++ b/crates/daemon/src/peers/compression/tests.rs
@@ -1,4 +1,4 @@
-use super::{COMPRESS_FROM, MAX_DECOMPRESSED, compress, decompress};
+use super::{MAX_DECOMPRESSED, MIN_COMPRESSED, compress, decompress};
 
 fn document(routes: usize) -> Vec<u8> {
     let route = |route: usize| {
@@ -8,37 +8,38 @@
     (0..routes).map(route).collect::<String>().into_bytes()
 }
 
-// Thousands of routes come at once on a link of 20 Mbit/s that streams use too: packed they take a
-// fraction of its time, and they come out to the letter.
+// Guards against a configuration of thousands of routes that delays streams on a shared link of
+// 20 Mbit/s: compressed, it takes a fraction of the time. Decompression must restore every byte.
 #[test]
-fn a_long_document_shrinks_and_comes_out_to_the_letter() {
-    for (routes, is_worth_it) in [(1, true), (2_000, true), (2_000, false)] {
+fn long_document_shrinks_and_decompresses_to_the_same_bytes() {
+    for (routes, is_enabled) in [(1, true), (2_000, true), (2_000, false)] {
         let frame = document(routes);
-        let sent = compress(&frame, is_worth_it);
-        let is_packed = is_worth_it && frame.len() >= COMPRESS_FROM;
-        assert_eq!(sent.len() < frame.len() / 3, is_packed, "{routes}");
-        assert_eq!(decompress(&sent).expect("unpacks"), frame, "{routes}");
+        let sent = compress(&frame, is_enabled);
+        let is_compressed = is_enabled && frame.len() >= MIN_COMPRESSED;
+        assert_eq!(sent.len() < frame.len() / 3, is_compressed, "{routes}");
+        assert_eq!(decompress(&sent).expect("valid frame"), frame, "{routes}");
     }
 }
 
-// A peer that is broken or hostile sends bytes that claim to unpack to gigabytes, or to nothing.
+// Guards against exhausted memory: a faulty or hostile peer sends invalid bytes, or bytes that
+// claim to decompress to gigabytes.
 #[test]
-fn foreign_bytes_are_refused_in_bounded_memory() {
-    let huge = [&[1][..], &u32::MAX.to_be_bytes(), b"xyz"].concat();
-    let over = u32::try_from(MAX_DECOMPRESSED + 1)
+fn invalid_bytes_are_refused_in_bounded_memory() {
+    let four_gigabytes = [&[1][..], &u32::MAX.to_be_bytes(), b"xyz"].concat();
+    let over_limit = u32::try_from(MAX_DECOMPRESSED + 1)
         .expect("fits")
         .to_be_bytes();
-    let over = [&[1][..], &over, b"xyz"].concat();
-    let cut = compress(&document(2_000), true).slice(..900);
-    let longer = [&[1][..], &9_u32.to_be_bytes(), b"\x10a"].concat();
+    let over_limit = [&[1][..], &over_limit, b"xyz"].concat();
+    let truncated = compress(&document(2_000), true).slice(..900);
+    let too_short = [&[1][..], &9_u32.to_be_bytes(), b"\x10a"].concat();
     let cases: [(&str, &[u8]); 7] = [
-        ("nothing", b""),
+        ("empty", b""),
         ("unknown mark", b"\x02abc"),
         ("no length", b"\x01\0\0"),
-        ("huge", &huge),
-        ("over the bound", &over),
-        ("cut", &cut),
-        ("shorter than it says", &longer),
+        ("length of four gigabytes", &four_gigabytes),
+        ("over the limit", &over_limit),
+        ("truncated", &truncated),
+        ("shorter than its length", &too_short),
     ];
     for (name, bytes) in cases {
         assert!(decompress(bytes).is_err(), "{name}");
--- a/crates/daemon/src/peers/discovery.rs
+++ b/crates/daemon/src/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding peers from a few seed addresses, and passing on who is there.
+//! Discovery of peers from seed addresses, and gossip of the known keepers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -18,42 +18,45 @@
 use super::hub::{PeerAddress, PeerHub};
 use super::outbound::request_hello;
 
-/// Time between two looks at seeds that are not known yet, and between two tellings of keepers while
-/// those change: a new keeper is known to every host two tellings after it came.
+/// Maximum time between two queries of an unknown seed, and interval at which keepers send changes
+/// of the list of keepers. Every host knows a new keeper after two such intervals.
 const DISCOVERY_TICK: Duration = Duration::from_millis(250);
-/// First wait before a seed that is not known is asked again; each further one is twice as long, up to a
-/// tick. Hosts of a fleet start within a moment of each other, and none waits for its seeds.
-const FIRST_SEED_WAIT: Duration = Duration::from_millis(30);
-/// Ticks between two tellings of the same keepers, as every keeper tells every host.
-const TICKS_UNCHANGED: u32 = 12;
+/// First wait before an unknown seed is queried again; doubles with each query up to
+/// [`DISCOVERY_TICK`]. The hosts of a fleet start at almost the same time and none waits for its
+/// seeds, so the first query often comes shortly too early.
+const SEED_BASE_BACKOFF: Duration = Duration::from_millis(30);
+/// Ticks after which an unchanged list of keepers is sent again. The interval is long because every
+/// keeper sends the list to every host.
+const RESEND_TICKS: u32 = 12;
 
-/// What discovery starts from.
+/// Parameters of [`PeerDiscovery`].
 #[derive(Clone, Debug)]
 pub struct DiscoveryStart {
-    /// This host.
+    /// Name of this host.
     pub host: HostName,
-    /// Where it takes links, and what it is.
+    /// Endpoint of this host, its data centre and whether it is a keeper.
     pub reach: HostReach,
-    /// Addresses for peers of the hosts that were there first.
+    /// Addresses on which the founding hosts accept links of peers.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What was told last, and for how many ticks it has not changed.
+/// Last sent list of keepers, its receivers, and the ticks since it was sent to all peers.
 #[derive(Debug, Default)]
-struct ToldHosts {
+struct SentHosts {
     keepers: Vec<(HostName, HostReach)>,
     /// Sorted.
     peers: Vec<HostName>,
     ticks: u32,
 }
 
-impl ToldHosts {
-    /// Who of `peers` is to be told now: all if keepers changed, who has just come, and all once in a while.
+impl SentHosts {
+    /// Returns the peers that the list is due for: all if `keepers` changed or after
+    /// [`RESEND_TICKS`], otherwise the peers that were not up at the last call.
     fn due(&mut self, keepers: &[HostGossip], peers: Vec<HostName>) -> Vec<HostName> {
-        let known = keepers.iter().map(|note| (&note.host, &note.reach));
+        let known = keepers.iter().map(|gossip| (&gossip.host, &gossip.reach));
         let is_same = known.eq(self.keepers.iter().map(|(host, reach)| (host, reach)));
         self.ticks += 1;
-        if is_same && self.ticks < TICKS_UNCHANGED {
+        if is_same && self.ticks < RESEND_TICKS {
             let is_new = |peer: &&HostName| self.peers.binary_search(peer).is_err();
             let new = peers.iter().filter(is_new).cloned().collect();
             self.peers = peers;
@@ -61,7 +64,7 @@
         }
         let keepers = keepers.iter();
         self.keepers = keepers
-            .map(|note| (note.host.clone(), note.reach.clone()))
+            .map(|gossip| (gossip.host.clone(), gossip.reach.clone()))
             .collect();
         self.peers = peers.clone();
         self.ticks = 0;
@@ -69,13 +72,13 @@
     }
 }
 
-/// Finds peers; every method is safe to call at any time.
+/// Directory of discovered hosts and the tasks that fill it.
 pub struct PeerDiscovery {
     reach: HostReach,
     seeds: Vec<SocketAddr>,
     host: HostName,
     directory: Mutex<HostDirectory>,
-    /// Hosts that take callers, as a keeper told last; 0 before.
+    /// Number of hosts that accept callers, from the last list of a keeper; 0 before the first.
     entries: AtomicU32,
     clock: Arc<dyn crate::clock::TimeSource>,
 }
@@ -91,7 +94,7 @@
 }
 
 impl PeerDiscovery {
-    /// A discovery that knows nobody.
+    /// Creates a discovery that knows no other host.
     pub fn new(start: DiscoveryStart, clock: Arc<dyn crate::clock::TimeSource>) -> Self {
         let directory = HostDirectory::new(start.host.clone(), DirectorySettings::default());
         Self {
@@ -104,17 +107,18 @@
         }
     }
 
-    /// Where this host takes links.
+    /// Endpoint of this host.
     pub fn own_reach(&self) -> HostReach {
         self.reach.clone()
     }
 
-    /// Hosts that take callers, this one included; `None` before a keeper told of them.
+    /// Number of hosts that accept callers, including this one if it does; `None` before the first
+    /// list of a keeper.
     pub fn entry_count(&self) -> Option<u32> {
         Some(self.entries.load(Ordering::Relaxed)).filter(|entries| *entries > 0)
     }
 
-    /// Known keepers, this host included if it is one, by name.
+    /// Known keepers, including this host if it is one, sorted by name.
     pub fn keepers(&self) -> Vec<HostName> {
         let mut keepers: Vec<HostName> = self.lock().keepers().cloned().collect();
         if self.reach.keeper {
@@ -132,18 +136,18 @@
         self.lock().is_keeper(host)
     }
 
-    /// Hosts that take heartbeats for keepers.
+    /// Known hosts that accept heartbeats for the keepers.
     pub fn heartbeat_hosts(&self) -> Vec<HeartbeatHost> {
         self.lock().heartbeat_hosts()
     }
 
-    /// Whether `host` stands in this host's data centre.
+    /// Whether `host` is this host or known to be in its data centre.
     pub fn is_in_own_data_centre(&self, host: &HostName) -> bool {
         let own = self.reach.data_centre.as_ref();
         *host == self.host || own.is_some_and(|own| self.lock().is_in(host, own))
     }
 
-    /// Hosts at the seed addresses; `None` until each of them is known.
+    /// Hosts at the seed addresses, sorted by name; `None` until all of them are known.
     pub fn seed_hosts(&self) -> Option<Vec<HostName>> {
         let directory = self.lock();
         let mut hosts = self
@@ -156,99 +160,100 @@
         Some(hosts)
     }
 
-    /// A host said hello.
+    /// Records the endpoint from a host's hello.
     pub(super) fn record_hello(&self, hub: &PeerHub, host: &HostName, reach: HostReach) {
-        let news = self.lock().observe(self.clock.now(), host, reach);
-        self.apply(hub, news);
+        let change = self.lock().observe(self.clock.now(), host, reach);
+        self.apply(hub, change);
     }
 
-    /// A host told of others.
-    pub(super) fn receive_hosts(&self, hub: &PeerHub, notes: &[HostGossip], entries: u32) {
+    /// Merges a list of keepers and the number of other hosts, as a peer sent them.
+    pub(super) fn receive_hosts(&self, hub: &PeerHub, gossip_list: &[HostGossip], entries: u32) {
         let now = self.clock.now();
         self.entries.store(entries, Ordering::Relaxed);
-        for note in notes {
-            let news = self.lock().observe_gossip(now, note);
-            self.apply(hub, news);
+        for gossip in gossip_list {
+            let change = self.lock().observe_gossip(now, gossip);
+            self.apply(hub, change);
         }
     }
 
-    /// Looks for peers for as long as the process runs.
+    /// Queries seeds and refreshes the directory on each tick; never returns.
     pub(super) async fn run(self: Arc<Self>, hub: PeerHub) {
         let mut seeds = JoinSet::new();
         if self.reach.keeper {
             for seed in &self.seeds {
-                seeds.spawn(Arc::clone(&self).seek(hub.clone(), *seed));
+                seeds.spawn(Arc::clone(&self).watch_seed(hub.clone(), *seed));
             }
         } else {
-            seeds.spawn(Arc::clone(&self).seek_any(hub.clone()));
+            seeds.spawn(Arc::clone(&self).find_keeper(hub.clone()));
         }
         let mut ticks = interval(DISCOVERY_TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut told = ToldHosts::default();
+        let mut sent = SentHosts::default();
         loop {
             ticks.tick().await;
-            self.tell(&hub, &mut told);
+            self.refresh(&hub, &mut sent);
         }
     }
 
-    /// Asks who is at a seed address whenever no known host is.
-    async fn seek(self: Arc<Self>, hub: PeerHub, seed: SocketAddr) {
-        let mut wait = FIRST_SEED_WAIT;
+    /// Queries the host at a seed address while no known host has that address; never returns.
+    async fn watch_seed(self: Arc<Self>, hub: PeerHub, seed: SocketAddr) {
+        let mut wait = SEED_BASE_BACKOFF;
         loop {
             if self.is_known(seed) {
                 wait = DISCOVERY_TICK;
             } else {
-                self.ask_seed(&hub, seed).await;
+                self.query_seed(&hub, seed).await;
             }
             sleep(wait).await;
             wait = (wait * 2).min(DISCOVERY_TICK);
         }
     }
 
-    /// Asks one seed address after the other while no keeper is known: one keeper tells of all. All hosts
-    /// of a fleet that asked every seed would keep those from founding the group.
-    async fn seek_any(self: Arc<Self>, hub: PeerHub) {
+    /// Queries the seeds in turn while no keeper is known, since one keeper sends the list of all.
+    /// If all hosts of a fleet queried every seed, the seeds would be too busy to found the group.
+    async fn find_keeper(self: Arc<Self>, hub: PeerHub) {
         let mut seeds = self.seeds.clone();
         seeds.shuffle(&mut rand::rng());
-        let mut wait = FIRST_SEED_WAIT;
+        let mut wait = SEED_BASE_BACKOFF;
         for seed in seeds.iter().cycle() {
             while self.knows_keeper() {
                 sleep(DISCOVERY_TICK).await;
-                wait = FIRST_SEED_WAIT;
+                wait = SEED_BASE_BACKOFF;
             }
-            self.ask_seed(&hub, *seed).await;
+            self.query_seed(&hub, *seed).await;
             sleep(wait).await;
             wait = (wait * 2).min(DISCOVERY_TICK);
         }
     }
 
-    async fn ask_seed(&self, hub: &PeerHub, seed: SocketAddr) {
-        // A certificate would have to name the host, which is what is asked; seeds are for networks
-        // that are protected otherwise.
-        let nameless = HostName::from("seed");
-        match request_hello(hub, &nameless, seed).await {
+    async fn query_seed(&self, hub: &PeerHub, seed: SocketAddr) {
+        // The dialer needs a host name to check a certificate, but this query has yet to find out
+        // the name. So seeds are only for networks that are protected otherwise.
+        let placeholder = HostName::from("seed");
+        match request_hello(hub, &placeholder, seed).await {
             Ok(hello) => {
                 if let Some(reach) = hello.reach {
                     self.record_hello(hub, &hello.host, reach);
                 }
             }
-            Err(error) => log::debug!(seed:% = seed, error:% = error; "seed does not answer"),
+            Err(error) => log::debug!(seed:% = seed, error:% = error; "seed query failed"),
         }
     }
 
-    /// Confirms hosts whose links work, forgets those that are gone, and tells peers of keepers.
-    fn tell(&self, hub: &PeerHub, told: &mut ToldHosts) {
+    /// Confirms hosts with an outbound link that is up, removes hosts that are not confirmed any
+    /// more and, on a keeper, sends the list of keepers to the peers that it is due for.
+    fn refresh(&self, hub: &PeerHub, sent: &mut SentHosts) {
         let now = self.clock.now();
         let up = hub.status().into_iter().filter(|peer| peer.up);
-        let news = {
+        let changes = {
             let mut directory = self.lock();
             for peer in up {
                 directory.confirm(now, &peer.host);
             }
             directory.tick(now)
         };
-        for item in news {
-            self.apply(hub, Some(item));
+        for change in changes {
+            self.apply(hub, Some(change));
         }
         if !self.reach.keeper {
             return;
@@ -257,30 +262,30 @@
             let directory = self.lock();
             (directory.gossip(now), directory.entry_count())
         };
-        let due = told.due(&keepers, hub.up_hosts());
+        let due = sent.due(&keepers, hub.up_hosts());
         if !due.is_empty() {
-            // A frame that is lost is made up for by the next telling.
+            // The next list corrects the loss of a frame.
             hub.send_to(&due, &PeerFrame::Hosts { keepers, entries });
         }
     }
 
-    fn apply(&self, hub: &PeerHub, news: Option<DirectoryChange>) {
-        match news {
+    fn apply(&self, hub: &PeerHub, change: Option<DirectoryChange>) {
+        match change {
             Some(DirectoryChange::Reach { host, reach }) => {
-                log::info!(host:% = host, address:% = reach.address, keeper = reach.keeper; "peer found");
+                log::info!(host:% = host, address:% = reach.address, keeper = reach.keeper; "peer's address learned");
                 let address = reach.address;
                 hub.add_peer(PeerAddress { host, address });
             }
             Some(DirectoryChange::Forgotten { host }) => {
-                log::info!(host:% = host; "peer forgotten");
+                log::info!(host:% = host; "peer removed");
                 hub.remove_peer(&host);
             }
             None => {}
         }
     }
 
-    /// Tells a host whose link has just come up which keepers there are, where this host is one. By the
-    /// next tick it would have waited for half a second, after each start of the whole system.
+    /// Sends the list of keepers to a host whose link has just come up, if this host is a keeper.
+    /// Without it, hosts waited half a second for the next tick after each start of the system.
     pub(super) fn send_keepers(&self, hub: &PeerHub, host: &HostName) {
         if !self.reach.keeper {
             return;
@@ -289,7 +294,7 @@
             let directory = self.lock();
             (directory.gossip(self.clock.now()), directory.entry_count())
         };
-        // It is told again with the next tick.
+        // If this fails, the next tick sends the list again.
         let _ = hub.send(host, &PeerFrame::Hosts { keepers, entries });
     }
 
--- a/crates/daemon/src/peers/error.rs
+++ b/crates/daemon/src/peers/error.rs
@@ -1,4 +1,4 @@
-//! Why a link ended.
+//! Errors that end a link.
 
 use derive_more::{Display, Error};
 use pollendrift_coordination::base::HostName;
@@ -6,24 +6,24 @@
 
 use super::frame::FrameError;
 
-/// Why a hello was refused; the other side logs it.
+/// Reason why a hello was refused; sent to the peer, which logs it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HelloRefusal {
     /// The protocol versions differ.
-    #[display("protocol {found} is not spoken here (spoken: {spoken})")]
+    #[display("protocol version {found} is not supported (supported: {spoken})")]
     Protocol {
         /// Version in the hello.
         found: u32,
         /// Version of this process.
         spoken: u32,
     },
-    /// The settings don't name the host.
+    /// The host is no known peer.
     #[display("host {host} is not in the settings")]
     UnknownHost {
         /// Host in the hello.
         host: HostName,
     },
-    /// The certificate is another host's.
+    /// The certificate belongs to another host.
     #[display("hello names host {host}, but the certificate proves {proven}")]
     OtherProof {
         /// Host in the hello.
@@ -31,12 +31,12 @@
         /// Host that the certificate proves.
         proven: HostName,
     },
-    /// The hello came late or was no hello.
+    /// The first frame was not a hello.
     #[display("first frame is not a hello")]
     NoHello,
 }
 
-/// Why a link ended.
+/// Error that ended a link.
 #[derive(Debug, Display, Error)]
 pub enum LinkError {
     /// Connecting failed.
@@ -45,46 +45,46 @@
     /// The websocket failed.
     #[display("connection failed: {reason}")]
     Socket {
-        /// The library's words.
+        /// Error text of the websocket library.
         reason: String,
     },
     /// A step took too long.
-    #[display("no end of {step} in time")]
+    #[display("{step} timed out")]
     Timeout {
-        /// The step.
+        /// Step that timed out.
         step: &'static str,
     },
-    /// A frame can't be read.
+    /// A frame can't be encoded or decoded.
     #[display("{_0}")]
     Frame(FrameError),
     /// The peer refused the hello.
     #[display("peer refused: {refusal}")]
     Refused {
-        /// The peer's reason.
+        /// Reason that the peer sent.
         refusal: HelloRefusal,
     },
     /// This process refused the hello.
     #[display("refused: {refusal}")]
     Refusing {
-        /// The reason.
+        /// Reason that was sent to the peer.
         refusal: HelloRefusal,
     },
     /// Another host answered at the address.
-    #[display("host {found} answers where {expected} belongs")]
+    #[display("found host {found} at the address of host {expected}")]
     WrongHost {
         /// Host that answered.
         found: HostName,
-        /// Host of the settings.
+        /// Host that was expected at the address.
         expected: HostName,
     },
-    /// A frame that has no place here.
-    #[display("unexpected frame: {what}")]
+    /// A frame or message arrived that is not allowed on this link at this time.
+    #[display("unexpected frame: {description}")]
     Unexpected {
-        /// What came.
-        what: &'static str,
+        /// Description of the frame.
+        description: &'static str,
     },
-    /// The peer has not been heard in time: it or the way to it is gone.
-    #[display("peer is silent")]
+    /// No frame arrived in time: the peer or the network path to it has failed.
+    #[display("no frame of the peer within the silence timeout")]
     Silent,
     /// The peer closed the link.
     #[display("peer closed the link")]
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -1,4 +1,4 @@
-//! What travels between peers: one `ciborium` value in each binary websocket message.
+//! Frames between peers: each binary websocket message contains one CBOR value of `ciborium`.
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
 use super::compression::{compress, decompress};
 use super::error::HelloRefusal;
 
-/// Version of the frames. Peers of another version are refused, never guessed at.
+/// Protocol version. Peers with another version are refused.
 pub const PEER_PROTOCOL: u32 = 5;
 
-/// Deepest nesting of a frame; the deepest that is sent has about ten levels.
+/// Maximum nesting depth of a decoded frame; sent frames have at most about ten levels.
 const FRAME_DEPTH: usize = 32;
 
-/// Number of a heartbeat on one link.
+/// Number of a heartbeat, increasing on one link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HeartbeatNumber(pub u64);
 
-/// Bytes that another layer encoded, as one byte string.
+/// Content that another layer encoded; serialized as one byte string.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FrameBytes(pub Bytes);
 
@@ -79,133 +79,136 @@
     }
 }
 
-/// First frame of both sides.
+/// First frame that each side of a link sends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Version of the frames that follow.
+    /// Protocol version of the sender.
     pub protocol: u32,
-    /// Host that speaks.
+    /// Host of the sender.
     pub host: HostName,
-    /// Life of its process.
+    /// Incarnation of the sender's process.
     pub process: Incarnation,
-    /// Where it takes links, where hosts find each other.
+    /// Endpoint of the sender; `None` without discovery.
     pub reach: Option<HostReach>,
 }
 
-/// What one process asks of another; the answer carries the same number.
+/// Call of one process to another; its answer has the same number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerCall {
-    /// Number, unique in the asking process.
+    /// Number of the call, unique in the calling process.
     pub number: CallNumber,
-    /// Processes that have already passed the question on.
+    /// Number of processes that have forwarded the question.
     pub hops: u8,
-    /// Time after which the asker has given up; the answer is then of no use.
+    /// Timeout of the requester; it ignores a later answer.
     pub patience: Duration,
-    /// The question.
+    /// Content of the call.
     pub question: PeerQuestion,
 }
 
-/// A keeper, its group, and whom it takes for keepers.
+/// A keeper, its group, and the hosts that it knows as founders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperIntroduction {
-    /// The keeper.
+    /// Host and incarnation of the keeper.
     pub keeper: KeeperId,
-    /// Its group; `None` while it has none.
+    /// Group of the keeper; `None` while it has none.
     pub group: Option<JoinedGroup>,
-    /// Hosts that its settings name as keepers, sorted.
+    /// Founders that the keeper knows, from its settings or its seeds, sorted; empty until all are
+    /// known.
     pub keepers: Vec<HostName>,
-    /// In an answer: an incarnation of the asker's host that stands against the asker's.
+    /// Only in an answer: a known incarnation of the requester's host that is not lower than the
+    /// requester's, while the requester is no member. The requester must raise its own above it.
     pub outranked_by: Option<Incarnation>,
 }
 
-/// A question.
+/// Content of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerQuestion {
-    /// Run a command through the agreement group.
+    /// Requests a command to run through the agreement group.
     Submit(FrameBytes),
-    /// Which log index must be applied to read what was accepted before this question?
+    /// Requests the log index that a state must contain to include every command accepted before
+    /// this question.
     ReadBarrier,
-    /// Which configuration is in force, by a quorum-checked read?
+    /// Requests the configuration in force, by a quorum-checked read.
     ConfigurationAfter {
-        /// Revision that the asker holds; its content is left out of the answer.
+        /// Revision that the requester has; the answer omits its content.
         have: Option<Revision>,
     },
-    /// An operator's question that needs a keeper, encoded.
+    /// Encoded question of an operator that only a keeper can answer.
     Operator(FrameBytes),
-    /// What is known of a request?
+    /// Requests the stored record of a request.
     RequestLookUp(RequestId),
-    /// Which keeper are you, and of which group? Asked by a keeper that belongs to none.
+    /// Introduces a keeper without a group; requests the receiver's introduction.
     Introduction(KeeperIntroduction),
-    /// Take this keeper into the group, or the next step of that.
+    /// Requests the next step that adds this keeper to the membership.
     Join(KeeperId),
 }
 
-/// What leads the asker to a configuration.
+/// Content of a configuration, relative to the revision that the requester has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationContent {
-    /// Nothing: the asker holds it.
+    /// The requester has the configuration already.
     Unchanged,
-    /// What changed since the revision that the asker holds.
+    /// Changes since the revision that the requester has.
     Delta(ConfigurationDelta),
-    /// Canonical text.
+    /// Canonical text of the complete configuration.
     Whole(FrameBytes),
 }
 
-/// An answer.
+/// Answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// The command ran; the state machine's answer.
+    /// The command ran; contains the answer of the state machine.
     Submitted(FrameBytes),
-    /// Configuration that was in force when the question was read.
+    /// Configuration that was in force when the question was processed.
     Configuration {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
-        /// What the asker lacks of it.
+        /// Content that the requester lacks.
         content: ConfigurationContent,
     },
-    /// Encoded answer to an operator's question.
+    /// Encoded answer to a question of an operator.
     Operator(FrameBytes),
-    /// Log index that must be applied.
+    /// Log index that a state must contain to be read.
     Readable(u64),
-    /// Encoded record of the request; `None` if this host knows nothing of it.
+    /// Encoded record of the request; `None` if this host has none.
     Request(Option<FrameBytes>),
-    /// Which keeper this is.
+    /// Introduction of the answering keeper.
     Introduced(KeeperIntroduction),
-    /// It was not done here, and may be asked elsewhere: this keeper doesn't lead.
+    /// This keeper doesn't lead and ran nothing; the requester may call another keeper.
     NotLeader {
-        /// Who does, where known.
+        /// Host of the leader, if known.
         leader: Option<HostName>,
     },
-    /// It was not done, and won't be.
+    /// The request did not run and never will.
     NotRun {
-        /// Why.
+        /// Reason of the refusal.
         reason: String,
     },
-    /// It may or may not have been done.
+    /// The request may have run.
     Unknown {
-        /// Why.
+        /// Reason why the outcome is unknown.
         reason: String,
     },
 }
 
-/// How configurations travel.
+/// Frame that transfers configurations or announces revisions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationFrame {
-    /// Sender holds this revision, and it is the newest it knows.
+    /// Announces the newest revision that the sender has.
     Holds {
-        /// The revision.
+        /// Revision that the sender has.
         revision: Revision,
     },
-    /// Changes that lead on from a revision.
+    /// Changes since a revision.
     Push(ConfigurationDelta),
-    /// Asks for everything after a revision.
+    /// Requests all changes since a revision.
     Pull {
-        /// Revision that the asker holds.
+        /// Revision that the requester has.
         have: Revision,
     },
-    /// A whole configuration, where no delta leads to it.
+    /// A complete configuration, if no delta to it is available.
     Whole {
-        /// The revision.
+        /// Revision of the configuration.
         revision: Revision,
         /// Encoded configuration.
         content: FrameBytes,
@@ -215,88 +218,89 @@
 /// One message between peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerFrame {
-    /// Opens a link, from both sides.
+    /// Opens a link; each side sends one.
     Hello(PeerHello),
-    /// Answers a hello in place of another; the link ends.
+    /// Refuses a hello; the link ends.
     Refusal(HelloRefusal),
-    /// Asks for an echo.
+    /// Requests an echo.
     Heartbeat(HeartbeatNumber),
     /// Answers a heartbeat, on the same link.
     Echo(HeartbeatNumber),
-    /// Encoded message of the agreement group.
+    /// Encoded message between keepers of the agreement group.
     Agreement(FrameBytes),
-    /// A question.
+    /// Call to the receiver.
     Call(PeerCall),
-    /// Its answer.
+    /// Answer to a call.
     Answer {
-        /// Number of the call.
+        /// Number of the answered call.
         number: CallNumber,
-        /// The answer.
+        /// Content of the answer.
         answer: PeerAnswer,
     },
-    /// Configurations.
+    /// Configuration or revision.
     Configuration(ConfigurationFrame),
-    /// Hosts that the sender, a keeper, knows of.
+    /// Hosts that the sender, a keeper, knows.
     Hosts {
-        /// Keepers.
+        /// Known keepers.
         keepers: Vec<HostGossip>,
-        /// Number of the others, which take callers.
+        /// Number of the other hosts, which accept callers.
         entries: u32,
     },
-    /// Tokens that go to a caller of the sender.
+    /// Progress of a stream to a caller of the sender.
     Stream(StreamUpdate),
     /// Leases of backend servers that changed or were renewed.
     Leases(LeaseBatch),
-    /// What a survey of engines found.
+    /// Results of a survey of engines.
     Survey {
-        /// What it found.
+        /// Survey results.
         notes: Vec<SurveyResult>,
-        /// Whether the receiver passes it on to hosts that follow it.
+        /// Whether the receiver forwards the results to the hosts that follow it.
         pass_on: bool,
     },
-    /// Asks for full announcements of servers that the receiver renewed and the sender lacks.
+    /// Requests full announcements of servers that the receiver renewed and the sender lacks.
     LeaseQuestion(Vec<ServerName>),
-    /// Asks for the names of leases that the receiver renewed by numbers which the sender lacks, in rising
-    /// order.
+    /// Requests the names of leases that the receiver renewed by numbers unknown to the sender, in
+    /// ascending order.
     LeaseNumbers(Vec<LeaseNumber>),
 }
 
 impl PeerFrame {
-    /// Whether a newer frame of the same kind makes up for the loss of this one.
+    /// Whether a later frame of the same kind corrects the loss of this one.
     pub(super) fn is_retransmitted(&self) -> bool {
         matches!(self, Self::Agreement(_))
     }
 
-    /// Whether to pack a large frame. Keepers have wide links to each other, and little processor time
-    /// for what each of them gets apart.
+    /// Whether to compress a large frame. Agreement messages are not compressed: links between
+    /// keepers have high bandwidth, and a keeper encodes a separate message for each other keeper,
+    /// which would use too much processor time.
     fn is_worth_compressing(&self) -> bool {
         !matches!(self, Self::Agreement(_))
     }
 }
 
-/// Why bytes are no frame.
+/// Error of encoding or decoding a frame.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// Over the bound.
+    /// The frame is larger than the limit.
     #[display("frame of {bytes} bytes is over the bound of {bound}")]
     TooLarge {
         /// Size in bytes.
         bytes: usize,
-        /// Bound in bytes.
+        /// Limit in bytes.
         bound: usize,
     },
-    /// Not a frame of this protocol version.
+    /// The value can't be encoded, or the bytes are no frame of this protocol version.
     #[display("frame can't be read: {reason}")]
     Garbage {
-        /// The decoder's words.
+        /// Error text of the encoder or decoder.
         reason: String,
     },
 }
 
-/// Encodes a frame of at most `bound` bytes.
+/// Encodes a frame of at most `bound` bytes, before compression.
 ///
 /// # Errors
-/// The frame is larger.
+/// The frame is larger, or can't be encoded.
 pub fn encode_frame(frame: &PeerFrame, bound: usize) -> Result<Bytes, FrameError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(frame, &mut bytes).map_err(|error| FrameError::Garbage {
@@ -312,15 +316,15 @@
 /// Decodes a frame.
 ///
 /// # Errors
-/// The bytes are no frame; any bytes are safe.
+/// The bytes are no frame; untrusted bytes are safe.
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame, FrameError> {
     let garbage = |reason: String| FrameError::Garbage { reason };
-    let unpacked = decompress(bytes)?;
-    let mut rest = unpacked.as_ref();
+    let decompressed = decompress(bytes)?;
+    let mut rest = decompressed.as_ref();
     let frame = ciborium::de::from_reader_with_recursion_limit(&mut rest, FRAME_DEPTH)
         .map_err(|error| garbage(error.to_string()))?;
     if !rest.is_empty() {
-        return Err(garbage("bytes behind the frame".to_owned()));
+        return Err(garbage("trailing bytes after the frame".to_owned()));
     }
     Ok(frame)
 }
@@ -340,7 +344,7 @@
 /// Decodes a message between keepers.
 ///
 /// # Errors
-/// The bytes are no message; any bytes are safe.
+/// The bytes are no message; untrusted bytes are safe.
 pub fn decode_agreement(bytes: &[u8]) -> Result<AgreementEnvelope, FrameError> {
     ciborium::de::from_reader_with_recursion_limit(bytes, FRAME_DEPTH).map_err(|error| {
         FrameError::Garbage {
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -1,4 +1,4 @@
-//! All links of one process.
+//! Table of the links of one process, and the methods that send frames on them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,70 +24,71 @@
 use super::status::PeerStatus;
 use super::transport::{PeerAcceptor, PeerDialer};
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug)]
 pub struct PeerNode {
-    /// Host.
+    /// Host of this process.
     pub host: HostName,
-    /// Life of the process.
+    /// Incarnation of this process.
     pub process: Incarnation,
-    /// How peers are found where no list names them; `None` with a list, to which nobody is added.
+    /// Discovery of peers; `None` if the settings list the peers, and then none is added.
     pub discovery: Option<Arc<PeerDiscovery>>,
 }
 
-/// Where a peer listens.
+/// Address of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// The peer.
+    /// Host of the peer.
     pub host: HostName,
-    /// Its address for peers.
+    /// Address on which it accepts links of peers.
     pub address: SocketAddr,
 }
 
-/// Heartbeats without an echo after which a link counts as broken.
-const SILENT_HEARTBEATS: u32 = 4;
-/// Heartbeats of a working link that an attempt to open one costs as much as.
-const WAITED_HEARTBEATS: u32 = 2;
+/// Consecutive heartbeats without an echo after which a link counts as broken.
+const MISSED_HEARTBEATS: u32 = 4;
+/// Heartbeats of a working link that cost as much as one attempt to open a link.
+const BACKOFF_HEARTBEATS: u32 = 2;
 
-/// How often a link is tried.
+/// Intervals and timeouts of one link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LinkTiming {
     /// Time between two heartbeats.
     pub(super) heartbeat: Duration,
-    /// Silence after which the link counts as broken.
+    /// Time without a received frame after which the link counts as broken.
     pub(super) silence_timeout: Duration,
-    /// Longest wait between two attempts to open it.
+    /// Maximum wait between two attempts to open the link.
     pub(super) max_backoff: Duration,
-    /// Time for opening it.
+    /// Timeout for opening the link.
     pub(super) handshake: Duration,
 }
 
-/// Receiver of frames. Its methods run on the link's task and must not block; what takes time is
-/// spawned.
+/// Handler of received frames. Its methods run on the link's task and must not block; long work
+/// must be spawned.
 pub trait PeerHandler: Send + Sync {
-    /// Takes a frame other than those that the link itself handles (hello, heartbeats, answers).
+    /// Handles a frame, except the frames that the link itself handles (hello, heartbeats, answers,
+    /// hosts).
     fn handle(&self, hub: &PeerHub, from: &HostName, frame: PeerFrame);
 
-    /// The outbound link to a peer came up or went down.
+    /// Called when the outbound link to a peer has come up or gone down.
     fn link_changed(&self, hub: &PeerHub, host: &HostName, up: bool) {
         let _ = (hub, host, up);
     }
 }
 
-/// What is known of one peer.
+/// State of the link to one peer.
 pub(super) struct PeerSlot {
     pub(super) peer: PeerAddress,
     pub(super) queue: FrameQueue,
-    /// Answers that go back on the link that the peer opened last.
+    /// Queue of answers to calls of the peer, for the link that the peer opened last.
     replies: Mutex<Option<Arc<FrameQueue>>>,
-    notes: Mutex<LinkNotes>,
+    statistics: Mutex<LinkStatistics>,
     up: watch::Sender<bool>,
-    /// Task that keeps the outbound link.
+    /// Task that maintains the outbound link.
     task: Mutex<Option<AbortHandle>>,
 }
 
 #[derive(Default)]
-struct LinkNotes {
+struct LinkStatistics {
     links: u64,
     last_error: String,
     round_trip: Option<Duration>,
@@ -98,7 +99,7 @@
         Self {
             queue: FrameQueue::new(settings),
             replies: Mutex::default(),
-            notes: Mutex::default(),
+            statistics: Mutex::default(),
             up: watch::Sender::new(false),
             task: Mutex::default(),
             peer,
@@ -110,36 +111,38 @@
         if let Some(task) = task.as_ref() {
             task.abort();
         }
-        self.mark_down("the peer was taken out".to_owned());
+        self.mark_down("the peer was removed".to_owned());
     }
 
-    fn notes(&self) -> MutexGuard<'_, LinkNotes> {
-        self.notes.lock().unwrap_or_else(PoisonError::into_inner)
+    fn statistics(&self) -> MutexGuard<'_, LinkStatistics> {
+        self.statistics
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn record_round_trip(&self, time: Duration) {
-        self.notes().round_trip = Some(time);
+        self.statistics().round_trip = Some(time);
     }
 
     pub(super) fn mark_up(&self) {
-        self.notes().links += 1;
+        self.statistics().links += 1;
         self.queue.set_link_up(true);
         self.up.send_replace(true);
     }
 
     pub(super) fn mark_down(&self, error: String) {
-        self.notes().last_error = error;
+        self.statistics().last_error = error;
         self.queue.set_link_up(false);
         self.up.send_replace(false);
     }
 
-    /// Takes the answers for a link that the peer has just opened.
+    /// Sets the queue of answers for a link that the peer has just opened.
     pub(super) fn open_replies(&self, queue: &Arc<FrameQueue>) {
         queue.set_link_up(true);
         *self.replies() = Some(queue.clone());
     }
 
-    /// Ends the answers for a link, unless the peer has opened another one since.
+    /// Closes the queue of answers for a link; removes it unless the peer has opened another link.
     pub(super) fn close_replies(&self, queue: &Arc<FrameQueue>) {
         queue.set_link_up(false);
         let mut replies = self.replies();
@@ -157,14 +160,14 @@
 
     fn status(&self) -> PeerStatus {
         let usage = self.queue.usage();
-        let notes = self.notes();
+        let statistics = self.statistics();
         PeerStatus {
             host: self.peer.host.clone(),
             address: self.peer.address,
             up: *self.up.borrow(),
-            links: notes.links,
-            last_error: notes.last_error.clone(),
-            round_trip: notes.round_trip,
+            links: statistics.links,
+            last_error: statistics.last_error.clone(),
+            round_trip: statistics.round_trip,
             queued: usage.frames,
             dropped: usage.dropped,
         }
@@ -182,19 +185,19 @@
     pub(super) calls: CallTable,
 }
 
-/// Handle to all links; clones are cheap.
+/// Handle to all links of the process; clones are cheap.
 #[derive(Clone)]
 pub struct PeerHub {
     pub(super) shared: Arc<HubShared>,
 }
 
-/// Tasks of all links; dropping them ends every link at once.
+/// Owner of the tasks of all links; dropping it ends every link at once.
 pub struct PeerTasks {
     hub: PeerHub,
     tasks: JoinSet<()>,
 }
 
-/// Starts a link to each peer.
+/// Starts a task that maintains a link to each peer.
 pub fn start_peers(
     node: PeerNode,
     settings: LinkSettings,
@@ -229,13 +232,13 @@
         &self.hub
     }
 
-    /// Accepts peers' links on `listener` from now on.
+    /// Spawns a task that accepts links of peers on `listener`.
     pub fn accept(&mut self, listener: TcpListener, acceptor: Arc<dyn PeerAcceptor>) {
         self.tasks
             .spawn(accept_streams(self.hub.clone(), listener, acceptor));
     }
 
-    /// Finds peers from now on, where the node has a discovery.
+    /// Spawns the task of discovery, if the node has one.
     pub fn discover(&mut self) {
         if let Some(discovery) = self.hub.discovery().cloned() {
             self.tasks.spawn(discovery.run(self.hub.clone()));
@@ -252,26 +255,26 @@
 }
 
 impl PeerHub {
-    /// This process's host.
+    /// Host of this process.
     #[must_use]
     pub fn host(&self) -> &HostName {
         &self.shared.node.host
     }
 
-    /// Hosts of all peers, by name.
+    /// Hosts of all peers, sorted by name.
     #[must_use]
     pub fn hosts(&self) -> Vec<HostName> {
         self.slots().keys().cloned().collect()
     }
 
-    /// How peers are found; `None` where the settings list them.
+    /// Discovery of peers; `None` if the settings list them.
     #[must_use]
     pub fn discovery(&self) -> Option<&Arc<PeerDiscovery>> {
         self.shared.node.discovery.as_ref()
     }
 
-    /// Keeps a link to `peer` from now on; one that is reached elsewhere than before gets a new
-    /// link.
+    /// Adds a peer and starts its link; does nothing for this host and for a known address. A peer
+    /// with a new address gets a new link.
     pub(super) fn add_peer(&self, peer: PeerAddress) {
         if peer.host == self.shared.node.host {
             return;
@@ -293,7 +296,7 @@
         slots.insert(slot.peer.host.clone(), slot);
     }
 
-    /// Ends the link to a peer that is gone for good.
+    /// Ends the link to a peer and removes the peer.
     pub(super) fn remove_peer(&self, host: &HostName) {
         let mut slots = self
             .shared
@@ -305,32 +308,35 @@
         }
     }
 
-    /// How often the link to `host` is tried. Keepers depend on each other and try theirs often. All other
-    /// links together cost a keeper the same, however many there are.
+    /// Timing of the link to `host`. Links between keepers have short intervals, since keepers
+    /// depend on each other. On other links the heartbeat interval grows with the number of hosts
+    /// that accept callers, so that a keeper's cost for all of them together stays the same.
     pub(super) fn timing_of(&self, host: &HostName) -> LinkTiming {
         let settings = &self.shared.settings;
         let is_between_keepers =
             |discovery: &PeerDiscovery| discovery.own_reach().keeper && discovery.is_keeper(host);
-        let far = self.discovery().filter(|found| !is_between_keepers(found));
-        let entries = far.and_then(|found| found.entry_count()).unwrap_or(0);
+        let link_discovery = self.discovery().filter(|found| !is_between_keepers(found));
+        let entries = link_discovery
+            .and_then(|found| found.entry_count())
+            .unwrap_or(0);
         let heartbeat = settings
             .heartbeat
             .max(settings.heartbeat_per_entry * entries);
         LinkTiming {
             heartbeat,
-            silence_timeout: settings.silence_timeout.max(heartbeat * SILENT_HEARTBEATS),
-            max_backoff: settings.max_backoff.max(heartbeat * WAITED_HEARTBEATS),
-            handshake: match far {
+            silence_timeout: settings.silence_timeout.max(heartbeat * MISSED_HEARTBEATS),
+            max_backoff: settings.max_backoff.max(heartbeat * BACKOFF_HEARTBEATS),
+            handshake: match link_discovery {
                 Some(_) => settings.entry_handshake_timeout,
                 None => settings.handshake_timeout,
             },
         }
     }
 
-    /// Queues a frame; never waits.
+    /// Queues a frame for `host`; never waits.
     ///
     /// # Errors
-    /// The frame was not sent and won't be.
+    /// The frame was not queued and is never sent.
     pub fn send(&self, host: &HostName, frame: &PeerFrame) -> Result<(), SendRefusal> {
         let slot = self.slot(host).ok_or(SendRefusal::UnknownHost)?;
         let bytes = self.encode(frame)?;
@@ -340,7 +346,8 @@
         slot.queue.push(bytes)
     }
 
-    /// Queues a frame for each of `hosts`, encoded once; returns those for which it was queued.
+    /// Encodes a frame once and queues it for each of `hosts`; returns the hosts whose queue
+    /// accepted it.
     pub fn send_to<'hosts>(
         &self,
         hosts: &'hosts [HostName],
@@ -349,7 +356,7 @@
         let bytes = match self.encode(frame) {
             Ok(bytes) => bytes,
             Err(refusal) => {
-                log::error!(reason:% = refusal; "frame for many peers not sent");
+                log::error!(reason:% = refusal; "frame for several peers can't be encoded, sent to none");
                 return Vec::new();
             }
         };
@@ -360,7 +367,7 @@
         hosts.iter().filter(is_queued).collect()
     }
 
-    /// Peers whose links work, by name.
+    /// Peers whose outbound link is up, sorted by name.
     #[must_use]
     pub fn up_hosts(&self) -> Vec<HostName> {
         let slots = self.slots();
@@ -368,32 +375,33 @@
         up.map(|(host, _)| host.clone()).collect()
     }
 
-    /// Asks a peer and waits for its answer, for `patience` at most.
+    /// Sends a question to a peer and waits for its answer, for at most `answer_timeout`.
     ///
     /// # Errors
-    /// [`CallError::NotSent`] only if the question never left this process.
+    /// [`CallError::NotSent`] if the question never left this process, otherwise
+    /// [`CallError::NoAnswer`].
     pub async fn call(
         &self,
         host: &HostName,
         question: PeerQuestion,
         hops: u8,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Result<PeerAnswer, CallError> {
         let not_sent = |reason: String| CallError::NotSent { reason };
-        let mut waiting = self
+        let mut pending = self
             .shared
             .calls
             .open(host)
             .ok_or_else(|| not_sent("too many calls wait already".to_owned()))?;
         let call = PeerCall {
-            number: waiting.number,
+            number: pending.number,
             hops,
-            patience,
+            patience: answer_timeout,
             question,
         };
         self.send(host, &PeerFrame::Call(call))
             .map_err(|refusal| not_sent(refusal.to_string()))?;
-        let answer = timeout(patience, waiting.wait()).await;
+        let answer = timeout(answer_timeout, pending.wait()).await;
         answer.unwrap_or_else(|_| {
             Err(CallError::NoAnswer {
                 reason: "no answer in time".to_owned(),
@@ -401,11 +409,11 @@
         })
     }
 
-    /// Answers a call of `host`, on the link that it opened: the question came that way, while the
-    /// link to it may not be up yet. A lost answer shows up as the asker's timeout.
+    /// Answers a call of `host` on the link that `host` opened, on which the call arrived, since the
+    /// link to `host` may not be up yet; uses the link to `host` if the other one fails. The requester of a lost answer times out.
     ///
     /// # Errors
-    /// The answer was not sent.
+    /// The answer was not queued.
     pub fn answer(
         &self,
         host: &HostName,
@@ -424,13 +432,13 @@
         slot.queue.push(bytes)
     }
 
-    /// Follows whether the outbound link to `host` works; `None` if it is no peer.
+    /// Returns a receiver of whether the outbound link to `host` is up; `None` if it is no peer.
     #[must_use]
     pub fn watch_link(&self, host: &HostName) -> Option<watch::Receiver<bool>> {
         Some(self.slot(host)?.up.subscribe())
     }
 
-    /// Every peer as this process sees it, by name.
+    /// Status of the links to all peers, sorted by name.
     #[must_use]
     pub fn status(&self) -> Vec<PeerStatus> {
         self.slots().values().map(|slot| slot.status()).collect()
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -1,4 +1,4 @@
-//! Links that peers open to this process.
+//! Inbound links, which peers open to this process.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use super::transport::{AcceptedStream, PeerAcceptor};
 use crate::clock::{SystemClock, TimeSource};
 
-/// Wait for handshakes to end, while as many are open as may be.
+/// Time between two silence_checks for a free handshake slot while all slots are in use.
 const HANDSHAKE_PAUSE: Duration = Duration::from_millis(5);
-/// Wait after a failed accept, such as with no file handles left.
+/// Wait after a failed accept, for example when no file handle is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts links until the task is dropped, which ends all of them.
+/// Accepts links until the task is dropped; dropping it ends all links that it accepted.
 pub(super) async fn accept_streams(
     hub: PeerHub,
     listener: TcpListener,
@@ -32,7 +32,8 @@
     loop {
         while links.try_join_next().is_some() {}
         if hub.shared.handshakes.available_permits() == 0 {
-            // The system keeps connections waiting; closed, they would be opened again at once.
+            // The operating system queues further connections. If they were closed here, the peers
+            // would connect again at once.
             sleep(HANDSHAKE_PAUSE).await;
             continue;
         }
@@ -41,7 +42,7 @@
                 links.spawn(serve_tcp(hub.clone(), stream, acceptor.clone()));
             }
             Err(error) => {
-                log::warn!(error:% = error; "can't accept a peer");
+                log::warn!(error:% = error; "can't accept a connection of a peer");
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -49,11 +50,11 @@
 }
 
 async fn serve_tcp(hub: PeerHub, stream: TcpStream, acceptor: Arc<dyn PeerAcceptor>) {
-    let patience = hub.shared.settings.handshake_timeout;
-    let accepted = match timeout(patience, acceptor.accept(stream)).await {
+    let handshake_timeout = hub.shared.settings.handshake_timeout;
+    let accepted = match timeout(handshake_timeout, acceptor.accept(stream)).await {
         Ok(Ok(accepted)) => accepted,
         Ok(Err(error)) => {
-            log::debug!(error:% = error; "peer's connection failed");
+            log::debug!(error:% = error; "handshake of a peer's connection failed");
             return;
         }
         Err(_) => return,
@@ -62,43 +63,49 @@
     log::debug!(error:% = error; "link from a peer ended");
 }
 
-/// Serves one accepted link to its end and returns why it ended.
+/// Serves one accepted link and returns the error that ended it.
 ///
-/// Strangers cost a bounded number of handshakes at a time, each of bounded length.
+/// The number of concurrent handshakes and the time of each are limited, so that untrusted clients
+/// use limited resources.
 pub async fn serve_stream(hub: &PeerHub, accepted: AcceptedStream) -> LinkError {
     let Ok(permit) = hub.shared.handshakes.try_acquire() else {
         return LinkError::Timeout {
-            step: "waiting for other handshakes",
+            step: "wait for a handshake slot",
         };
     };
-    let greeted = timeout(hub.shared.settings.handshake_timeout, greet(hub, accepted)).await;
+    let handshake = timeout(
+        hub.shared.settings.handshake_timeout,
+        exchange_hello(hub, accepted),
+    )
+    .await;
     drop(permit);
-    match greeted {
+    match handshake {
         Ok(Ok(link)) => run_link(hub, link).await,
         Ok(Err(error)) => error,
-        Err(_) => LinkError::Timeout {
-            step: "the handshake",
-        },
+        Err(_) => LinkError::Timeout { step: "handshake" },
     }
 }
 
-/// A link whose hello was accepted.
-struct GreetedLink {
+/// Accepted link, after the exchange of hellos.
+struct AcceptedLink {
     host: HostName,
     sender: FrameSender,
     receiver: FrameReceiver,
 }
 
-async fn greet(hub: &PeerHub, accepted: AcceptedStream) -> Result<GreetedLink, LinkError> {
+async fn exchange_hello(
+    hub: &PeerHub,
+    accepted: AcceptedStream,
+) -> Result<AcceptedLink, LinkError> {
     let settings = &hub.shared.settings;
     let handshake = accept_async_with_config(accepted.stream, Some(socket_config(settings)));
-    let socket = with_timeout("the handshake", settings.handshake_timeout, handshake).await?;
+    let socket = with_timeout("handshake", settings.handshake_timeout, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     let first = receiver.receive().await?;
     match check_hello(hub, &first, accepted.proven) {
         Ok(host) => {
             sender.send(&hub.hello()).await?;
-            Ok(GreetedLink {
+            Ok(AcceptedLink {
                 host,
                 sender,
                 receiver,
@@ -138,7 +145,7 @@
     }
 }
 
-async fn run_link(hub: &PeerHub, mut link: GreetedLink) -> LinkError {
+async fn run_link(hub: &PeerHub, mut link: AcceptedLink) -> LinkError {
     let Some(slot) = hub.slot(&link.host) else {
         return LinkError::Closed;
     };
@@ -149,27 +156,28 @@
     error
 }
 
-async fn serve_frames(hub: &PeerHub, link: &mut GreetedLink, replies: &FrameQueue) -> LinkError {
-    // As for links that this process opened: a link does not get younger by a suspension.
+async fn serve_frames(hub: &PeerHub, link: &mut AcceptedLink, replies: &FrameQueue) -> LinkError {
+    // As on outbound links, this clock runs on while the machine is suspended.
     let clock = SystemClock::default();
-    let mut heard_at = clock.now();
-    let mut checks = interval(hub.shared.settings.heartbeat);
-    checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut last_received = clock.now();
+    let mut silence_checks = interval(hub.shared.settings.heartbeat);
+    silence_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let step = tokio::select! {
             biased;
             () = replies.ready() => link.sender.send_queued(replies).await,
             frame = link.receiver.receive() => {
-                heard_at = clock.now();
+                last_received = clock.now();
                 match frame {
-                    Ok(frame) => take_frame(hub, link, frame).await,
+                    Ok(frame) => receive_frame(hub, link, frame).await,
                     Err(error) => Err(error),
                 }
             }
-            _ = checks.tick() => {
-                // The other end may have been told of more hosts, and so beat more slowly.
-                let silence = hub.timing_of(&link.host).silence_timeout * 2;
-                if clock.now().since(heard_at) > silence {
+            _ = silence_checks.tick() => {
+                // The peer may know of more hosts than this process; its heartbeat interval is then
+                // longer.
+                let silence_timeout = hub.timing_of(&link.host).silence_timeout * 2;
+                if clock.now().since(last_received) > silence_timeout {
                     Err(LinkError::Silent)
                 } else {
                     Ok(())
@@ -182,9 +190,9 @@
     }
 }
 
-async fn take_frame(
+async fn receive_frame(
     hub: &PeerHub,
-    link: &mut GreetedLink,
+    link: &mut AcceptedLink,
     frame: PeerFrame,
 ) -> Result<(), LinkError> {
     match frame {
@@ -194,7 +202,7 @@
         }
         PeerFrame::Hello(_) | PeerFrame::Refusal(_) | PeerFrame::Echo(_) => {
             return Err(LinkError::Unexpected {
-                what: "frame of the handshake",
+                description: "handshake frame after the handshake",
             });
         }
         PeerFrame::Hosts { keepers, entries } => {
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -1,4 +1,4 @@
-//! The link that this process opens to one peer.
+//! Outbound link from this process to one peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use super::socket::{FrameReceiver, FrameSender, socket_config, split_socket, with_timeout};
 use crate::clock::{SystemClock, TimeSource};
 
-/// Address in the websocket's handshake; peers ignore it.
+/// URL in the websocket handshake; peers ignore it.
 const HANDSHAKE_URL: &str = "ws://peer/";
 
-/// Keeps one link open for as long as the process runs.
+/// Opens the link to a peer, and opens it again with back-off whenever it ends; never returns.
 pub(super) async fn maintain_link(hub: PeerHub, slot: Arc<PeerSlot>) {
     let host = &slot.peer.host;
     let mut backoff = RetryBackoff::new(&hub.shared.settings, salt_of(&hub, &slot));
@@ -46,10 +46,11 @@
     }
 }
 
-/// Differs for each pair of hosts, and is the same at every start.
+/// Salt of the back-off's jitter: the FNV-1a hash of the names of both hosts, so it differs between
+/// pairs of hosts and is the same at every start.
 fn salt_of(hub: &PeerHub, slot: &PeerSlot) -> u64 {
-    let pair = format!("{} {}", hub.host(), slot.peer.host);
-    pair.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+    let names = format!("{} {}", hub.host(), slot.peer.host);
+    names.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
 }
@@ -59,12 +60,10 @@
     slot: &PeerSlot,
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
     let _permit = hub.shared.dials.acquire().await;
-    let opening = connect(hub, slot);
-    timeout(hub.timing_of(&slot.peer.host).handshake, opening)
+    let connection = connect(hub, slot);
+    timeout(hub.timing_of(&slot.peer.host).handshake, connection)
         .await
-        .map_err(|_| LinkError::Timeout {
-            step: "the handshake",
-        })?
+        .map_err(|_| LinkError::Timeout { step: "handshake" })?
 }
 
 async fn connect(
@@ -84,19 +83,17 @@
     Ok((sender, receiver))
 }
 
-/// Asks whoever listens at `address` who it is; the link ends at once.
+/// Exchanges hellos with the host at `address`, closes the link and returns the hello of that host.
 pub(super) async fn request_hello(
     hub: &PeerHub,
     expected: &HostName,
     address: SocketAddr,
 ) -> Result<PeerHello, LinkError> {
     let _permit = hub.shared.dials.acquire().await;
-    let asking = exchange_hello(hub, expected, address);
-    let (hello, _, _) = timeout(hub.shared.settings.handshake_timeout, asking)
+    let exchange = exchange_hello(hub, expected, address);
+    let (hello, _, _) = timeout(hub.shared.settings.handshake_timeout, exchange)
         .await
-        .map_err(|_| LinkError::Timeout {
-            step: "the handshake",
-        })??;
+        .map_err(|_| LinkError::Timeout { step: "handshake" })??;
     Ok(hello)
 }
 
@@ -106,28 +103,29 @@
     address: SocketAddr,
 ) -> Result<(PeerHello, FrameSender, FrameReceiver), LinkError> {
     let settings = &hub.shared.settings;
-    let dialing = hub.shared.dialer.dial(expected, address);
-    let stream = dialing.await.map_err(LinkError::Dial)?;
+    let connection = hub.shared.dialer.dial(expected, address);
+    let stream = connection.await.map_err(LinkError::Dial)?;
     let handshake = client_async_with_config(HANDSHAKE_URL, stream, Some(socket_config(settings)));
-    let patience = hub.timing_of(expected).handshake;
-    let (socket, _) = with_timeout("the handshake", patience, handshake).await?;
+    let handshake_timeout = hub.timing_of(expected).handshake;
+    let (socket, _) = with_timeout("handshake", handshake_timeout, handshake).await?;
     let (mut sender, mut receiver) = split_socket(socket, settings);
     sender.send(&hub.hello()).await?;
     match receiver.receive().await? {
         PeerFrame::Hello(hello) => Ok((hello, sender, receiver)),
         PeerFrame::Refusal(refusal) => Err(LinkError::Refused { refusal }),
         _ => Err(LinkError::Unexpected {
-            what: "first frame is no hello",
+            description: "first frame is neither a hello nor a refusal",
         }),
     }
 }
 
-/// Sends what is queued, and heartbeats; returns why the link ended.
+/// Sends queued frames and heartbeats; returns the error that ended the link.
 ///
-/// A peer whose host lost power sends no reset: writes go on into the socket's buffer and look
-/// like a working link. Only echoes prove that somebody reads, so their lack ends the link. The
-/// silence counts by a clock that goes on while this machine is suspended: woken up, it would else
-/// take peers for reached that gave it up long ago, and acknowledge what nobody else hears of.
+/// A host that loses power sends no TCP reset: writes still succeed into the socket's buffer, and
+/// the link looks up. Only received frames prove that the peer reads, so the link ends when none
+/// arrives in time. The time of silence is measured by a clock that runs on while this machine is
+/// suspended. Otherwise a resumed machine would treat its links as up although the peers closed
+/// them long ago, and acknowledge changes that reach no other host.
 async fn run_link(
     hub: &PeerHub,
     slot: &PeerSlot,
@@ -135,28 +133,28 @@
     mut receiver: FrameReceiver,
 ) -> LinkError {
     let host = &slot.peer.host;
-    let mut pace = hub.timing_of(host);
+    let mut timing = hub.timing_of(host);
     let mut next_heartbeat = Instant::now();
     let mut sent = HeartbeatNumber::default();
     let mut sent_at = Instant::now();
     let clock = SystemClock::default();
-    let mut heard_at = clock.now();
+    let mut last_received = clock.now();
     loop {
         let step = tokio::select! {
-            // What has come is taken before the silence is looked at: a host that was late itself would else
-            // take peers for silent whose echoes wait.
+            // Received frames are handled before the check of the silence timeout. Otherwise a
+            // delayed host would treat peers as silent whose echoes wait in its socket.
             biased;
             frame = receiver.receive() => {
-                heard_at = clock.now();
-                frame.and_then(|frame| take_frame(hub, slot, frame, sent, sent_at))
+                last_received = clock.now();
+                frame.and_then(|frame| receive_frame(hub, slot, frame, sent, sent_at))
             }
             () = slot.queue.ready() => sender.send_queued(&slot.queue).await,
             () = sleep_until(next_heartbeat) => {
-                if clock.now().since(heard_at) > pace.silence_timeout {
+                if clock.now().since(last_received) > timing.silence_timeout {
                     return LinkError::Silent;
                 }
-                pace = hub.timing_of(host);
-                next_heartbeat = Instant::now() + pace.heartbeat;
+                timing = hub.timing_of(host);
+                next_heartbeat = Instant::now() + timing.heartbeat;
                 sent = HeartbeatNumber(sent.0 + 1);
                 sent_at = Instant::now();
                 sender.send(&PeerFrame::Heartbeat(sent)).await
@@ -168,8 +166,8 @@
     }
 }
 
-/// The peer sends only echoes and answers on a link that this process opened.
-fn take_frame(
+/// Handles an echo or an answer. A peer sends no other frames on a link that this process opened.
+fn receive_frame(
     hub: &PeerHub,
     slot: &PeerSlot,
     frame: PeerFrame,
@@ -184,7 +182,7 @@
         }
         _ => {
             return Err(LinkError::Unexpected {
-                what: "neither an echo nor an answer",
+                description: "neither an echo nor an answer",
             });
         }
     }
--- a/crates/daemon/src/peers/queue.rs
+++ b/crates/daemon/src/peers/queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for one peer.
+//! Queue of encoded frames for one peer.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,22 +9,22 @@
 
 use super::settings::LinkSettings;
 
-/// Why a frame was not sent; it provably never left this process.
+/// Reason why a frame was refused; a refused frame never leaves this process.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// The settings don't name the host.
+    /// The host is no known peer.
     #[display("host is not a peer")]
     UnknownHost,
-    /// There is no link now.
+    /// The link to the host is down.
     #[display("no link to the host")]
     Down,
-    /// Too much waits already.
+    /// The queue to the host is full.
     #[display("queue to the host is full")]
     Full,
-    /// The frame is over the bound.
+    /// The frame is larger than the limit or can't be encoded.
     #[display("{reason}")]
     TooLarge {
-        /// Size and bound.
+        /// Size and limit, or the encoder's error.
         reason: String,
     },
 }
@@ -43,14 +43,14 @@
     dropped: u64,
 }
 
-/// Counts for the dump.
+/// Counts of a queue, for the dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct QueueUsage {
     pub(super) frames: usize,
     pub(super) dropped: u64,
 }
 
-/// Outbound frames of one peer; pushing never waits.
+/// Queue of outbound frames of one link; pushing never waits.
 pub(super) struct FrameQueue {
     state: Mutex<QueueState>,
     wake: Notify,
@@ -74,10 +74,10 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens the queue for a new link, or empties and closes it.
+    /// Opens the queue for a new link, or closes it; both drop all queued frames.
     ///
-    /// What waits when a link breaks is thrown away: agreement traffic is out of date by the time
-    /// a link is back, and the callers of the rest have been told that the link is gone.
+    /// Frames that are queued when a link breaks are dropped: agreement frames are outdated when a
+    /// link is up again, and the calls of the other frames have failed with the link.
     pub(super) fn set_link_up(&self, up: bool) {
         let mut state = self.lock();
         let dropped = state.dropped + (state.agreement.len() + state.other.len()) as u64;
@@ -88,7 +88,8 @@
         };
     }
 
-    /// Adds a frame that later ones make up for: the oldest go where there is no room.
+    /// Adds a frame whose loss a later frame corrects; drops the oldest such frames if the queue is
+    /// full.
     pub(super) fn push_retransmitted(&self, frame: Bytes) -> Result<(), SendRefusal> {
         let mut state = self.lock();
         if !state.up {
@@ -110,7 +111,8 @@
         Ok(())
     }
 
-    /// Adds a frame that is sent or refused, never dropped from the queue of a working link.
+    /// Adds a frame, or refuses it if the queue is full; an added frame is only dropped when the
+    /// link breaks.
     pub(super) fn push(&self, frame: Bytes) -> Result<(), SendRefusal> {
         let mut state = self.lock();
         if !state.up {
@@ -128,7 +130,7 @@
         Ok(())
     }
 
-    /// Takes the next frame; agreement first, as leases of leadership hang on it.
+    /// Removes the next frame; agreement frames first, since the leader's lease depends on them.
     pub(super) fn pop(&self) -> Option<Bytes> {
         let mut state = self.lock();
         if let Some(frame) = state.agreement.pop_front() {
@@ -140,7 +142,7 @@
         Some(frame)
     }
 
-    /// Returns once a frame may wait.
+    /// Waits until a frame may be queued.
     pub(super) async fn ready(&self) {
         self.wake.notified().await;
     }
@@ -161,10 +163,11 @@
     use super::{FrameQueue, SendRefusal};
     use crate::peers::LinkSettings;
 
-    /// A peer that reads slowly costs a bounded queue: agreement keeps the newest frames, the rest
-    /// is refused to the sender, and nothing waits across a broken link.
+    /// Guards against a queue that grows without limit while a peer reads slowly, and against stale
+    /// frames on a new link. The queue drops the oldest agreement frames, refuses other frames when
+    /// full, and drops all frames when the link breaks.
     #[test]
-    fn a_slow_peer_keeps_the_newest_agreement_frames() {
+    fn full_queue_drops_oldest_agreement_frames_and_refuses_others() {
         let settings = LinkSettings {
             max_agreement_frames: 2,
             max_other_frames: 1,
@@ -180,9 +183,11 @@
         }
         assert_eq!(queue.push(frame("b1")), Ok(()));
         assert_eq!(queue.push(frame("b2")), Err(SendRefusal::Full));
-        let taken: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
-        assert_eq!(taken, [frame("a4+6789ab"), frame("b1")]);
-        queue.push(frame("b3")).expect("room again");
+        let popped: Vec<_> = std::iter::from_fn(|| queue.pop()).collect();
+        assert_eq!(popped, [frame("a4+6789ab"), frame("b1")]);
+        queue
+            .push(frame("b3"))
+            .expect("the queue has capacity again");
         queue.set_link_up(false);
         queue.set_link_up(true);
         assert_eq!(queue.pop(), None);
--- a/crates/daemon/src/peers/settings.rs
+++ b/crates/daemon/src/peers/settings.rs
@@ -2,42 +2,45 @@
 
 use std::time::Duration;
 
-/// Timeouts and bounds of a link.
+/// Intervals, timeouts and limits of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LinkSettings {
-    /// Time for connecting, the handshake and the hello together.
+    /// Timeout for the connection, the handshake and the hello together.
     pub handshake_timeout: Duration,
-    /// The same on links with a host at an end that takes callers. After a start of the whole system a keeper
-    /// has those of hundreds of hosts to answer, one after the other; given up meanwhile and begun anew, none
-    /// of them would ever end.
+    /// The same timeout, with discovery, for links that are not between two keepers. After a start
+    /// of the whole system, a keeper answers the handshakes of hundreds of hosts one after the
+    /// other. With a shorter timeout, hosts would give up and start again, and no handshake would
+    /// ever finish.
     pub entry_handshake_timeout: Duration,
     /// Time between two heartbeats.
     pub heartbeat: Duration,
-    /// Time that each host which takes callers adds to the time between two heartbeats, on links with one of
-    /// them at an end.
+    /// Heartbeat interval per host that accepts callers, with discovery, on links that are not
+    /// between two keepers. The interval is the larger of `heartbeat` and this multiplied by the
+    /// number of such hosts.
     pub heartbeat_per_entry: Duration,
-    /// Least silence after which a link counts as broken. Invariant: at least three heartbeats.
+    /// Minimum time without a received frame after which a link counts as broken. Invariant: at
+    /// least three heartbeats.
     pub silence_timeout: Duration,
-    /// First wait before a new attempt.
+    /// First wait before a new attempt to open the link.
     pub base_backoff: Duration,
-    /// Longest wait before a new attempt.
+    /// Maximum wait before a new attempt.
     pub max_backoff: Duration,
-    /// Bytes of the largest frame.
+    /// Maximum size of a frame in bytes.
     pub max_frame_bytes: usize,
-    /// Agreement frames that wait for one peer.
+    /// Maximum number of queued agreement frames per peer.
     pub max_agreement_frames: usize,
-    /// Other frames that wait for one peer.
+    /// Maximum number of other queued frames per peer.
     pub max_other_frames: usize,
-    /// Bytes that wait for one peer, for each of the two kinds.
+    /// Maximum size in bytes of the queued frames per peer, for each of the two kinds.
     pub max_queue_bytes: usize,
-    /// Calls of this process that wait for an answer.
+    /// Maximum number of pending calls of this process.
     pub max_open_calls: usize,
-    /// Accepted connections that have not said hello yet.
+    /// Maximum number of accepted connections in the handshake.
     pub max_handshakes: usize,
-    /// Links that this process opens at the same time. All hosts of a fleet start together, and a keeper
-    /// that takes all their links at once finishes none of them in time.
+    /// Maximum number of links that this process opens at the same time. All hosts of a fleet start
+    /// together, and a keeper that accepts all their links at once finishes none of them in time.
     pub max_dials: usize,
-    /// Seed of the jitter between attempts.
+    /// Seed of the back-off's jitter.
     pub seed: u64,
 }
 
--- a/crates/daemon/src/peers/socket.rs
+++ b/crates/daemon/src/peers/socket.rs
@@ -1,4 +1,4 @@
-//! Frames over one websocket.
+//! Sends and receives frames over one websocket.
 
 use std::future::Future;
 use std::time::Duration;
@@ -18,27 +18,28 @@
 use super::settings::LinkSettings;
 use super::transport::PeerStream;
 
-/// Bytes that a link reads ahead; 400 links must fit into a daemon's memory.
-const READ_AHEAD: usize = 16 * 1024;
+/// Bytes of the read buffer and of the write buffer of a link; the buffers of 400 links must fit
+/// into a daemon's memory.
+const BUFFER_BYTES: usize = 16 * 1024;
 
 pub(super) type PeerSocket = WebSocketStream<Box<dyn PeerStream>>;
 
 pub(super) fn socket_config(settings: &LinkSettings) -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(READ_AHEAD)
-        .write_buffer_size(READ_AHEAD)
+        .read_buffer_size(BUFFER_BYTES)
+        .write_buffer_size(BUFFER_BYTES)
         .max_message_size(Some(settings.max_frame_bytes))
         .max_frame_size(Some(settings.max_frame_bytes))
 }
 
-/// Sending half.
+/// Sending half of a websocket.
 pub(super) struct FrameSender {
     sink: SplitSink<PeerSocket, Message>,
-    bound: usize,
-    patience: Duration,
+    max_frame_bytes: usize,
+    write_timeout: Duration,
 }
 
-/// Receiving half.
+/// Receiving half of a websocket.
 pub(super) struct FrameReceiver {
     stream: SplitStream<PeerSocket>,
 }
@@ -50,27 +51,30 @@
     let (sink, stream) = socket.split();
     let sender = FrameSender {
         sink,
-        bound: settings.max_frame_bytes,
-        patience: settings.silence_timeout,
+        max_frame_bytes: settings.max_frame_bytes,
+        write_timeout: settings.silence_timeout,
     };
     (sender, FrameReceiver { stream })
 }
 
 impl FrameSender {
-    /// Sends one frame; a peer that takes no bytes in time is gone.
+    /// Sends one frame.
+    ///
+    /// # Errors
+    /// The frame is too large, the websocket failed, or the write timed out.
     pub(super) async fn send(&mut self, frame: &PeerFrame) -> Result<(), LinkError> {
-        let bytes = encode_frame(frame, self.bound).map_err(LinkError::Frame)?;
+        let bytes = encode_frame(frame, self.max_frame_bytes).map_err(LinkError::Frame)?;
         self.feed(bytes).await?;
         self.flush().await
     }
 
-    /// Puts an encoded frame into the write buffer.
+    /// Writes an encoded frame to the write buffer.
     async fn feed(&mut self, frame: Bytes) -> Result<(), LinkError> {
-        let sending = self.sink.feed(Message::Binary(frame));
-        with_timeout("a write", self.patience, sending).await
+        let write = self.sink.feed(Message::Binary(frame));
+        with_timeout("write", self.write_timeout, write).await
     }
 
-    /// Sends all that waits in a queue.
+    /// Sends all frames of a queue.
     pub(super) async fn send_queued(&mut self, queue: &FrameQueue) -> Result<(), LinkError> {
         while let Some(frame) = queue.pop() {
             self.feed(frame).await?;
@@ -78,37 +82,41 @@
         self.flush().await
     }
 
-    /// Writes the buffer out.
+    /// Flushes the write buffer.
     async fn flush(&mut self) -> Result<(), LinkError> {
-        with_timeout("a write", self.patience, self.sink.flush()).await
+        with_timeout("write", self.write_timeout, self.sink.flush()).await
     }
 }
 
 impl FrameReceiver {
-    /// The next frame.
+    /// Waits for the next frame; skips control messages of the websocket.
     pub(super) async fn receive(&mut self) -> Result<PeerFrame, LinkError> {
         loop {
             let message = self.stream.next().await.ok_or(LinkError::Closed)?;
             match message.map_err(socket_error)? {
                 Message::Binary(bytes) => return decode_frame(&bytes).map_err(LinkError::Frame),
                 Message::Close(_) => return Err(LinkError::Closed),
-                Message::Text(_) => return Err(LinkError::Unexpected { what: "text" }),
+                Message::Text(_) => {
+                    return Err(LinkError::Unexpected {
+                        description: "text message",
+                    });
+                }
                 Message::Ping(_) | Message::Pong(_) | Message::Frame(_) => {}
             }
         }
     }
 }
 
-/// Runs a step of the websocket library within `patience`.
+/// Runs a step of the websocket library with a timeout.
 pub(super) async fn with_timeout<T, F>(
     step: &'static str,
-    patience: Duration,
+    limit: Duration,
     work: F,
 ) -> Result<T, LinkError>
 where
     F: Future<Output = Result<T, SocketError>>,
 {
-    let result = timeout(patience, work).await;
+    let result = timeout(limit, work).await;
     result
         .map_err(|_| LinkError::Timeout { step })?
         .map_err(socket_error)
--- a/crates/daemon/src/peers/status.rs
+++ b/crates/daemon/src/peers/status.rs
@@ -1,27 +1,27 @@
-//! What the dump says of a link.
+//! Status of a link, for the dump.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use pollendrift_coordination::base::HostName;
 
-/// One peer as this process sees it.
+/// Status of the link to one peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The peer.
+    /// Host of the peer.
     pub host: HostName,
-    /// Where it is dialled.
+    /// Address that this process connects to.
     pub address: SocketAddr,
-    /// Whether the outbound link works.
+    /// Whether the outbound link is up.
     pub up: bool,
-    /// Links that were opened so far.
+    /// Number of links opened so far.
     pub links: u64,
-    /// Why the last link or attempt ended; empty while there was none.
+    /// Error that ended the last link or attempt; empty before the first one ended.
     pub last_error: String,
-    /// Time of the last heartbeat's way there and back.
+    /// Round-trip time of the last echoed heartbeat.
     pub round_trip: Option<Duration>,
-    /// Frames that wait.
+    /// Number of queued frames.
     pub queued: usize,
-    /// Frames that were dropped or refused.
+    /// Number of frames that a full queue or a broken link dropped, or that a full queue refused.
     pub dropped: u64,
 }
--- a/crates/daemon/src/peers/transport.rs
+++ b/crates/daemon/src/peers/transport.rs
@@ -1,4 +1,4 @@
-//! The border to the network: plain TCP here, TLS or memory elsewhere.
+//! Traits of the network transport, and plain TCP; other transports are TLS and memory streams.
 
 use std::future::Future;
 use std::io;
@@ -9,19 +9,19 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A future of a trait object's method.
+/// Boxed future, as returned by methods of trait objects.
 pub type BoxFuture<'scope, T> = Pin<Box<dyn Future<Output = T> + Send + 'scope>>;
 
-/// A byte stream to or from a peer.
+/// Byte stream to or from a peer.
 pub trait PeerStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<S> PeerStream for S where S: AsyncRead + AsyncWrite + Send + Unpin {}
 
-/// A stream that was accepted.
+/// Stream of an accepted connection.
 pub struct AcceptedStream {
-    /// The stream.
+    /// Byte stream after the transport's handshake.
     pub stream: Box<dyn PeerStream>,
-    /// Host that a certificate proves; `None` where the transport proves nothing.
+    /// Host that the peer's certificate proves; `None` if the transport checks no certificate.
     pub proven: Option<HostName>,
 }
 
@@ -35,13 +35,16 @@
     ) -> BoxFuture<'scope, io::Result<Box<dyn PeerStream>>>;
 }
 
-/// Turns accepted TCP streams into those of the transport.
+/// Converts accepted TCP streams into streams of the transport.
 pub trait PeerAcceptor: Send + Sync {
-    /// Ends the transport's own handshake.
+    /// Performs the handshake of the transport.
+    ///
+    /// # Errors
+    /// The handshake failed, or the peer's certificate was refused.
     fn accept(&self, stream: TcpStream) -> BoxFuture<'_, io::Result<AcceptedStream>>;
 }
 
-/// TCP without protection, for networks that are protected otherwise.
+/// Plain TCP without encryption or authentication, for networks that are protected otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainTransport;
 
--- a/crates/daemon/tests/peers_contract.rs
+++ b/crates/daemon/tests/peers_contract.rs
@@ -1,4 +1,4 @@
-//! Contract of the links between peers, with fault cases in tables.
+//! Contract of the links between peers: faulty peers, calls and frame decoding.
 
 #![allow(
     clippy::expect_used,
@@ -28,7 +28,7 @@
 use tokio_tungstenite::tungstenite::protocol::Message;
 use tokio_tungstenite::{WebSocketStream, accept_async, client_async};
 
-/// Longer than any wait of a sound run; a test that reaches it fails.
+/// Timeout of every wait, longer than any wait of a passing run.
 const GUARD: Duration = Duration::from_secs(20);
 const FRAME_BOUND: usize = 2_000;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Answers each submit with its own bytes, or keeps silent for an empty one.
+/// Answers each submit with its own bytes, and an empty one not at all.
 struct EchoHandler {
     seen: UnboundedSender<PeerFrame>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Never reaches anybody.
+/// Dialer whose every attempt fails.
 struct NoDialer;
 
 impl PeerDialer for NoDialer {
@@ -75,9 +75,9 @@
     }
 }
 
-/// Hands the far ends of its streams to the test.
+/// Dialer that passes the remote ends of its streams to the test.
 struct DuplexDialer {
-    far: UnboundedSender<DuplexStream>,
+    remote: UnboundedSender<DuplexStream>,
 }
 
 impl PeerDialer for DuplexDialer {
@@ -87,11 +87,11 @@
         _: SocketAddr,
     ) -> BoxFuture<'scope, io::Result<Box<dyn PeerStream>>> {
         Box::pin(async {
-            let (near, far) = duplex(64 * 1024);
-            self.far
-                .send(far)
+            let (local, remote) = duplex(64 * 1024);
+            self.remote
+                .send(remote)
                 .map_err(|_| io::ErrorKind::HostUnreachable)?;
-            Ok(Box::new(near) as Box<dyn PeerStream>)
+            Ok(Box::new(local) as Box<dyn PeerStream>)
         })
     }
 }
@@ -118,7 +118,7 @@
     )
 }
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
 
@@ -140,16 +140,17 @@
     PeerFrame::Agreement(vec![7; bytes].into())
 }
 
-/// Plays messages of a peer to an accepting host; tells why the link ended and what was handled.
+/// Sends messages of a peer to an accepting host; returns the error that ended the link and the
+/// number of handled frames.
 async fn play(messages: Vec<Message>, proven: Option<&str>) -> String {
-    let (tasks, mut frames) = start("b", &[("a", nowhere())], Box::new(NoDialer));
-    let (near, far) = duplex(64 * 1024);
+    let (tasks, mut frames) = start("b", &[("a", unused_address())], Box::new(NoDialer));
+    let (local, remote) = duplex(64 * 1024);
     let accepted = AcceptedStream {
-        stream: Box::new(near),
+        stream: Box::new(local),
         proven: proven.map(HostName::from),
     };
     let peer = async {
-        let (mut socket, _) = client_async("ws://b/", far).await.expect("handshake");
+        let (mut socket, _) = client_async("ws://b/", remote).await.expect("handshake");
         for message in messages {
             if socket.send(message).await.is_err() {
                 break;
@@ -163,13 +164,13 @@
     format!("{error}; handled {handled}")
 }
 
-/// The peer sees: its link ends; the other links and the process go on.
-/// Each row is a peer that is broken, of another version, a stranger, or dead: nothing of a bad
-/// frame reaches the handler, and what came before it does.
+/// Guards against damage by a peer that is faulty, untrusted, silent or of another version: its
+/// link must end, and no part of an invalid frame may reach the handler. Valid frames before it are
+/// handled.
 #[tokio::test]
-async fn a_bad_peer_loses_its_link() {
+async fn faulty_peer_loses_its_link() {
     let good = || message(&hello("a", PEER_PROTOCOL));
-    // A hello with an unknown field that holds lists within lists.
+    // A hello with an unknown field that contains nested lists.
     let mut deep = b"\0\xa1\x65Hello\xa1\x61x".to_vec();
     deep.resize(FRAME_BOUND, 0x81);
     let mut trailing = encode_frame(&agreement(1), FRAME_BOUND)
@@ -192,7 +193,7 @@
         ("unknown mark", vec![good(), binary(vec![0xff; 40])], None),
         ("garbage", vec![good(), binary(garbage)], None),
         ("nested deeply", vec![good(), binary(deep)], None),
-        ("bytes behind", vec![good(), binary(trailing)], None),
+        ("trailing bytes", vec![good(), binary(trailing)], None),
         ("text", vec![good(), Message::text("hello")], None),
         (
             "wrong version",
@@ -227,35 +228,36 @@
     insta::assert_debug_snapshot!(ends, @r#"
     [
         "oversized: frame of 2015 bytes is over the bound of 2000; handled 1",
-        "unknown mark: frame can't be read: neither plain nor packed; handled 0",
+        "unknown mark: frame can't be read: unknown compression mark; handled 0",
         "garbage: frame can't be read: Semantic(None, \"invalid type: break, expected enum\"); handled 0",
         "nested deeply: frame can't be read: RecursionLimitExceeded; handled 0",
-        "bytes behind: frame can't be read: bytes behind the frame; handled 0",
-        "text: unexpected frame: text; handled 0",
-        "wrong version: refused: protocol 6 is not spoken here (spoken: 5); handled 0",
+        "trailing bytes: frame can't be read: trailing bytes after the frame; handled 0",
+        "text: unexpected frame: text message; handled 0",
+        "wrong version: refused: protocol version 6 is not supported (supported: 5); handled 0",
         "unknown host: refused: host x is not in the settings; handled 0",
         "own name: refused: host b is not in the settings; handled 0",
         "other certificate: refused: hello names host a, but the certificate proves c; handled 0",
         "no hello: refused: first frame is not a hello; handled 0",
-        "hello twice: unexpected frame: frame of the handshake; handled 0",
-        "silent before the hello: no end of the handshake in time; handled 0",
-        "half-open after a frame: peer is silent; handled 1",
+        "hello twice: unexpected frame: handshake frame after the handshake; handled 0",
+        "silent before the hello: handshake timed out; handled 0",
+        "half-open after a frame: no frame of the peer within the silence timeout; handled 1",
         "closed: peer closed the link; handled 0",
     ]
     "#);
 }
 
-/// The stranger sees: the connection ends. Bytes that are no websocket handshake cost one slot of
-/// the handshakes, for no longer than its timeout.
+/// Guards against untrusted clients that occupy handshake slots: a connection without a websocket
+/// handshake must end within the handshake timeout.
 #[tokio::test]
-async fn a_stranger_without_a_handshake_is_dropped() {
-    let (tasks, _frames) = start("b", &[("a", nowhere())], Box::new(NoDialer));
-    let (near, mut far) = duplex(1024);
-    far.write_all(b"GET / HTTP/0.9\r\n\r\n")
+async fn client_without_websocket_handshake_is_disconnected() {
+    let (tasks, _frames) = start("b", &[("a", unused_address())], Box::new(NoDialer));
+    let (local, mut remote) = duplex(1024);
+    remote
+        .write_all(b"GET / HTTP/0.9\r\n\r\n")
         .await
-        .expect("room");
+        .expect("buffer has capacity");
     let accepted = AcceptedStream {
-        stream: Box::new(near),
+        stream: Box::new(local),
         proven: None,
     };
     let error = timeout(GUARD, serve_stream(tasks.hub(), accepted))
@@ -267,23 +269,27 @@
     );
 }
 
-async fn next_socket(far: &mut UnboundedReceiver<DuplexStream>) -> WebSocketStream<DuplexStream> {
-    let stream = timeout(GUARD, far.recv())
+async fn next_socket(
+    remote: &mut UnboundedReceiver<DuplexStream>,
+) -> WebSocketStream<DuplexStream> {
+    let stream = timeout(GUARD, remote.recv())
         .await
-        .expect("dialled")
-        .expect("dialler lives");
+        .expect("a new connection")
+        .expect("dialer is running");
     accept_async(stream).await.expect("handshake")
 }
 
-/// The sender sees: a link whose peer took the hello and then fell silent goes down, a call on it
-/// has no answer, and the next attempt is made. Writes alone would go on into a buffer.
+/// Guards against a half-open link, on which writes still succeed into a buffer: if the peer sends
+/// no frame after its hello, the link must go down, calls on it must fail and a new attempt follow.
 #[tokio::test]
-async fn a_half_open_peer_is_left_and_dialled_again() {
-    let (far_end, mut far) = unbounded_channel();
-    let dialer = Box::new(DuplexDialer { far: far_end });
-    let (tasks, _frames) = start("a", &[("b", nowhere())], dialer);
+async fn half_open_link_goes_down_and_is_opened_again() {
+    let (remote_sender, mut remote) = unbounded_channel();
+    let dialer = Box::new(DuplexDialer {
+        remote: remote_sender,
+    });
+    let (tasks, _frames) = start("a", &[("b", unused_address())], dialer);
     let host = HostName::from("b");
-    let mut socket = next_socket(&mut far).await;
+    let mut socket = next_socket(&mut remote).await;
     socket.next().await.expect("a hello").expect("a message");
     socket
         .send(message(&hello("b", PEER_PROTOCOL)))
@@ -293,7 +299,7 @@
     timeout(GUARD, link.wait_for(|up| *up))
         .await
         .expect("up")
-        .expect("lives");
+        .expect("hub is running");
     let question = PeerQuestion::Submit(vec![1].into());
     let answer = timeout(GUARD, tasks.hub().call(&host, question, 0, GUARD))
         .await
@@ -305,22 +311,30 @@
         })
     );
     let status = tasks.hub().status();
-    assert_eq!(status[0].last_error, "peer is silent");
-    let mut again = next_socket(&mut far).await;
-    again.next().await.expect("a hello").expect("a message");
-    again
+    assert_eq!(
+        status[0].last_error,
+        "no frame of the peer within the silence timeout"
+    );
+    let mut second_socket = next_socket(&mut remote).await;
+    second_socket
+        .next()
+        .await
+        .expect("a hello")
+        .expect("a message");
+    second_socket
         .send(message(&hello("c", PEER_PROTOCOL)))
         .await
         .expect("open");
-    drop(next_socket(&mut far).await);
+    drop(next_socket(&mut remote).await);
     let error = tasks.hub().status()[0].last_error.clone();
-    assert_eq!(error, "host c answers where b belongs");
+    assert_eq!(error, "found host c at the address of host b");
 }
 
-/// The caller sees: "not sent" where the question never left, and the answer where it did.
-/// Two hosts on loopback; first one has no link, then both have, then one is gone.
+/// Guards against calls reported as "not sent" although the question left the process, and against
+/// answers delivered to other calls. Of two hosts on loopback, first neither has a link, then both
+/// have, then one ends.
 #[tokio::test]
-async fn a_call_is_answered_or_truly_not_sent() {
+async fn call_is_not_sent_only_if_the_question_never_left() {
     let listeners = [
         TcpListener::bind("127.0.0.1:0").await.expect("a port"),
         TcpListener::bind("127.0.0.1:0").await.expect("a port"),
@@ -333,10 +347,13 @@
     let (mut tasks_b, _seen) = start("b", &[("a", a), ("b", b)], Box::new(PlainTransport));
     let hub = tasks_a.hub().clone();
     let host = HostName::from("b");
-    let ask =
-        |bytes: Vec<u8>, patience| hub.call(&host, PeerQuestion::Submit(bytes.into()), 0, patience);
-    let early = ask(vec![5], GUARD).await;
-    assert!(matches!(early, Err(CallError::NotSent { .. })), "{early:?}");
+    let call =
+        |bytes: Vec<u8>, limit| hub.call(&host, PeerQuestion::Submit(bytes.into()), 0, limit);
+    let without_link = call(vec![5], GUARD).await;
+    assert!(
+        matches!(without_link, Err(CallError::NotSent { .. })),
+        "{without_link:?}"
+    );
     tasks_a.accept(listen_a, Arc::new(PlainTransport));
     tasks_b.accept(listen_b, Arc::new(PlainTransport));
     let mut links = [
@@ -350,10 +367,10 @@
         timeout(GUARD, link.wait_for(|up| *up))
             .await
             .expect("up")
-            .expect("lives");
+            .expect("hub is running");
     }
     assert_eq!(
-        ask(vec![6], GUARD).await,
+        call(vec![6], GUARD).await,
         Ok(PeerAnswer::Submitted(vec![6].into()))
     );
     let oversized = hub.send(&host, &agreement(FRAME_BOUND));
@@ -376,9 +393,9 @@
     timeout(GUARD, frames.recv())
         .await
         .expect("arrives after the forged answer");
-    let silent = ask(vec![], Duration::from_millis(50)).await;
+    let unanswered = call(vec![], Duration::from_millis(50)).await;
     assert_eq!(
-        silent,
+        unanswered,
         Err(CallError::NoAnswer {
             reason: "no answer in time".into()
         })
@@ -387,13 +404,14 @@
     timeout(GUARD, links[0].wait_for(|up| !*up))
         .await
         .expect("down")
-        .expect("lives");
+        .expect("hub is running");
     assert_eq!(hub.send(&host, &agreement(3)), Err(SendRefusal::Down));
 }
 
-/// Any bytes from a peer are read without a panic; what reads as a frame encodes to one again.
+/// Guards against a panic on invalid bytes from a peer: the decoder must accept or refuse changed
+/// frames without a panic, and each decoded frame must encode and decode to itself.
 #[test]
-fn any_bytes_are_read_without_a_panic() {
+fn any_bytes_are_decoded_without_a_panic() {
     let mut random = rand_chacha::ChaCha8Rng::seed_from_u64(11);
     let samples = [
         hello("a", 1),
@@ -413,29 +431,29 @@
         bytes[at] = random.next_u32().to_le_bytes()[0];
         if let Ok(frame) = decode_frame(&bytes) {
             frames += 1;
-            let again = encode_frame(&frame, usize::MAX).expect("encodes");
-            assert_eq!(decode_frame(&again), Ok(frame));
+            let encoded_again = encode_frame(&frame, usize::MAX).expect("encodes");
+            assert_eq!(decode_frame(&encoded_again), Ok(frame));
         }
     }
-    assert!(frames > 1_000, "only {frames} changed samples still read");
+    assert!(frames > 1_000, "only {frames} changed samples still decode");
 }
 
-/// The caller sees: the answer, although the asked host can't open a link to the asker.
-/// It once was lost for a time-out, as answers went by the link of the other direction only, which
-/// comes up later or, behind a one-way fault, never.
+/// Guards against lost answers when the called host can't open a link to the requester. Answers
+/// were only sent on the called host's own link, which comes up later or, with a one-way fault,
+/// never, so the call timed out.
 #[tokio::test]
-async fn an_answer_comes_back_on_the_link_of_its_question() {
+async fn answer_returns_on_the_link_of_its_call() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     let (tasks_a, _frames) = start("a", &[("b", address)], Box::new(PlainTransport));
-    let (mut tasks_b, _seen) = start("b", &[("a", nowhere())], Box::new(NoDialer));
+    let (mut tasks_b, _seen) = start("b", &[("a", unused_address())], Box::new(NoDialer));
     tasks_b.accept(listener, Arc::new(PlainTransport));
     let host = HostName::from("b");
     let mut link = tasks_a.hub().watch_link(&host).expect("a peer");
     timeout(GUARD, link.wait_for(|up| *up))
         .await
         .expect("up")
-        .expect("lives");
+        .expect("hub is running");
     let question = PeerQuestion::Submit(vec![8].into());
     let answer = tasks_a.hub().call(&host, question, 0, GUARD).await;
     assert_eq!(answer, Ok(PeerAnswer::Submitted(vec![8].into())));
