--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -409,8 +409,9 @@
         })
     }
 
-    /// Answers a call of `host` on the link that `host` opened, on which the call arrived, since the
-    /// link to `host` may not be up yet; uses the link to `host` if the other one fails. The requester of a lost answer times out.
+    /// Answers a call of `host` on the link that `host` opened: the call arrived on it, while the
+    /// link to `host` may not be up yet. Uses the link to `host` if the other one fails. The
+    /// requester of a lost answer times out.
     ///
     /// # Errors
     /// The answer was not queued.
