--- a/crates/coordination/src/agreement/entry.rs
+++ b/crates/coordination/src/agreement/entry.rs
@@ -28,8 +28,8 @@
 
 /// Identity of a keeper: its host, and the incarnation of the disk that stores its votes.
 ///
-/// Invariant: a disk that returns empty, from an old copy or from another host never has the
-/// incarnation under which an earlier vote was granted.
+/// Invariant: a disk that was emptied, restored from an old copy or moved from another host never
+/// has the incarnation under which an earlier vote was granted.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{host}#{incarnation}")]
 pub struct KeeperId {
@@ -60,9 +60,9 @@
 
     /// Whether `reached` contains the hosts of a quorum of the voters.
     ///
-    /// Removed voters don't count. When every keeper ever known counted, a majority of five that
-    /// had outlived a sixth considered itself cut off and rejected all heartbeats, and the leases
-    /// of all backend servers expired at once.
+    /// Removed voters don't count. If every keeper ever known counted, a majority of five that has
+    /// outlived a sixth would consider itself cut off and reject all heartbeats, and the leases of
+    /// all backend servers would expire at once.
     pub fn is_quorum(&self, reached: &BTreeSet<HostName>) -> bool {
         let voters = self.voters.iter();
         let reached = voters.filter(|voter| reached.contains(&voter.host)).count();
--- a/crates/coordination/src/agreement/identity.rs
+++ b/crates/coordination/src/agreement/identity.rs
@@ -5,7 +5,7 @@
 //! still contained the entries that it lost; the symptom is a committed entry that disappears
 //! after the next election. Each keeper therefore remembers the acknowledgements that it observed
 //! from the others, and rejects a process that starts from an older state. This memory spreads
-//! with heartbeats and isn't synced; the design note on agreement lists the cases that this does
+//! with heartbeats and isn't synced; `docs/design/agreement.md` lists the cases that this does
 //! not cover.
 
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/coordination/src/agreement/interface.rs
+++ b/crates/coordination/src/agreement/interface.rs
@@ -87,7 +87,7 @@
 /// One step of a membership change.
 ///
 /// A replacement is `AddLearner` with the new incarnation, then `Promote` once it has caught up;
-/// the leader removes the host's earlier incarnation by itself once the promotion is committed.
+/// the leader removes the host's former incarnation by itself once the promotion is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Add a keeper that receives the log and doesn't vote.
--- a/crates/coordination/src/agreement/leader.rs
+++ b/crates/coordination/src/agreement/leader.rs
@@ -85,7 +85,7 @@
     }
 
     /// The highest value that a majority of voters reached, where `own` is this keeper's value; a
-    /// voter without a known value is left out.
+    /// voter without a known value is ignored.
     pub(super) fn quorum_value<T, F>(
         &self,
         quorum: &QuorumView<'_>,
--- a/crates/coordination/src/agreement/log.rs
+++ b/crates/coordination/src/agreement/log.rs
@@ -190,12 +190,11 @@
 
     /// Stores a snapshot of this log and keeps at most `retained` entries up to its index.
     ///
-    /// Failure: entries were kept by count alone, and a peer that lacked one was sent all of them.
-    /// Symptom: a keeper with an empty disk received every text ever published, while the leader
-    /// was at full load and had to answer hosts. Entries larger in total than the snapshot take
-    /// longer to send and apply than the snapshot itself. The entries after the previous snapshot
-    /// stay, because a peer that is still receiving that snapshot would otherwise need this one
-    /// next.
+    /// If entries were kept by count alone, a keeper with an empty disk would be sent every large
+    /// command ever committed, while the leader is at full load and must answer hosts. Entries
+    /// larger in total than the snapshot take longer to send and apply than the snapshot itself.
+    /// The entries after the previous snapshot stay, because a peer that is still receiving that
+    /// snapshot would otherwise need this one next.
     pub(super) fn store_snapshot(&mut self, snapshot: StoredSnapshot, retained: u64) {
         let by_count = LogIndex(snapshot.mark.index.0.saturating_sub(retained));
         let by_bytes = self.index_before(snapshot.mark.index, snapshot.bytes.len());
--- a/crates/coordination/src/agreement/membership_change.rs
+++ b/crates/coordination/src/agreement/membership_change.rs
@@ -127,10 +127,10 @@
         Ok(membership)
     }
 
-    /// Removes an earlier incarnation of a host whose later incarnation votes.
+    /// Removes a former incarnation of a host whose later incarnation votes.
     ///
-    /// Until then the lost disk counts in the quorum size, and one more loss stops a group of
-    /// three. Every leader does this, including one elected after the promotion.
+    /// Until then the former incarnation counts in the quorum size, and one more loss stops a group
+    /// of three. Every leader does this, including one elected after the promotion.
     pub(super) fn remove_former_incarnations(&mut self) {
         if !matches!(self.role, RoleState::Leader(_)) || !self.may_change_membership() {
             return;
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -19,7 +19,7 @@
 use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
 
-/// Divisor of the election timeout that gives the shortest wait of an unanswered candidate.
+/// The shortest retry wait of a candidate is the election timeout divided by this.
 const RETRY_DIVISOR: u32 = 4;
 
 /// State of a keeper's role in its term.
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -39,7 +39,8 @@
     pub(super) waiting: bool,
     /// Commit index that was last sent to the peer.
     pub(super) sent_commit: LogIndex,
-    /// Time of the last reply, or of the last message sent while none was unanswered.
+    /// Time from which the resend timeout runs: that of the last reply, or of the first message
+    /// sent after every earlier message was answered.
     pub(super) advanced_at: MonotonicTime,
     /// Sending time of the latest heartbeat that the peer answered.
     pub(super) contact_at: MonotonicTime,
@@ -47,7 +48,7 @@
     pub(super) answered_round: HeartbeatRound,
     /// Time at which the peer last reached `catch_up_goal`.
     pub(super) caught_up_at: Option<MonotonicTime>,
-    /// Commit index at the previous check that the peer passed.
+    /// Commit index that the peer must reach to count as caught up; set at each successful check.
     catch_up_goal: LogIndex,
     /// Highest commit index that the peer reported.
     pub(super) known_commit: LogIndex,
--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -25,7 +25,7 @@
     /// The keeper is a learner that catches up and doesn't vote yet.
     #[display("{_0} is being brought up to date")]
     Learning(KeeperId),
-    /// The keeper is an earlier incarnation of a host and waits to be removed.
+    /// The keeper is a former incarnation of a host and waits to be removed.
     #[display("{_0} waits to be removed")]
     Replaced(KeeperId),
     /// A group of fewer than three voters tolerates no loss.
--- a/crates/coordination/src/claims/call.rs
+++ b/crates/coordination/src/claims/call.rs
@@ -17,7 +17,8 @@
     TakeUnanswered,
     /// The connection was refused before a byte was sent.
     ConnectionRefused,
-    /// The backend server reported that it did not start the call.
+    /// The backend server reported that it did not start the call. `SendOutcome::Declined` of
+    /// [`crate::retries`] is the same fact.
     ProvedNotStarted,
     /// The complete answer arrived.
     Answered(StoredAnswer),
@@ -57,7 +58,7 @@
     /// The backend server reported that it did not start the call.
     #[display("the backend server did not start the call")]
     ProvedNotStarted,
-    /// A newer incarnation of this entry has started, or the ticket gave the claim back.
+    /// A newer incarnation of this entry has started, or the ticket has released the key.
     #[display("this entry has been replaced")]
     EntryReplaced,
 }
--- a/crates/coordination/src/hosts.rs
+++ b/crates/coordination/src/hosts.rs
@@ -1,7 +1,7 @@
 //! Host discovery: a directory of known hosts with their addresses and last confirmation.
 //!
 //! There is no configured list of hosts. A host knows a few seed addresses, and the hosts there
-//! send it gossip about the keepers. Gossip carries its age, so information about a dead host
+//! send it gossip about the keepers. Gossip carries its age, so information about a failed host
 //! expires on all hosts at the same time, regardless of how often they forward it.
 
 use std::collections::BTreeMap;
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -200,9 +200,10 @@
         if !lease.is_older_than(announce.incarnation, announce.sequence) {
             return MergeVerdict::Stale;
         }
-        // When the server's threads race, a heartbeat sent before the leave can arrive after it
-        // with a higher sequence. Accepting it would send work to a server that is shutting down.
-        // Only a new incarnation, which the server takes at its next start, ends a leave.
+        // When the server's threads race, a heartbeat sent before the leaving announcement can
+        // arrive after it with a higher sequence. Accepting it would send work to a server that is
+        // shutting down. Only a new incarnation, which the server takes at its next start, is
+        // accepted after it.
         if lease.announce.state == ServerState::Leaving
             && announce.incarnation == lease.announce.incarnation
         {
--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -16,9 +16,10 @@
 
 /// A heartbeat whose sequence number is a multiple of this includes its load, even if unchanged.
 ///
-/// Failure: two entries receive consecutive heartbeats and send them to a third entry. The later
-/// renewal carries no load, because its sender never received the earlier load. The third entry
-/// would keep the earlier load until the next step. This rule limits that to as many heartbeats.
+/// Two entries may receive consecutive heartbeats and send them to a third entry. The later renewal
+/// then carries no load, because its sender never received the earlier load. Without this rule, the
+/// third entry would keep the earlier load until the load changes by more than the send threshold.
+/// With it, the wrong value lasts for at most this number of heartbeats.
 const LOAD_PERIOD: u64 = 8;
 
 /// Versions of the lease table up to which one receiver has been sent the changes.
@@ -28,8 +29,8 @@
 pub struct DeltaCursor {
     /// The receiver was sent every change up to this version.
     ///
-    /// Failure: leases are sent in the order of their last renewal, so an unsent lease may have
-    /// changed before a sent one. With `reached` alone, the unsent lease would go out as a renewal
+    /// Leases are sent in the order of their last renewal, so an unsent lease may have changed
+    /// before a sent one. With `reached` alone, the unsent lease would go out as a renewal
     /// of content that the receiver never got. `complete` advances only when nothing is left to
     /// send.
     pub complete: u64,
@@ -138,7 +139,7 @@
     ///
     /// Leases received from peers are omitted: each host sends to every other host, so forwarding
     /// them would only multiply messages. Ended leases are omitted too: every host ends a lease by
-    /// its own clock, so no message is needed and a lost message can't keep a dead server's lease
+    /// its own clock, so no message is needed and a lost message can't keep a failed server's lease
     /// active.
     pub fn delta(
         &self,
@@ -229,7 +230,7 @@
         let held = &lease.announce;
         let same_incarnation = held.incarnation == renewal.incarnation;
         let has_left = same_incarnation && held.state == ServerState::Leaving;
-        // A leave is final for its incarnation, whatever content the renewal has.
+        // A leaving announcement is final for its incarnation, whatever content the renewal has.
         if !has_left && lease.digest != renewal.digest {
             return MergeVerdict::Unknown;
         }
--- a/crates/coordination/src/leases/digest.rs
+++ b/crates/coordination/src/leases/digest.rs
@@ -7,8 +7,8 @@
 
 /// Digest of an announcement's content; equal content has an equal digest on every host.
 ///
-/// A renewal carries the digest. Failure without it: a host that missed a changed offer would apply
-/// the renewal to the old offer and route by that offer until the server stops. 64 bits are enough,
+/// A renewal carries the digest. Without it, a host that missed a changed offer would apply the
+/// renewal to the old offer and route by that offer until the server stops. 64 bits are enough,
 /// because only announcements of one incarnation of one server are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
--- a/crates/coordination/src/leases/load.rs
+++ b/crates/coordination/src/leases/load.rs
@@ -49,7 +49,7 @@
 }
 
 impl AnnouncedLoad {
-    /// Whether any value differs from the value in `sent` by more than a step.
+    /// Whether any value differs from the value in `sent` by more than the send threshold.
     ///
     /// Receivers therefore know each value within an eighth, or within one sequence or 256 tokens
     /// if that is more. The start or end of a server's only sequence is within that bound.
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -47,8 +47,8 @@
 ///
 /// Invariants: (incarnation, sequence) of `announce` never decreases; `ended` is false only while
 /// the lease runs; `version` is unique in the table, and none of `content_version`, `from_version`
-/// and `load_version` is greater; `digest` is the digest of `announce`; `sent_load` is within a
-/// step of `announce.load`.
+/// and `load_version` is greater; `digest` is the digest of `announce`; `sent_load` is within the
+/// send threshold of `announce.load`.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerLease {
     /// Number that identifies the lease in heartbeats to other hosts.
--- a/crates/coordination/src/leases/tests.rs
+++ b/crates/coordination/src/leases/tests.rs
@@ -49,7 +49,8 @@
 
 // Announcements of one server can reach an entry through several others, late, twice or swapped. If
 // the order of arrival decided, requests would go to a server that has left and fail. Only
-// (incarnation, sequence) orders announcements, and a leave is final for its incarnation.
+// Guards against a late heartbeat that revives a server after it left. (incarnation, sequence)
+// orders announcements, and a leaving announcement is final for its incarnation.
 #[test]
 fn announcements_are_ordered_by_incarnation_and_sequence() {
     let cases = [
@@ -113,8 +114,9 @@
     }
 }
 
-// A server dies without a leave, and callers would wait for it. Each entry ends the lease by its
-// own clock, also when the last announcement reached it through another entry.
+// Guards against callers that wait for a server that crashed without a leaving announcement. Each
+// entry ends the lease by its own clock, also when the last announcement reached it through another
+// entry.
 #[test]
 fn a_server_gets_no_work_after_its_lease_expires() {
     let server = ServerName::from("engine-1");
@@ -148,8 +150,8 @@
     assert!(first.may_take_work(at(3_002), &server));
 }
 
-// After a partition an entry replays old deltas. Their age exceeds the lease, so they must not
-// renew the lease of a server that died in the meantime.
+// Guards against a renewal by old deltas that an entry replays after a partition. Their age exceeds
+// the lease, so they must not renew the lease of a server that crashed in the meantime.
 #[test]
 fn a_delta_older_than_the_lease_renews_nothing() {
     let mut table = table();
@@ -269,9 +271,9 @@
     ");
 }
 
-// One entry receives the leave of a server while another entry still sends renewals of the same
-// incarnation with higher sequence numbers, or the old process still runs. Callers would be sent to
-// a server that has left.
+// Guards against sending callers to a server that has left. One entry receives the leaving
+// announcement while another entry still sends renewals of the same incarnation with higher
+// sequence numbers, or the old process still runs.
 #[test]
 fn no_renewal_revives_a_server_that_left() {
     let server = ServerName::from("engine-1");
--- a/crates/coordination/src/ledger/chain.rs
+++ b/crates/coordination/src/ledger/chain.rs
@@ -1,4 +1,5 @@
-//! Chain of engines that produced a token, and the check that it is complete.
+//! Chain of a token: the engines of the pipeline that produced it, and the check that it is
+//! complete.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
--- a/crates/coordination/src/ledger/result.rs
+++ b/crates/coordination/src/ledger/result.rs
@@ -116,8 +116,8 @@
     /// The chain is complete but differs from the route of the attempt.
     #[display("off the attempt's route")]
     OffRoute,
-    /// The position is too far ahead to be buffered. The attempt cannot complete without it, so its
-    /// owner starts another attempt.
+    /// The position is too far ahead to be buffered. The attempt cannot complete without it, so the
+    /// entry starts another attempt.
     #[display("beyond the reorder window")]
     BeyondWindow,
     /// The answer is longer than the settings allow.
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -3,6 +3,9 @@
 //! Each module takes its input and the current time as arguments and returns the effects that the
 //! caller must carry out. No module opens a socket or a file or reads a clock, so a test run with
 //! a given seed always produces the same result.
+//!
+//! An entry is the reverse proxy part of a daemon: it accepts the requests of callers. A draft is a
+//! completion or chat request to a model.
 
 pub mod agreement;
 pub mod base;
--- a/crates/coordination/src/limits/admission.rs
+++ b/crates/coordination/src/limits/admission.rs
@@ -53,7 +53,7 @@
 
 /// Waiting and running requests of each customer, and the capacity of the entry.
 ///
-/// Invariants: running requests and their tokens never exceed the capacity in force at the last
+/// Invariants: running requests and their tokens never exceed the current capacity at the last
 /// admission; every waiting ticket is in exactly one queue; `ready` holds, for each priority,
 /// exactly the customers that have a waiting request of that priority and are below their limit of
 /// running requests.
--- a/crates/coordination/src/limits/offer.rs
+++ b/crates/coordination/src/limits/offer.rs
@@ -19,7 +19,7 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestPriority {
-    /// Runs last, such as a draft in a batch.
+    /// Runs last, such as a background request.
     Batch,
     /// Default priority.
     #[default]
--- a/crates/coordination/src/limits/wait.rs
+++ b/crates/coordination/src/limits/wait.rs
@@ -1,6 +1,6 @@
 //! Time for which a request waits while no known backend server has free capacity.
 //!
-//! After a restart of all hosts, callers whose streams were cut retry at the same moment
+//! After a restart of all hosts, callers whose streams were aborted retry at the same moment
 //! (thundering herd). A host that has just started knows few or none of the backend servers; the
 //! servers that it does not know may have free capacity, and they announce themselves within
 //! seconds. A caller that is refused in the meantime has used up the only retry that it may have.
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,8 +1,11 @@
 //! Placement: assigns layers and versions of models to engines.
 //!
+//! A draft is a request to a model, as defined in the [crate documentation](crate). An engine that
+//! runs drafts needs KV memory for each of them beside the weights of its layers.
+//!
 //! Each tick compares the observed layers of engines with the targets of selectors, and orders
 //! loads: first the fewest loads that complete a pipeline, then loads that balance the rate across
-//! layers. The weight store serves only a few loads at a time, and only the holder of the placement
+//! layers. The weight store serves only a few loads at a time, and only the holder of the order
 //! right gives orders.
 
 mod balance;
--- a/crates/coordination/src/placement/engine.rs
+++ b/crates/coordination/src/placement/engine.rs
@@ -116,9 +116,9 @@
     /// the typical draft is known, the unit is drafts per second that it would serve if it ran that
     /// layer alone; otherwise tokens per second.
     ///
-    /// Second copies are placed where this rate is lowest. When they were placed by memory alone,
-    /// they went to layers of the fastest engines, where few drafts needed them, and most drafts
-    /// depended on single copies of the slow layers.
+    /// Second copies are placed where this rate is lowest. If they were placed by memory alone,
+    /// they would go to layers of the fastest engines, where few drafts need them, and most drafts
+    /// would depend on single copies of the slow layers.
     pub(crate) fn rate_over(&self, layers: LayerRange, load: Option<DraftLoad>) -> f64 {
         let layer_rate = f64::from(self.observation.layer_rate);
         if let (Some(memory), Some(load)) = (self.observation.memory, load) {
--- a/crates/coordination/src/placement/extend.rs
+++ b/crates/coordination/src/placement/extend.rs
@@ -1,9 +1,10 @@
 //! Closes a gap with adjacent engines, which load the missing layers in addition to their own.
 //!
-//! If every layer has a single holder, no engine can be spared when one fails. Its data centre then
-//! had no complete chain until the engine came back or another one was added. The engines on both
-//! sides of the gap have free memory: with a few more layers they hold fewer drafts, but the chain
-//! is complete after these few loads. The layers that they hold remain loaded meanwhile.
+//! If every layer is on a single engine and one of these engines fails, no engine can be spared to
+//! replace it, and the data centre would have no complete pipeline until the engine comes back or
+//! another one is added. The engines on both sides of the gap have free memory: with a few more
+//! layers they hold fewer drafts, but the pipeline is complete after these few loads. The layers
+//! that they hold remain loaded meanwhile.
 
 use super::coverage::LayerCoverage;
 use super::engine::PlacedKey;
--- a/crates/coordination/src/placement/layout.rs
+++ b/crates/coordination/src/placement/layout.rs
@@ -1,15 +1,15 @@
 //! Plans a layout from scratch: assigns layers to engines for the highest throughput of drafts.
 //!
 //! The step rate alone does not determine the throughput of a chain. By Little's law it is the
-//! number of drafts that fit in the KV memory of the chain's narrowest layer, divided by the time
-//! for which each draft holds that memory. An additional layer on an engine takes memory from all
-//! of its drafts, and a slow engine makes drafts hold the memory of all other engines for longer.
-//! The planner therefore divides the engines into rows, the fastest first. Each row is a complete
-//! copy of the layers, and each engine holds as many layers as leave it a given number of tokens.
-//! Few layers per engine yield long chains with much KV memory but no spare engines; many layers
-//! per engine yield short fast chains with little KV memory, and second copies. The planner tries
-//! every number of tokens at which some engine would hold one layer more or less, and selects the
-//! layout with the highest throughput, reduced for missing second copies.
+//! number of drafts that fit in the KV memory of the layer with the least KV memory, divided by the
+//! time for which each draft holds that memory. An additional layer on an engine takes memory from
+//! all of its drafts, and a slow engine makes drafts hold the memory of all other engines for
+//! longer. The planner therefore divides the engines into rows, the fastest first. Each row is a
+//! complete copy of the layers, and each engine holds as many layers as leave it a given number of
+//! tokens. Few layers per engine yield long chains with much KV memory but no spare engines; many
+//! layers per engine yield short fast chains with little KV memory, and second copies. The planner
+//! tries every number of tokens at which some engine would hold one layer more or less, and selects
+//! the layout with the highest throughput, reduced for missing second copies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/src/placement/memory.rs
+++ b/crates/coordination/src/placement/memory.rs
@@ -53,9 +53,9 @@
 
     /// Computes the KV memory that engines must keep, if this process has not planned a layout.
     ///
-    /// A host can take over the placement right from the host that planned the layout, and then
-    /// repair a loss or place a new engine. Without a reserve it assigned 38 layers to an engine
-    /// that has sufficient KV memory with at most 30, and its data centre served half as many
+    /// A host can take over the order right from the host that planned the layout, and then repair
+    /// a loss or place a new engine. Without a reserve it would assign 38 layers to an engine that
+    /// has sufficient KV memory with at most 30, and its data centre would serve half as many
     /// requests. The reserve is therefore derived from a layout of the current engines.
     pub(super) fn infer_reserved_tokens(&mut self, now: MonotonicTime) {
         let target = self.targets.first();
--- a/crates/coordination/src/placement/order.rs
+++ b/crates/coordination/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! Load orders, the placement right, and the reasons why a tick ordered nothing.
+//! Load orders, the order right of placement, and the reasons why a tick ordered nothing.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,8 @@
 use super::engine::{HeldWeights, WeightsId};
 use crate::base::{FencingNumber, MonotonicTime, ServerName};
 
-/// Right to give orders to engines, granted by the agreement group.
+/// The order right for engines, as this process holds it: the right to give orders to them, granted
+/// by the agreement group (see [`crate::replicated`]).
 ///
 /// Invariant, enforced by the agreement group: there is one holder at a time, and each new holder
 /// has a higher fencing number than the previous one.
@@ -45,7 +46,7 @@
 pub struct LoadOrder {
     /// Name of the engine.
     pub server: ServerName,
-    /// Fencing number of the placement right.
+    /// Fencing number of the order right.
     pub fencing: FencingNumber,
     /// End of the right; the sender checks it again before it sends the order.
     pub valid_until: MonotonicTime,
@@ -59,7 +60,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementWait {
-    /// This process does not hold the placement right.
+    /// This process does not hold the order right.
     #[display("without the placement right")]
     NoRight,
     /// Engines may not have announced themselves yet.
--- a/crates/coordination/src/placement/table.rs
+++ b/crates/coordination/src/placement/table.rs
@@ -23,7 +23,7 @@
 /// load, which takes about as long.
 pub(super) const REFUSAL_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The current placement right, and when this process acquired it.
+/// The current order right, and when this process acquired it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldRight {
     pub(super) right: PlacementRight,
--- a/crates/coordination/src/replicated/clock.rs
+++ b/crates/coordination/src/replicated/clock.rs
@@ -71,12 +71,11 @@
 
 /// The replicated clock.
 ///
-/// Failure: with wall clocks, one host whose clock jumps a day ahead would expire every claim at
-/// once, and a resend would run a booking again. Safeguard: the clock advances only by the increase
-/// of one process's monotonic time between two successive stamps of that process, so between any
-/// two entries it advances by no more than real time. It loses an interval at each change of leader
-/// and stops while no command is appended; claims and leases then last longer, which is the safe
-/// side.
+/// A clock based on wall time would expire every claim at once if one host's clock jumped a day
+/// ahead, and a resent call would run again. This clock therefore advances only by the increase of
+/// one process's monotonic time between two successive stamps of that process, so between any two
+/// entries it advances by no more than real time. It loses an interval at each change of leader and
+/// stops while no command is appended; claims and leases then last longer, which does no harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedClock {
     now: ReplicatedTime,
--- a/crates/coordination/src/replicated/evidence_index.rs
+++ b/crates/coordination/src/replicated/evidence_index.rs
@@ -107,10 +107,10 @@
 
 /// The latest records, and the next expected number of each writer.
 ///
-/// Failure: records were kept by number and bytes alone, so a group with little evidence kept all
-/// of it. Symptom: snapshots grew with each change, and so did the time in which a restarting
-/// keeper answers no request. Records that every keeper has had time to copy to its files are not
-/// needed here.
+/// Records older than the maximum age are dropped even below the other limits: every keeper has had
+/// time to copy them to its files. If records were kept by number and bytes alone, a group with
+/// little evidence would keep all of it, each snapshot would grow with each change, and so would
+/// the time in which a restarting keeper answers no request.
 ///
 /// Invariants: positions increase by one; `bytes` is the sum of the kept records; `arrivals`
 /// increase, and are no more than the records.
@@ -177,7 +177,7 @@
             .map_or(self.next, |record| record.position)
     }
 
-    /// Iterates exceeds_limits the kept records from `position` on.
+    /// Iterates over the kept records from `position` on.
     pub fn since(&self, position: EvidencePosition) -> impl Iterator<Item = &IndexedRecord> {
         let skipped = position.0.saturating_sub(self.oldest_position().0);
         let skipped = usize::try_from(skipped).unwrap_or(usize::MAX);
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The configuration in effect after this keeper's last applied entry.
+    /// The configuration in force after this keeper's last applied entry.
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.clone()
     }
--- a/crates/coordination/src/retries/budget.rs
+++ b/crates/coordination/src/retries/budget.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> &RetrySettings {
         &self.settings
     }
--- a/crates/coordination/src/retries/outlier.rs
+++ b/crates/coordination/src/retries/outlier.rs
@@ -9,7 +9,7 @@
 use super::settings::OutlierSettings;
 use crate::base::MonotonicTime;
 
-/// An ejection in force.
+/// A current ejection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Ejection<C> {
     /// Class of peers among which the share of ejected servers is limited.
@@ -30,7 +30,7 @@
 
 /// Failures and ejections of backend servers with keys `K`, grouped in classes `C` of peers.
 ///
-/// Invariant: when an ejection begins, the ejections in force within its class do not exceed the
+/// Invariant: when an ejection begins, the current ejections within its class do not exceed the
 /// share of its peers that the settings allow, so at least one peer always remains.
 #[derive(Clone, Debug)]
 pub struct OutlierTable<K, C>
@@ -125,7 +125,7 @@
         self.ejected.remove(&key);
     }
 
-    /// Ejections that are in force, or expired and not yet removed by a tick.
+    /// Ejections that are current, or expired and not yet removed by a tick.
     pub fn ejections(&self) -> impl Iterator<Item = (K, &Ejection<C>)> {
         self.ejected.iter().map(|(key, ejection)| (*key, ejection))
     }
--- a/crates/coordination/src/retries/proof.rs
+++ b/crates/coordination/src/retries/proof.rs
@@ -13,7 +13,8 @@
     /// No connection was established in time, and no byte was written.
     #[display("no connection")]
     NotConnected,
-    /// The backend server reports that it did not start the call.
+    /// The backend server reports that it did not start the call. `CallEvent::ProvedNotStarted` of
+    /// [`crate::claims`] is the same fact.
     #[display("declined")]
     Declined,
     /// The connection broke after the first byte was written.
@@ -57,7 +58,8 @@
     ///
     /// Only a connection that was never established, or a report of the backend server itself,
     /// proves that a call did not run. After a reset, a timeout or an error status the call may
-    /// have run and its answer may be lost; treating them as proof would run an attestation twice.
+    /// have run and its answer may be lost; treating them as proof would run a non-idempotent call
+    /// twice.
     pub fn proof(self) -> RunProof {
         match self {
             Self::ConnectionRefused | Self::NotConnected => RunProof::NotSent,
@@ -75,7 +77,10 @@
     }
 }
 
-/// Whether a call may run more than once.
+/// Whether a call may run more than once. [`RouteKind::may_repeat`] maps the kind of a route to it:
+/// idempotent routes and resumable streams may run more than once.
+///
+/// [`RouteKind::may_repeat`]: crate::routes::RouteKind::may_repeat
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CallKind {
--- a/crates/coordination/src/retries/tried_servers.rs
+++ b/crates/coordination/src/retries/tried_servers.rs
@@ -4,10 +4,9 @@
 
 /// Backend servers that a request was sent to and that may have run it, without duplicates.
 ///
-/// The first engine of a broken chain has run the draft and counts as long as it answers. When it
-/// did not count after the loss of a later engine, the next chain began with another first engine:
-/// where several engines were lost within seconds, a draft ran on three first engines although its
-/// route allows two.
+/// The first engine of a failed pipeline counts as long as it answers, even if another engine of
+/// the pipeline failed. Otherwise each retry could start at a new first engine: if several engines
+/// are lost within seconds, a draft would run on three first engines although its route allows two.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TriedServers {
     servers: Vec<ServerName>,
--- a/crates/coordination/src/revision_follower.rs
+++ b/crates/coordination/src/revision_follower.rs
@@ -194,14 +194,14 @@
     /// Records that a peer holds `revision`. If the revision is newer than the held one and no
     /// question is pending, the next question is due at once.
     ///
-    /// Failure: many peers report a change within a second, and a host asked the next keeper for
-    /// the whole content at each report. Symptom: some hosts got a change seconds after the others.
-    /// One pending question is enough; if its answer takes longer than
+    /// Many peers report a change within a second. If each report triggered a question for the
+    /// complete content, some hosts would get a change seconds after the others. Therefore one
+    /// question is pending at a time; if its answer takes longer than
     /// [`FollowSettings::answer_timeout`], the next keeper is asked.
     ///
-    /// Failure: operators change routes ten times a second, and a host fetches each change
-    /// separately, each time a document of thousands of routes. Symptom: all streams of the host
-    /// paused during that time. Changes within [`FollowSettings::spacing`] are fetched together.
+    /// Operators may change routes ten times a second. If a host fetched each change separately,
+    /// each time with a document of thousands of routes, all its streams would pause during that
+    /// time. Changes within [`FollowSettings::spacing`] are therefore fetched together.
     pub fn observe(&mut self, now: MonotonicTime, revision: Revision) {
         self.observed = self.observed.max(Some(revision));
         if !self.is_behind() {
--- a/crates/coordination/src/revision_follower/followers.rs
+++ b/crates/coordination/src/revision_follower/followers.rs
@@ -12,8 +12,8 @@
 /// Hosts that ask this keeper for the configuration.
 ///
 /// A host asks one keeper at a time, a near one if possible. A message for all hosts goes to each
-/// keeper once, and each keeper forwards it to its followers. When one keeper sent it to every
-/// host, that keeper and the links between data centres were saturated.
+/// keeper once, and each keeper forwards it to its followers. If one keeper sent it to every
+/// host, that keeper and the links between data centres would be saturated.
 #[derive(Clone, Debug, Default)]
 pub struct FollowerTable {
     asked_at: BTreeMap<HostName, MonotonicTime>,
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -1,6 +1,8 @@
 //! Routing: selects the pipeline of engines that runs a request.
 //!
-//! A pipeline runs every layer of one model version exactly once, in order. Each engine announces
+//! A pipeline is a list of engines that together run every layer of one model version exactly once,
+//! in order. A route is the planned pipeline of one request. A chain is the list of stages that a
+//! token carries (see [`crate::ledger`]). Each engine announces
 //! the range of layers that it holds. [`FleetPlanner`] stores these announcements, computes the
 //! maximum flow over the layer graph each tick, and picks the engine of each stage from a few
 //! samples, so that the cost of a decision does not grow with the fleet.
--- a/crates/coordination/src/routing/bound.rs
+++ b/crates/coordination/src/routing/bound.rs
@@ -24,7 +24,7 @@
 /// Bisection steps of the search for the lowest load factor that still carries the total flow.
 const BALANCE_STEPS: u32 = 8;
 
-/// Limit on the number of cuts that load balancing fixes, one per round.
+/// Maximum number of minimum cuts whose edge capacities load balancing sets, one cut per round.
 const BALANCE_ROUNDS: u32 = 16;
 
 /// Bisection steps of the search for the compute bound; 40 halvings leave an error of less than a
--- a/crates/coordination/src/routing/degraded.rs
+++ b/crates/coordination/src/routing/degraded.rs
@@ -1,9 +1,9 @@
 //! Delay statistics of streams that this host sent to other data centres.
 //!
-//! Pattern: degraded link. A link between two data centres loses packets or provides only part of
-//! its rate, while the engines on both sides are healthy and report normal load. First events
-//! arrive in time, but the intervals between later events exceed their limit. Only the streams of a
-//! host show this, so each host counts them.
+//! A degraded link between two data centres loses packets or provides only part of its rate, while
+//! the engines on both sides are healthy and report normal load. First events arrive in time, but
+//! the intervals between later events exceed their limit. Only the streams of a host show this, so
+//! each host counts them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,10 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DegradedSettings {
-    /// Advantage in the predicted time of the first event that another data centre needs to be
-    /// preferred, if this host has no statistics about it. Its events take a millisecond longer;
-    /// the rest keeps requests local while load reports lag, since all entries would otherwise
-    /// follow the same outdated report to the same place.
+    /// Penalty that always applies to the predicted time of the first event in another data centre.
+    /// It is higher than the added latency (1 ms), so that entries with the same outdated load
+    /// report do not all send to the same data centre.
     pub usual_penalty: Duration,
     /// Additional penalty if every stream was late. It is longer than any wait for capacity in the
     /// local data centre.
@@ -65,12 +64,12 @@
         }
     }
 
-    /// Records the start of a stream over `centre`.
+    /// Records the start of a stream to `centre`.
     pub fn started(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.record(now, centre).started += 1.0;
     }
 
-    /// Records the first interval of a stream over `centre` that exceeded its limit. Call it at
+    /// Records the first interval of a stream to `centre` that exceeded its limit. Call it at
     /// most once per stream.
     pub fn late(&mut self, now: MonotonicTime, centre: &DataCentreName) {
         self.record(now, centre).late += 1.0;
--- a/crates/coordination/src/routing/graph.rs
+++ b/crates/coordination/src/routing/graph.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Counts the engines with the range `layers`. The ejection limit applies to this peer group.
+    /// Counts the engines with the range `layers`. The ejection limit applies to this peer class.
     pub(crate) fn count_peers(&self, layers: LayerRange) -> usize {
         self.groups
             .values()
--- a/crates/coordination/src/routing/health.rs
+++ b/crates/coordination/src/routing/health.rs
@@ -23,7 +23,7 @@
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct HealthSettings {
     /// Time within which an engine must answer a probe. Within a region an answer takes a few
-    /// milliseconds and needs no slot.
+    /// milliseconds and does not wait for a batch slot of the engine.
     pub answer_time: Duration,
     /// Time for which a suspected engine is excluded, unless an event clears it. It is longer than
     /// the time after which a failed engine's heartbeats no longer renew its lease.
@@ -51,8 +51,8 @@
     probe_blocked_until: Option<MonotonicTime>,
     suspected_at: Option<MonotonicTime>,
     suspected_until: Option<MonotonicTime>,
-    /// Whether another host's answer has cleared the suspicion since this host last saw the engine
-    /// alive.
+    /// Whether an answer of the engine to another host has cleared the suspicion since this host
+    /// last saw the engine alive.
     is_cleared_by_peer: bool,
     /// Whether nothing listens at the engine's address.
     is_unreachable: bool,
@@ -148,10 +148,10 @@
     /// Records that another host received an answer of the engine at `answered`.
     ///
     /// A host that is short of CPU time reads answers too late that arrived in time. Within seconds
-    /// such hosts suspected every engine and found no complete chain, although all engines were
-    /// healthy. A later answer to another host therefore clears a suspicion, but only once until
-    /// this host sees the engine alive itself: if the network path from this host is broken, the
-    /// engine stays excluded.
+    /// such a host would suspect every engine and find no complete pipeline, although all engines
+    /// are healthy. A later answer to another host therefore clears a suspicion, but only once
+    /// until this host sees the engine alive itself: if the network path from this host is broken,
+    /// the engine stays excluded.
     pub fn cleared_by_peer(&mut self, server: &ServerName, answered: MonotonicTime) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
--- a/crates/coordination/src/routing/load.rs
+++ b/crates/coordination/src/routing/load.rs
@@ -1,5 +1,5 @@
-//! Estimated load of one engine: its last report, which lags, plus the requests that this entry has
-//! started and ended since.
+//! Estimated load of one engine: its last report, which lags, plus its own requests (those sent by
+//! this process) that have started and ended since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,8 +10,9 @@
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
 /// Time for which an engine counts as full after it declined a request for lack of capacity,
-/// unless a newer report arrives. It is a tenth of the running time of a request of 200 tokens:
-/// about as many requests end in this time as one host in ten may send.
+/// unless a newer report arrives. It is a tenth of the running time of a request of 200 tokens, so
+/// about a tenth of the running requests end in this time, which frees capacity for a request from
+/// one host in ten.
 const FULL_DURATION: Duration = Duration::from_millis(250);
 
 /// Maximum number of own events kept individually between two reports; older events are merged.
@@ -45,7 +46,7 @@
     pub figures: LoadFigures,
 }
 
-/// Change of an engine's load by one request of this process.
+/// Change of an engine's load by one own request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LoadDelta {
     pub(crate) prefill: i64,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Reported load of one engine, and the load of this process's own requests.
+/// Reported load of one engine, and the load of the own requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTracker {
     reported: LoadFigures,
--- a/crates/coordination/src/routing/plan.rs
+++ b/crates/coordination/src/routing/plan.rs
@@ -55,7 +55,7 @@
 pub struct RouteQuery<'a> {
     /// Requested model.
     pub model: &'a ModelName,
-    /// Version that the route must use; `None` before the first attempt.
+    /// Required version; `None` until a first attempt has chosen one.
     pub version: Option<&'a VersionName>,
     /// Adapter that every engine must support, if any.
     pub adapter: Option<&'a AdapterName>,
--- a/crates/coordination/src/routing/repair.rs
+++ b/crates/coordination/src/routing/repair.rs
@@ -22,7 +22,7 @@
 
 /// Returns `plan` with its stages on excluded engines replaced.
 ///
-/// The first stage holds the request, so it can't be replaced.
+/// The first stage receives the request and sends its tokens, so it can't be replaced.
 ///
 /// # Errors
 /// Fails if the first stage is excluded, or if no usable engines cover the lost layers.
--- a/crates/coordination/src/routing/view.rs
+++ b/crates/coordination/src/routing/view.rs
@@ -169,11 +169,11 @@
     /// Whether an engine is excluded while other engines can serve.
     ///
     /// An engine can decline a request as full while its last report still shows free capacity.
-    /// Without this check every request of this host went to that engine, which declined each one
-    /// up to six times until its next report, and the host used up its retries. A single declined
-    /// request is therefore enough to mark the engine as full. If no other engine holds its layers,
-    /// the engine is still used: capacity is freed there within milliseconds, whereas a request
-    /// that waits for a quarter of a second is late.
+    /// Without this check every request of this host would go to that engine, which would decline
+    /// each one up to six times until its next report, and the host would use up its retries. A
+    /// single declined request is therefore enough to mark the engine as full. If no other engine
+    /// holds its layers, the engine is still used: capacity is freed there within milliseconds,
+    /// whereas a request that waits for a quarter of a second is late.
     fn is_ejected_or_full(&self, key: EngineKey, engine: &EngineRecord) -> bool {
         self.outliers.is_ejected(self.now, key) || engine.load.is_full(self.now)
     }
--- a/crates/coordination/src/streams.rs
+++ b/crates/coordination/src/streams.rs
@@ -1,8 +1,8 @@
 //! Resumable streams: copies of the answers that peers are sending to callers.
 //!
 //! The entry that sends an answer replicates each token to one other host before it sends the token
-//! to its caller. If the entry dies, the caller reconnects to any entry with its request id and the
-//! last position that it received, and the answer continues from there without a missing or
+//! to its caller. If the entry crashes, the caller reconnects to any entry with its request id and
+//! the last position that it received, and the answer continues from there without a missing or
 //! repeated token. The entry does not wait for the replication. If a token reached the caller but
 //! was lost on the way to this host, the stream can't be resumed, and a caller that tries gets an
 //! error.
