--- a/crates/coordination/src/hosts.rs
+++ b/crates/coordination/src/hosts.rs
@@ -74,9 +74,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct DirectoryEntry {
+struct KnownHost {
     reach: HostReach,
-    heard_at: MonotonicTime,
+    confirmed_at: MonotonicTime,
 }
 
 /// Hosts known to one host, without itself.
@@ -84,7 +84,7 @@
 pub struct HostDirectory {
     own: HostName,
     settings: DirectorySettings,
-    entries: BTreeMap<HostName, DirectoryEntry>,
+    hosts: BTreeMap<HostName, KnownHost>,
 }
 
 impl HostDirectory {
@@ -93,7 +93,7 @@
         Self {
             own,
             settings,
-            entries: BTreeMap::new(),
+            hosts: BTreeMap::new(),
         }
     }
 
@@ -108,7 +108,7 @@
     }
 
     /// Records information that a host sent about another. Information that is not newer than the
-    /// stored entry is ignored; otherwise a host that was replaced at a new address would be reset
+    /// stored value is ignored; otherwise a host that was replaced at a new address would be reset
     /// to its old address.
     pub fn observe_gossip(
         &mut self,
@@ -118,33 +118,33 @@
         if gossip.age >= self.settings.retention {
             return None;
         }
-        let heard_at = now.before(gossip.age);
-        let known = self.entries.get(&gossip.host);
-        if known.is_some_and(|known| known.heard_at >= heard_at) {
+        let confirmed_at = now.before(gossip.age);
+        let known = self.hosts.get(&gossip.host);
+        if known.is_some_and(|known| known.confirmed_at >= confirmed_at) {
             return None;
         }
-        self.merge(&gossip.host, gossip.reach.clone(), heard_at)
+        self.merge(&gossip.host, gossip.reach.clone(), confirmed_at)
     }
 
     /// Records that a link to `host` works at `now`.
     pub fn confirm(&mut self, now: MonotonicTime, host: &HostName) {
-        if let Some(entry) = self.entries.get_mut(host) {
-            entry.heard_at = entry.heard_at.max(now);
+        if let Some(known) = self.hosts.get_mut(host) {
+            known.confirmed_at = known.confirmed_at.max(now);
         }
     }
 
     /// Removes hosts without confirmation during the retention.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<DirectoryChange> {
         let retention = self.settings.retention;
-        let silent = |entry: &DirectoryEntry| now.since(entry.heard_at) >= retention;
+        let silent = |known: &KnownHost| now.since(known.confirmed_at) >= retention;
         let expired: Vec<HostName> = self
-            .entries
+            .hosts
             .iter()
-            .filter(|(_, entry)| silent(entry))
+            .filter(|(_, known)| silent(known))
             .map(|(host, _)| host.clone())
             .collect();
         for host in &expired {
-            self.entries.remove(host);
+            self.hosts.remove(host);
         }
         expired
             .into_iter()
@@ -155,12 +155,12 @@
     /// Returns the gossip for other hosts. It contains only keepers, because hosts connect only to
     /// keepers.
     pub fn gossip(&self, now: MonotonicTime) -> Vec<HostGossip> {
-        let keepers = self.entries.iter().filter(|(_, entry)| entry.reach.keeper);
+        let keepers = self.hosts.iter().filter(|(_, known)| known.reach.keeper);
         keepers
-            .map(|(host, entry)| HostGossip {
+            .map(|(host, known)| HostGossip {
                 host: host.clone(),
-                reach: entry.reach.clone(),
-                age: now.since(entry.heard_at),
+                reach: known.reach.clone(),
+                age: now.since(known.confirmed_at),
             })
             .collect()
     }
@@ -168,44 +168,44 @@
     /// Returns the hosts to which keepers can assign heartbeats: those with a data centre and a
     /// heartbeat address.
     pub fn heartbeat_hosts(&self) -> Vec<HeartbeatHost> {
-        let hosts = self.entries.iter().filter_map(|(host, entry)| {
+        let hosts = self.hosts.iter().filter_map(|(host, known)| {
             Some(HeartbeatHost {
                 host: host.clone(),
-                data_centre: entry.reach.data_centre.clone()?,
-                address: entry.reach.heartbeats?,
+                data_centre: known.reach.data_centre.clone()?,
+                address: known.reach.heartbeats?,
             })
         });
         hosts.collect()
     }
 
-    /// Number of known hosts that are not keepers; these accept requests of callers.
+    /// Number of entries: known hosts that are not keepers; these accept requests of callers.
     pub fn entry_count(&self) -> u32 {
-        let entries = self.entries.values().filter(|entry| !entry.reach.keeper);
-        u32::try_from(entries.count()).unwrap_or(u32::MAX)
+        let hosts = self.hosts.values().filter(|known| !known.reach.keeper);
+        u32::try_from(hosts.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns the host whose peer address is `address`.
     pub fn find_by_address(&self, address: SocketAddr) -> Option<&HostName> {
-        let mut entries = self.entries.iter();
-        let found = entries.find(|(_, entry)| entry.reach.address == address);
+        let mut hosts = self.hosts.iter();
+        let found = hosts.find(|(_, known)| known.reach.address == address);
         found.map(|(host, _)| host)
     }
 
     /// Whether a host is known to be in `data_centre`.
     pub fn is_in(&self, host: &HostName, data_centre: &DataCentreName) -> bool {
-        let entry = self.entries.get(host);
-        entry.is_some_and(|entry| entry.reach.data_centre.as_ref() == Some(data_centre))
+        let known = self.hosts.get(host);
+        known.is_some_and(|known| known.reach.data_centre.as_ref() == Some(data_centre))
     }
 
     /// Whether a host is a known keeper.
     pub fn is_keeper(&self, host: &HostName) -> bool {
-        let entry = self.entries.get(host);
-        entry.is_some_and(|entry| entry.reach.keeper)
+        let known = self.hosts.get(host);
+        known.is_some_and(|known| known.reach.keeper)
     }
 
     /// Iterates over the known keepers in the order of their names.
     pub fn keepers(&self) -> impl Iterator<Item = &HostName> {
-        let keepers = self.entries.iter().filter(|(_, entry)| entry.reach.keeper);
+        let keepers = self.hosts.iter().filter(|(_, known)| known.reach.keeper);
         keepers.map(|(host, _)| host)
     }
 
@@ -213,18 +213,18 @@
         &mut self,
         host: &HostName,
         reach: HostReach,
-        heard_at: MonotonicTime,
+        confirmed_at: MonotonicTime,
     ) -> Option<DirectoryChange> {
         if *host == self.own {
             return None;
         }
-        let former = self.entries.get(host);
+        let former = self.hosts.get(host);
         let is_known = former.is_some_and(|former| former.reach == reach);
-        let entry = DirectoryEntry {
+        let known = KnownHost {
             reach: reach.clone(),
-            heard_at,
+            confirmed_at,
         };
-        self.entries.insert(host.clone(), entry);
+        self.hosts.insert(host.clone(), known);
         if is_known {
             return None;
         }
