--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -21,7 +21,7 @@
 mod table;
 
 pub use engine::{EngineObservation, HeldWeights, PlacementTarget, WeightsId};
-pub use layout::{DraftLoad, EngineMemory};
+pub use layout::{EngineMemory, TypicalDraft};
 pub use order::{LoadOrder, PlacementReport, PlacementRight, PlacementWait, UnloadPolicy};
 pub use settings::PlacementSettings;
 pub use table::PlacementTable;
--- a/crates/coordination/src/placement/balance.rs
+++ b/crates/coordination/src/placement/balance.rs
@@ -2,7 +2,7 @@
 
 use super::coverage::LayerCoverage;
 use super::engine::PlacedEngine;
-use super::layout::DraftLoad;
+use super::layout::TypicalDraft;
 use crate::base::LayerRange;
 
 /// A candidate range for an engine, and the resulting rate of the slowest layer.
@@ -32,24 +32,24 @@
     /// Number of layers of the model.
     pub(crate) layers: u32,
     /// Layers at which existing ranges begin or end.
-    pub(crate) cuts: &'a [u32],
+    pub(crate) boundaries: &'a [u32],
     /// KV memory that must remain free on the engine, in tokens.
     pub(crate) reserved_tokens: u64,
     /// Typical draft, if known.
-    pub(crate) load: Option<DraftLoad>,
+    pub(crate) typical_draft: Option<TypicalDraft>,
 }
 
 impl RangeSearch<'_> {
-    /// Finds the best range for `engine`. Ranges begin and end at existing cuts or at the capacity
-    /// limit of the engine, so that pipelines have few cuts.
+    /// Finds the best range for `engine`. Ranges begin and end at existing boundaries or at the
+    /// capacity limit of the engine, so that pipelines have few boundaries.
     pub(crate) fn find(&self, engine: &PlacedEngine) -> Option<RangeChoice> {
         let (slowest, _) = self.coverage.slowest();
         let max_layers = engine
             .max_layers_beside(self.reserved_tokens)
             .min(self.layers);
         let mut best: Option<RangeChoice> = None;
-        for first in starts(self.cuts, slowest, max_layers, self.layers) {
-            for end in ends(self.cuts, first, max_layers, self.layers) {
+        for first in starts(self.boundaries, slowest, max_layers, self.layers) {
+            for end in ends(self.boundaries, first, max_layers, self.layers) {
                 let covers = first <= slowest && slowest < end;
                 let Some(range) = LayerRange::new(first, end).filter(|_| covers) else {
                     continue;
@@ -65,7 +65,7 @@
 
     fn try_range(&self, engine: &PlacedEngine, layers: LayerRange) -> RangeChoice {
         let mut coverage = self.coverage.clone();
-        coverage.add(layers, engine.rate_over(layers, self.load));
+        coverage.add(layers, engine.rate_over(layers, self.typical_draft));
         RangeChoice {
             layers,
             slowest: coverage.slowest().1,
@@ -74,9 +74,9 @@
     }
 }
 
-fn starts(cuts: &[u32], slowest: u32, max_layers: u32, layers: u32) -> Vec<u32> {
+fn starts(boundaries: &[u32], slowest: u32, max_layers: u32, layers: u32) -> Vec<u32> {
     let last = layers.saturating_sub(max_layers);
-    let mut starts: Vec<u32> = cuts.to_vec();
+    let mut starts: Vec<u32> = boundaries.to_vec();
     starts.extend([slowest.min(last), last, 0]);
     starts.retain(|first| *first < layers);
     starts.sort_unstable();
@@ -84,9 +84,13 @@
     starts
 }
 
-fn ends(cuts: &[u32], first: u32, max_layers: u32, layers: u32) -> Vec<u32> {
+fn ends(boundaries: &[u32], first: u32, max_layers: u32, layers: u32) -> Vec<u32> {
     let limit = first.saturating_add(max_layers).min(layers);
-    let mut ends: Vec<u32> = cuts.iter().copied().filter(|end| *end <= limit).collect();
+    let mut ends: Vec<u32> = boundaries
+        .iter()
+        .copied()
+        .filter(|end| *end <= limit)
+        .collect();
     ends.push(limit);
     ends.sort_unstable();
     ends.dedup();
--- a/crates/coordination/src/placement/engine.rs
+++ b/crates/coordination/src/placement/engine.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use slotmap::new_key_type;
 
-use super::layout::{DraftLoad, EngineMemory};
+use super::layout::{EngineMemory, TypicalDraft};
 use crate::base::{LayerRange, ModelName, MonotonicTime, ServerName, VersionName};
 
 new_key_type! {
@@ -62,7 +62,8 @@
     pub share: u32,
     /// Typical draft, if engines report their memory. With it, layouts are planned by the number of
     /// drafts that fit rather than by the step rate.
-    pub load: Option<DraftLoad>,
+    #[serde(rename = "load")]
+    pub typical_draft: Option<TypicalDraft>,
 }
 
 /// An engine in the placement table.
@@ -119,10 +120,10 @@
     /// Second copies are placed where this rate is lowest. If they were placed by memory alone,
     /// they would go to layers of the fastest engines, where few drafts need them, and most drafts
     /// would depend on single copies of the slow layers.
-    pub(crate) fn rate_over(&self, layers: LayerRange, load: Option<DraftLoad>) -> f64 {
+    pub(crate) fn rate_over(&self, layers: LayerRange, typical_draft: Option<TypicalDraft>) -> f64 {
         let layer_rate = f64::from(self.observation.layer_rate);
-        if let (Some(memory), Some(load)) = (self.observation.memory, load) {
-            return load.draft_throughput(memory.tokens(layers.len()), 1.0 / layer_rate.max(1.0));
+        if let (Some(memory), Some(draft)) = (self.observation.memory, typical_draft) {
+            return draft.draft_throughput(memory.tokens(layers.len()), 1.0 / layer_rate.max(1.0));
         }
         layer_rate / f64::from(layers.len().max(1))
     }
--- a/crates/coordination/src/placement/layout.rs
+++ b/crates/coordination/src/placement/layout.rs
@@ -23,7 +23,7 @@
 /// If each layer has a single holder, any loss aborts every draft of the data centre and leaves it
 /// without a chain for several seconds, until the layers are loaded again. More copies reduce
 /// throughput a little in normal operation, and keep serving through a loss.
-const SECOND_COPY_VALUE: f64 = 0.5;
+const MISSING_COPY_PENALTY: f64 = 0.5;
 
 /// Memory of an engine, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 
 /// Typical draft, from which the throughput of a layout is computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DraftLoad {
+pub struct TypicalDraft {
     /// Prompt tokens.
     pub prompt: u32,
     /// Generated tokens.
@@ -62,7 +62,7 @@
     pub step_growth_ppm: u32,
 }
 
-impl DraftLoad {
+impl TypicalDraft {
     /// Mean KV memory of a draft in tokens; its answer grows while it runs.
     fn held_tokens(self) -> f64 {
         f64::from(self.prompt) + f64::from(self.answer) / 2.0
@@ -74,8 +74,8 @@
     pub(crate) fn draft_throughput(self, tokens: u64, step: f64) -> f64 {
         let drafts = tokens as f64 / self.held_tokens().max(1.0);
         let growth = f64::from(self.step_growth_ppm) / 1e6;
-        let held = f64::from(self.answer.max(1)) * step * (1.0 + growth * drafts);
-        drafts / held.max(f64::MIN_POSITIVE)
+        let duration = f64::from(self.answer.max(1)) * step * (1.0 + growth * drafts);
+        drafts / duration.max(f64::MIN_POSITIVE)
     }
 }
 
@@ -109,7 +109,7 @@
 pub(crate) fn plan_layout(
     engines: &[LayoutEngine],
     layers: u32,
-    load: DraftLoad,
+    draft: TypicalDraft,
 ) -> Option<LayerLayout> {
     let mut engines = engines.to_vec();
     engines.sort_by_key(|engine| {
@@ -125,7 +125,7 @@
         .collect();
     let layouts = token_counts
         .into_iter()
-        .filter_map(|tokens| build_rows(&engines, layers, load, tokens));
+        .filter_map(|tokens| build_rows(&engines, layers, draft, tokens));
     let best = layouts.max_by(|a, b| a.value.total_cmp(&b.value))?;
     Some(keep_held(&engines, best))
 }
@@ -135,7 +135,7 @@
 fn build_rows(
     engines: &[LayoutEngine],
     layers: u32,
-    load: DraftLoad,
+    draft: TypicalDraft,
     tokens: u64,
 ) -> Option<LayerLayout> {
     let mut layout = LayerLayout {
@@ -145,7 +145,7 @@
     let mut remaining_engines = engines;
     let (mut throughput, mut row_count) = (0.0, 0.0);
     while let Some((row, remaining)) = take_row(remaining_engines, layers, tokens) {
-        throughput += row_rate(&row, load);
+        throughput += row_rate(&row, draft);
         row_count += 1.0;
         layout
             .ranges
@@ -161,7 +161,7 @@
         .sum();
     let copies = row_count + f64::from(spare_layers) / f64::from(layers.max(1));
     let missing_copy = (2.0 - copies).clamp(0.0, 1.0);
-    layout.value = throughput * (1.0 - SECOND_COPY_VALUE * missing_copy);
+    layout.value = throughput * (1.0 - MISSING_COPY_PENALTY * missing_copy);
     Some(layout)
 }
 
@@ -198,14 +198,14 @@
 
 /// Throughput of a row in drafts per second. It is limited by the engine with the least KV memory,
 /// and a step passes through all engines.
-fn row_rate(row: &LayoutRow<'_>, load: DraftLoad) -> f64 {
+fn row_rate(row: &LayoutRow<'_>, draft: TypicalDraft) -> f64 {
     let tokens = row
         .iter()
         .map(|(engine, range)| engine.memory.tokens(range.len()));
     let steps = row
         .iter()
         .map(|(engine, range)| f64::from(range.len()) / f64::from(engine.layer_rate.max(1)));
-    load.draft_throughput(tokens.min().unwrap_or(0), steps.sum())
+    draft.draft_throughput(tokens.min().unwrap_or(0), steps.sum())
 }
 
 /// Assigns the ranges of each kind of engine to those of its engines that already hold most of
--- a/crates/coordination/src/placement/memory.rs
+++ b/crates/coordination/src/placement/memory.rs
@@ -3,7 +3,7 @@
 
 use super::engine::{PlacedEngine, PlacedKey, PlacementTarget};
 use super::extend::{ExtendableEngine, find_extensions};
-use super::layout::{DraftLoad, LayoutEngine, plan_layout};
+use super::layout::{LayoutEngine, TypicalDraft, plan_layout};
 use super::order::{PlacementReport, PlacementWait};
 use super::restore::{PlannedLoad, SpareEngine, find_loads};
 use super::table::{HeldRight, PlacementTable, REFUSAL_BACKOFF};
@@ -22,9 +22,9 @@
     pub(super) fn restore_by_memory(
         &mut self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         target: &PlacementTarget,
-        load: DraftLoad,
+        draft: TypicalDraft,
         report: &mut PlacementReport,
     ) {
         let planned = self.cover(target, PlacedEngine::planned);
@@ -32,14 +32,14 @@
         if !is_empty {
             for divisor in REPAIR_DIVISORS {
                 let reserved_tokens = self.reserved_tokens / divisor;
-                if let Some(loads) = self.find_repair(now, held, target, reserved_tokens, report) {
-                    self.order_loads(now, held, target, &loads, report);
+                if let Some(loads) = self.find_repair(now, right, target, reserved_tokens, report) {
+                    self.order_loads(now, right, target, &loads, report);
                     return;
                 }
             }
         }
         let engines = self.layout_engines(now, target);
-        let Some(layout) = plan_layout(&engines, target.layers, load) else {
+        let Some(layout) = plan_layout(&engines, target.layers, draft) else {
             report.waits.push(PlacementWait::Blocked {
                 weights: target.weights.clone(),
                 layer: planned.first_missing(0).unwrap_or(0),
@@ -48,7 +48,7 @@
         };
         self.reserved_tokens = layout.reserved_tokens;
         self.pending_layout = layout.ranges;
-        self.continue_layout(now, held, report);
+        self.continue_layout(now, right, report);
     }
 
     /// Computes the KV memory that engines must keep, if this process has not planned a layout.
@@ -59,14 +59,15 @@
     /// requests. The reserve is therefore derived from a layout of the current engines.
     pub(super) fn infer_reserved_tokens(&mut self, now: MonotonicTime) {
         let target = self.targets.first();
-        let Some((target, load)) = target.and_then(|target| Some((target, target.load?))) else {
+        let Some((target, draft)) = target.and_then(|target| Some((target, target.typical_draft?)))
+        else {
             return;
         };
         if self.reserved_tokens > 0 || self.is_unplaced(target) {
             return;
         }
         let engines = self.layout_engines(now, target);
-        let layout = plan_layout(&engines, target.layers, load);
+        let layout = plan_layout(&engines, target.layers, draft);
         self.reserved_tokens = layout.map_or(0, |layout| layout.reserved_tokens);
     }
 
@@ -75,7 +76,7 @@
     pub(super) fn continue_layout(
         &mut self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         report: &mut PlacementReport,
     ) -> bool {
         let is_lost = |key: &PlacedKey| {
@@ -98,7 +99,7 @@
         for (key, layers) in self.pending_layout.clone() {
             let can_be_ordered = |engine: &PlacedEngine| engine.can_be_ordered(now);
             if self.engines.get(key).is_some_and(can_be_ordered) {
-                self.order(now, held, key, &target.weights, layers, report);
+                self.order(now, right, key, &target.weights, layers, report);
             }
         }
         !self.pending_layout.is_empty()
@@ -109,13 +110,13 @@
     fn find_repair(
         &self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         target: &PlacementTarget,
         reserved_tokens: u64,
         report: &mut PlacementReport,
     ) -> Option<Vec<PlannedLoad>> {
         let planned = self.cover(target, PlacedEngine::planned);
-        let spares = self.find_spares_with_memory(now, held, reserved_tokens, report);
+        let spares = self.find_spares_with_memory(now, right, reserved_tokens, report);
         if let Ok(loads) = find_loads(&planned, target.layers, &spares) {
             return Some(loads);
         }
@@ -126,13 +127,13 @@
     fn order_loads(
         &mut self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         target: &PlacementTarget,
         loads: &[PlannedLoad],
         report: &mut PlacementReport,
     ) {
         for load in loads {
-            self.order(now, held, load.key, &target.weights, load.layers, report);
+            self.order(now, right, load.key, &target.weights, load.layers, report);
         }
     }
 
@@ -144,11 +145,11 @@
     fn find_spares_with_memory(
         &self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         reserved_tokens: u64,
         report: &mut PlacementReport,
     ) -> Vec<SpareEngine> {
-        let spares = self.find_spares(now, held, report).into_iter();
+        let spares = self.find_spares(now, right, report).into_iter();
         let limited = spares.filter_map(|spare| {
             let max_layers = self
                 .engines
--- a/crates/coordination/src/placement/spares.rs
+++ b/crates/coordination/src/placement/spares.rs
@@ -16,7 +16,7 @@
     pub(super) fn find_spares(
         &self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         report: &mut PlacementReport,
     ) -> Vec<SpareEngine> {
         let mut coverages: BTreeMap<WeightsId, LayerCoverage> = BTreeMap::new();
@@ -26,7 +26,7 @@
                 continue;
             };
             if !self.can_spare(engine, &mut coverages)
-                || !self.can_order_safely(now, held, engine, report)
+                || !self.can_order_safely(now, right, engine, report)
             {
                 continue;
             }
@@ -135,11 +135,11 @@
     fn can_order_safely(
         &self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         engine: &PlacedEngine,
         report: &mut PlacementReport,
     ) -> bool {
-        let until = held.since.after(self.settings.unfenced_wait);
+        let until = right.since.after(self.settings.unfenced_wait);
         if engine.observation.checks_fencing || now >= until {
             return true;
         }
--- a/crates/coordination/src/placement/table.rs
+++ b/crates/coordination/src/placement/table.rs
@@ -127,7 +127,7 @@
     pub fn tick(&mut self, now: MonotonicTime) -> PlacementReport {
         let mut report = PlacementReport::default();
         self.expire_loads(now);
-        let Some(held) = self.right.filter(|held| held.right.until > now) else {
+        let Some(right) = self.right.filter(|held| held.right.until > now) else {
             report.waits.push(PlacementWait::NoRight);
             return report;
         };
@@ -137,12 +137,12 @@
             return report;
         }
         self.infer_reserved_tokens(now);
-        if self.continue_layout(now, held, &mut report) {
+        if self.continue_layout(now, right, &mut report) {
             return report;
         }
-        let is_complete = self.restore(now, held, &mut report);
+        let is_complete = self.restore(now, right, &mut report);
         if is_complete {
-            self.balance(now, held, &mut report);
+            self.balance(now, right, &mut report);
         }
         report
     }
@@ -176,7 +176,7 @@
     fn restore(
         &mut self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         report: &mut PlacementReport,
     ) -> bool {
         let mut is_complete = true;
@@ -186,15 +186,15 @@
                 continue;
             }
             is_complete = false;
-            if let Some(load) = target.load {
-                self.restore_by_memory(now, held, &target, load, report);
+            if let Some(draft) = target.typical_draft {
+                self.restore_by_memory(now, right, &target, draft, report);
                 continue;
             }
-            let spares = self.find_spares(now, held, report);
+            let spares = self.find_spares(now, right, report);
             match find_loads(&planned, target.layers, &spares) {
                 Ok(loads) => {
                     for load in loads {
-                        self.order(now, held, load.key, &target.weights, load.layers, report);
+                        self.order(now, right, load.key, &target.weights, load.layers, report);
                     }
                 }
                 Err(layer) => report.waits.push(PlacementWait::Blocked {
@@ -207,21 +207,21 @@
     }
 
     /// Orders one load that raises the slowest layer of the target with the lowest rate per share.
-    fn balance(&mut self, now: MonotonicTime, held: HeldRight, report: &mut PlacementReport) {
+    fn balance(&mut self, now: MonotonicTime, right: HeldRight, report: &mut PlacementReport) {
         let Some(target) = self.find_least_served() else {
             return;
         };
         let coverage = self.cover(&target, PlacedEngine::planned);
-        let cuts = self.find_cuts(&target);
-        let spares = self.find_spares(now, held, report);
+        let boundaries = self.find_boundaries(&target);
+        let spares = self.find_spares(now, right, report);
         let free = spares.iter().find(|spare| spare.is_free);
-        let may_move = free.is_none() && self.may_move(now);
+        let may_move = free.is_none() && self.take_move_turn(now);
         let search = RangeSearch {
             coverage: &coverage,
             layers: target.layers,
-            cuts: &cuts,
+            boundaries: &boundaries,
             reserved_tokens: self.reserved_tokens,
-            load: target.load,
+            typical_draft: target.typical_draft,
         };
         let choice = match free {
             Some(spare) => self.place_free_engine(search, spare.key),
@@ -229,13 +229,13 @@
             None => None,
         };
         if let Some((key, layers)) = choice {
-            self.order(now, held, key, &target.weights, layers, report);
+            self.order(now, right, key, &target.weights, layers, report);
         }
     }
 
-    /// Whether the interval since the last move has passed. A move of an engine in use costs a load
-    /// and its caches, so moves keep a minimum interval.
-    fn may_move(&mut self, now: MonotonicTime) -> bool {
+    /// Whether the interval since the last move has passed; if so, the interval starts again. A
+    /// move of an engine in use costs a load and its caches, so moves keep a minimum interval.
+    fn take_move_turn(&mut self, now: MonotonicTime) -> bool {
         let interval = self.settings.balance_interval;
         let is_due = self
             .balanced_at
@@ -273,7 +273,10 @@
                 .planned()
                 .filter(|held| held.weights == target.weights)
             {
-                without.remove(held.layers, engine.rate_over(held.layers, search.load));
+                without.remove(
+                    held.layers,
+                    engine.rate_over(held.layers, search.typical_draft),
+                );
             }
             let search = RangeSearch {
                 coverage: &without,
@@ -302,13 +305,13 @@
     }
 
     /// Layers at which ranges of the target begin or end.
-    fn find_cuts(&self, target: &PlacementTarget) -> Vec<u32> {
+    fn find_boundaries(&self, target: &PlacementTarget) -> Vec<u32> {
         let planned = self.engines.values().filter_map(PlacedEngine::planned);
         let own = planned.filter(|held| held.weights == target.weights);
-        let cuts: BTreeSet<u32> = own
+        let boundaries: BTreeSet<u32> = own
             .flat_map(|held| [held.layers.first, held.layers.end])
             .collect();
-        cuts.into_iter().collect()
+        boundaries.into_iter().collect()
     }
 
     /// Coverage of a target by the weights that `select` returns for each engine.
@@ -319,7 +322,10 @@
         let mut coverage = LayerCoverage::new(target.layers);
         for engine in self.engines.values() {
             if let Some(held) = select(engine).filter(|held| held.weights == target.weights) {
-                coverage.add(held.layers, engine.rate_over(held.layers, target.load));
+                coverage.add(
+                    held.layers,
+                    engine.rate_over(held.layers, target.typical_draft),
+                );
             }
         }
         coverage
@@ -328,7 +334,7 @@
     pub(super) fn order(
         &mut self,
         now: MonotonicTime,
-        held: HeldRight,
+        right: HeldRight,
         key: PlacedKey,
         weights: &WeightsId,
         layers: LayerRange,
@@ -363,8 +369,8 @@
         };
         report.orders.push(LoadOrder {
             server: engine.observation.server.clone(),
-            fencing: held.right.fencing,
-            valid_until: held.right.until,
+            fencing: right.right.fencing,
+            valid_until: right.right.until,
             load,
             given_up,
         });
--- a/crates/coordination/tests/placement_failures.rs
+++ b/crates/coordination/tests/placement_failures.rs
@@ -48,7 +48,7 @@
         weights: weights(version),
         layers: LAYERS,
         share: 1,
-        load: None,
+        typical_draft: None,
     }
 }
 
--- a/crates/coordination/tests/placement_layout.rs
+++ b/crates/coordination/tests/placement_layout.rs
@@ -6,12 +6,12 @@
 
 use pollendrift_coordination::base::{FencingNumber, LayerRange, MonotonicTime, ServerName};
 use pollendrift_coordination::placement::{
-    DraftLoad, EngineMemory, EngineObservation, PlacementRight, PlacementSettings, PlacementTable,
-    PlacementTarget, UnloadPolicy, WeightsId,
+    EngineMemory, EngineObservation, PlacementRight, PlacementSettings, PlacementTable,
+    PlacementTarget, TypicalDraft, UnloadPolicy, WeightsId,
 };
 
 const LAYERS: u32 = 40;
-const LOAD: DraftLoad = DraftLoad {
+const LOAD: TypicalDraft = TypicalDraft {
     prompt: 900,
     answer: 200,
     step_growth_ppm: 8_000,
@@ -77,7 +77,7 @@
             },
             layers: LAYERS,
             share: 1,
-            load: Some(LOAD),
+            typical_draft: Some(LOAD),
         }]);
         table
     }
--- a/crates/daemon/src/placement/wanted.rs
+++ b/crates/daemon/src/placement/wanted.rs
@@ -69,7 +69,7 @@
                     weights: weights.clone(),
                     layers: offer.model_layers,
                     share: 1,
-                    load: None,
+                    typical_draft: None,
                 });
             }
         }
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -15,8 +15,8 @@
     ServiceName, VersionName,
 };
 use pollendrift_coordination::placement::{
-    DraftLoad, EngineMemory, EngineObservation, HeldWeights, LoadOrder, PlacementSettings,
-    PlacementTable, PlacementTarget, WeightsId,
+    EngineMemory, EngineObservation, HeldWeights, LoadOrder, PlacementSettings, PlacementTable,
+    PlacementTarget, TypicalDraft, WeightsId,
 };
 use pollendrift_coordination::routes::{AcceleratorSpec, EngineSpec, RouteTable};
 use pollendrift_dialect::{OrderOutcome, PlaceOrder, ServerDialect};
@@ -360,7 +360,7 @@
             weights: weights_of(service),
             layers: spec.layers,
             share: 1,
-            load: Some(typical_draft(spec)),
+            typical_draft: Some(typical_draft(spec)),
         }]);
         Self {
             table,
@@ -417,12 +417,12 @@
 }
 
 /// Load of a typical draft, from the published service specification.
-fn typical_draft(spec: &EngineSpec) -> DraftLoad {
+fn typical_draft(spec: &EngineSpec) -> TypicalDraft {
     let context = f64::from(spec.usual_prompt) + f64::from(spec.usual_answer) / 2.0;
     let each = spec.step_per_request.as_secs_f64()
         + spec.step_per_context.as_secs_f64() * context / 1_000.0;
     let growth = each / spec.step.as_secs_f64().max(1e-9);
-    DraftLoad {
+    TypicalDraft {
         prompt: spec.usual_prompt,
         answer: spec.usual_answer,
         step_growth_ppm: (growth * 1e6) as u32,
