--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -22,8 +22,8 @@
 #[derive(Clone, Debug)]
 pub struct TokenLedger {
     request: RequestId,
-    /// Number of layers of the model; every chain covers `0..layers`.
-    layers: u32,
+    /// Number of layers of the model; every chain covers `0..model_layers`.
+    model_layers: u32,
     /// Version of the weights for the whole answer. It never changes, so no answer mixes versions.
     version: VersionName,
     settings: LedgerSettings,
@@ -32,44 +32,44 @@
     /// Route of the running attempt; a complete chain unless `attempt` is 0.
     route: Vec<ChainLink>,
     /// Released tokens. The index is the position, so there can be no gap and no repetition.
-    confirmed: Vec<GeneratedToken>,
+    released: Vec<GeneratedToken>,
     /// Results that arrived before the next position. Invariant: every key is greater than the next
     /// position, and every token comes from the running attempt.
-    held: BTreeMap<TokenPosition, GeneratedToken>,
+    buffered: BTreeMap<TokenPosition, GeneratedToken>,
     /// Token count in the final event of the running attempt.
-    announced: Option<u32>,
+    final_count: Option<u32>,
 }
 
 impl TokenLedger {
     /// Creates a ledger for an answer without released tokens.
     pub fn new(
         request: RequestId,
-        layers: u32,
+        model_layers: u32,
         version: VersionName,
         settings: LedgerSettings,
     ) -> Self {
-        Self::resume(request, layers, version, settings, Vec::new())
+        Self::resume(request, model_layers, version, settings, Vec::new())
     }
 
-    /// Creates a ledger for an answer whose tokens `confirmed` the caller already got from another
+    /// Creates a ledger for an answer whose tokens `released` the caller already got from another
     /// entry.
     pub fn resume(
         request: RequestId,
-        layers: u32,
+        model_layers: u32,
         version: VersionName,
         settings: LedgerSettings,
-        confirmed: Vec<GeneratedToken>,
+        released: Vec<GeneratedToken>,
     ) -> Self {
         Self {
             request,
-            layers,
+            model_layers,
             version,
             settings,
             attempt: AttemptNumber(0),
             route: Vec::new(),
-            confirmed,
-            held: BTreeMap::new(),
-            announced: None,
+            released,
+            buffered: BTreeMap::new(),
+            final_count: None,
         }
     }
 
@@ -92,13 +92,14 @@
                 running: self.attempt,
             });
         }
-        check_chain(&route, self.layers, &self.version).map_err(AttemptError::Route)?;
+        check_chain(&route, self.model_layers, &self.version).map_err(AttemptError::Route)?;
         self.attempt = attempt;
         self.route = route;
-        // A held token follows a missing token of the old attempt. The new attempt may sample
-        // another token there, and the held one would not fit. The new attempt generates it again.
-        self.held.clear();
-        self.announced = None;
+        // A buffered token follows a missing token of the old attempt. The new attempt may sample
+        // another token there, and the buffered one would not fit. The new attempt generates it
+        // again.
+        self.buffered.clear();
+        self.final_count = None;
         Ok(self.next_position())
     }
 
@@ -108,7 +109,7 @@
             return TokenVerdict::Dropped(reason);
         }
         if result.position != self.next_position() {
-            self.held.insert(result.position, result.token);
+            self.buffered.insert(result.position, result.token);
             return TokenVerdict::Held;
         }
         let tokens = self.release_from(result.token);
@@ -118,18 +119,19 @@
         }
     }
 
-    /// Processes the final event. The answer is complete once all announced positions are released.
+    /// Processes the final event. The answer is complete once all positions below the final count
+    /// are released.
     pub fn complete(&mut self, event: &FinalEvent) -> FinalVerdict {
         if let Some(reason) = self.find_origin_drop_reason(&event.request, event.attempt) {
             return FinalVerdict::Dropped(reason);
         }
         let next = self.next_position();
-        let highest = self.held.keys().next_back();
+        let highest = self.buffered.keys().next_back();
         let received = highest.map_or(next.0, |position| position.next().0);
-        if event.count < received || self.announced.is_some_and(|count| count != event.count) {
+        if event.count < received || self.final_count.is_some_and(|count| count != event.count) {
             return FinalVerdict::Dropped(DropReason::CountContradicted);
         }
-        self.announced = Some(event.count);
+        self.final_count = Some(event.count);
         if self.is_complete() {
             return FinalVerdict::Complete;
         }
@@ -138,18 +140,18 @@
 
     /// Whether all tokens of the answer are released.
     pub fn is_complete(&self) -> bool {
-        self.announced == Some(self.next_position().0)
+        self.final_count == Some(self.next_position().0)
     }
 
     /// Position that is released next, which is also the first position of a new attempt.
     pub fn next_position(&self) -> TokenPosition {
-        let count = u32::try_from(self.confirmed.len()).unwrap_or(u32::MAX);
+        let count = u32::try_from(self.released.len()).unwrap_or(u32::MAX);
         TokenPosition(count)
     }
 
     /// Released tokens in order. A new attempt replays them after the prompt.
-    pub fn confirmed_prefix(&self) -> &[GeneratedToken] {
-        &self.confirmed
+    pub fn released_prefix(&self) -> &[GeneratedToken] {
+        &self.released
     }
 
     /// Number of the running attempt; 0 before the first.
@@ -164,14 +166,14 @@
 
     /// Number of buffered results, which wait for an earlier position.
     pub fn buffered_count(&self) -> usize {
-        self.held.len()
+        self.buffered.len()
     }
 
     fn find_drop_reason(&self, result: &TokenResult) -> Option<DropReason> {
         if let Some(reason) = self.find_origin_drop_reason(&result.request, result.attempt) {
             return Some(reason);
         }
-        if let Err(error) = check_chain(&result.chain, self.layers, &self.version) {
+        if let Err(error) = check_chain(&result.chain, self.model_layers, &self.version) {
             return Some(DropReason::Chain(error));
         }
         if result.chain != self.route {
@@ -199,10 +201,10 @@
 
     fn find_position_drop_reason(&self, position: TokenPosition) -> Option<DropReason> {
         let next = self.next_position();
-        if position < next || self.held.contains_key(&position) {
+        if position < next || self.buffered.contains_key(&position) {
             return Some(DropReason::Duplicate);
         }
-        if self.announced.is_some_and(|count| position.0 >= count) {
+        if self.final_count.is_some_and(|count| position.0 >= count) {
             return Some(DropReason::CountContradicted);
         }
         if position.0 >= self.settings.max_tokens {
@@ -219,9 +221,9 @@
         let mut pending = Some(first);
         while let Some(token) = pending {
             let position = self.next_position();
-            self.confirmed.push(token.clone());
+            self.released.push(token.clone());
             released.push(ReleasedToken { position, token });
-            pending = self.held.remove(&position.next());
+            pending = self.buffered.remove(&position.next());
         }
         released
     }
--- a/crates/coordination/tests/ledger_failures.rs
+++ b/crates/coordination/tests/ledger_failures.rs
@@ -296,6 +296,6 @@
             ledger.accept(result(1, position));
         }
         assert!(ledger.is_complete());
-        assert_eq!(ledger.confirmed_prefix().len(), 20);
+        assert_eq!(ledger.released_prefix().len(), 20);
     }
 }
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -198,7 +198,7 @@
         } = self;
         let tokens = ledger
             .as_ref()
-            .map_or(&[][..], TokenLedger::confirmed_prefix);
+            .map_or(&[][..], TokenLedger::released_prefix);
         let answer = answer_digest(tokens);
         match ended {
             Ok(reason) => {
@@ -334,7 +334,7 @@
         let held = self
             .ledger
             .as_ref()
-            .map_or(0, |ledger| ledger.confirmed_prefix().len());
+            .map_or(0, |ledger| ledger.released_prefix().len());
         Refusal::unknown(
             StatusCode::BAD_GATEWAY,
             "incomplete",
--- a/crates/daemon/src/entry/draft/attempt.rs
+++ b/crates/daemon/src/entry/draft/attempt.rs
@@ -91,7 +91,7 @@
         let confirmed = self
             .ledger
             .as_ref()
-            .map_or(&[][..], TokenLedger::confirmed_prefix);
+            .map_or(&[][..], TokenLedger::released_prefix);
         SequenceRequest {
             request: self.job.id.to_string(),
             attempt: self.attempt.0,
--- a/crates/daemon/src/entry/draft/progress.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -42,7 +42,7 @@
         // one that remembers is another than before.
         let first_note = !std::mem::replace(&mut self.has_replicated, true);
         let (first, told) = match tokens.first() {
-            _ if first_note => (TokenPosition(0), ledger.confirmed_prefix().to_vec()),
+            _ if first_note => (TokenPosition(0), ledger.released_prefix().to_vec()),
             Some(token) => (
                 token.position,
                 tokens.iter().map(|token| token.token.clone()).collect(),
