--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -28,7 +28,7 @@
 pub use record::{
     AttemptTrace, BodyDigest, ConfigurationChanged, DecisionTrace, EvidenceEvent, EvidenceRecord,
     OutcomeKind, RefusalsOmitted, RequestBegun, RequestFinished, RequestRefused, RequestTimings,
-    RetentionApplied, RevisionInForce, RouteStage, SelectorVerdict,
+    RetentionApplied, RevisionInForce, SelectorVerdict, TracedStage,
 };
 pub use replicated_batch::replicated_through;
 #[cfg(feature = "report")]
--- a/crates/coordination/src/evidence/record.rs
+++ b/crates/coordination/src/evidence/record.rs
@@ -167,7 +167,7 @@
     /// Adapter, if one was applied.
     pub adapter: Option<AdapterName>,
     /// Stages of the pipeline in the order of layers; one stage without layers for a plain service.
-    pub stages: Vec<RouteStage>,
+    pub stages: Vec<TracedStage>,
     /// First token position requested from this attempt.
     pub from: TokenPosition,
     /// Number of tokens of this attempt that were sent to the caller.
@@ -178,7 +178,7 @@
 
 /// One stage of a pipeline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouteStage {
+pub struct TracedStage {
     /// Backend server of the stage.
     pub server: ServerName,
     /// Layers that the server ran; `None` for a plain service.
--- a/crates/coordination/tests/evidence_story.rs
+++ b/crates/coordination/tests/evidence_story.rs
@@ -2,7 +2,7 @@
 
 use pollendrift_coordination::base::{LayerRange, WallTime};
 use pollendrift_coordination::evidence::{
-    AttemptTrace, EvidenceEvent, EvidenceFilter, EvidenceRecord, OutcomeKind, RouteStage,
+    AttemptTrace, EvidenceEvent, EvidenceFilter, EvidenceRecord, OutcomeKind, TracedStage,
     request_timeline,
 };
 
@@ -10,8 +10,8 @@
 
 use evidence_support::{begun, chain, finished, refused};
 
-fn stage(server: &str, first: u32, end: u32) -> RouteStage {
-    RouteStage {
+fn stage(server: &str, first: u32, end: u32) -> TracedStage {
+    TracedStage {
         server: server.into(),
         layers: LayerRange::new(first, end),
     }
--- a/crates/coordination/tests/outer_encodings/evidence.rs
+++ b/crates/coordination/tests/outer_encodings/evidence.rs
@@ -5,7 +5,7 @@
     AttemptTrace, BodyDigest, ChainAnchor, ChainHead, ChainWriter, ConfigurationChanged,
     DecisionTrace, EvidenceBatch, EvidenceDigest, EvidenceEvent, EvidenceExport, EvidenceFilter,
     MissingRange, OutcomeKind, RefusalsOmitted, RequestBegun, RequestFinished, RequestRefused,
-    RequestTimings, RetentionApplied, RevisionInForce, RouteStage, SealedRecord, SelectorVerdict,
+    RequestTimings, RetentionApplied, RevisionInForce, SealedRecord, SelectorVerdict, TracedStage,
     verify,
 };
 
@@ -56,7 +56,7 @@
         model: Some("m".into()),
         version: Some("v1".into()),
         adapter: Some("legal".into()),
-        stages: vec![RouteStage {
+        stages: vec![TracedStage {
             server: "b1".into(),
             layers: Some(layers(0, 8)),
         }],
--- a/crates/daemon/src/entry/draft/progress.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -1,7 +1,7 @@
 //! What a running draft tells others: another host, so that it can go on there, and the evidence.
 
 use pollendrift_coordination::base::TokenPosition;
-use pollendrift_coordination::evidence::{AttemptTrace, RouteStage as TracedStage};
+use pollendrift_coordination::evidence::{AttemptTrace, TracedStage};
 use pollendrift_coordination::ledger::ReleasedToken;
 use pollendrift_coordination::streams::StreamUpdate;
 
--- a/crates/daemon/src/entry/services.rs
+++ b/crates/daemon/src/entry/services.rs
@@ -15,7 +15,7 @@
     AttemptNumber, ClaimKey, CustomerName, RequestId, ServiceName, TokenPosition,
 };
 use pollendrift_coordination::configuration::RequestFacts;
-use pollendrift_coordination::evidence::{AttemptTrace, BodyDigest, RouteStage};
+use pollendrift_coordination::evidence::{AttemptTrace, BodyDigest, TracedStage};
 use pollendrift_coordination::retries::{CallDeadline, CallKind};
 use pollendrift_http::{ClientError, ResponseBody, read_bounded, read_within};
 
@@ -169,7 +169,7 @@
             model: None,
             version: None,
             adapter: None,
-            stages: vec![RouteStage {
+            stages: vec![TracedStage {
                 server: server.facts.name.clone(),
                 layers: None,
             }],
