--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -13,7 +13,7 @@
 
 pub use admission::AdmissionTable;
 pub use offer::{
-    AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionVerdict, RefusalReason,
+    AdmissionCapacity, AdmissionChange, AdmissionRefusal, AdmissionRequest, AdmissionVerdict,
     RequestPriority, RequestRefusal, TicketKey,
 };
 pub use settings::{CustomerLimits, LimitSettings};
--- a/crates/coordination/src/limits/admission.rs
+++ b/crates/coordination/src/limits/admission.rs
@@ -7,7 +7,7 @@
 
 use super::customer::{CustomerKey, CustomerRecord, ServiceTag};
 use super::offer::{
-    AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionVerdict, RefusalReason,
+    AdmissionCapacity, AdmissionChange, AdmissionRefusal, AdmissionRequest, AdmissionVerdict,
     RequestPriority, RequestRefusal, TicketKey,
 };
 use super::settings::{CustomerLimits, LimitSettings};
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct AdmissionTicket {
-    offer: AdmissionOffer,
+    offer: AdmissionRequest,
     customer: CustomerKey,
     is_running: bool,
 }
@@ -122,13 +122,13 @@
     }
 
     /// Admits, queues or refuses a request. A request refused here or in a tick has not run.
-    pub fn offer(&mut self, now: MonotonicTime, offer: AdmissionOffer) -> AdmissionVerdict {
+    pub fn offer(&mut self, now: MonotonicTime, offer: AdmissionRequest) -> AdmissionVerdict {
         let Some(key) = self.find_customer(now, &offer.customer) else {
             let wait = self.settings.max_retry_after;
-            return refuse(RefusalReason::TooManyCustomers, Some(wait));
+            return refuse(AdmissionRefusal::TooManyCustomers, Some(wait));
         };
         if offer.tokens > self.capacity.kv_tokens {
-            return refuse(RefusalReason::TooLarge, None);
+            return refuse(AdmissionRefusal::TooLarge, None);
         }
         let wait = self.predict_wait(key, &offer);
         if let Some(refusal) = self.find_refusal(now, key, &offer, wait) {
@@ -136,7 +136,7 @@
         }
         if let Err(wait) = self.take_rate(now, key) {
             return refuse(
-                RefusalReason::RateLimited,
+                AdmissionRefusal::RateLimited,
                 Some(self.clamp_retry_after(wait)),
             );
         }
@@ -230,7 +230,7 @@
         &self,
         now: MonotonicTime,
         key: CustomerKey,
-        offer: &AdmissionOffer,
+        offer: &AdmissionRequest,
         wait: Duration,
     ) -> Option<RequestRefusal> {
         let customer = self.customers.get(key)?;
@@ -239,15 +239,15 @@
         let must_wait = !self.has_capacity(customer, offer);
         let retry_after = Some(self.clamp_retry_after(wait));
         if is_full && must_wait {
-            let reason = RefusalReason::QueueFull;
+            let reason = AdmissionRefusal::QueueFull;
             return Some(RequestRefusal {
                 reason,
                 retry_after,
             });
         }
-        let end = now.after(wait).after(offer.run);
+        let end = now.after(wait).after(offer.run_time);
         if offer.deadline.is_some_and(|deadline| end > deadline) {
-            let reason = RefusalReason::DeadlineUnreachable;
+            let reason = AdmissionRefusal::DeadlineUnreachable;
             return Some(RequestRefusal {
                 reason,
                 retry_after,
@@ -258,7 +258,7 @@
 
     /// Predicts the time until the offer starts: the shorter of the time to serve the customer's
     /// own queue at its share of the served rate and the time to serve all queues at the full rate.
-    fn predict_wait(&self, key: CustomerKey, offer: &AdmissionOffer) -> Duration {
+    fn predict_wait(&self, key: CustomerKey, offer: &AdmissionRequest) -> Duration {
         let Some(customer) = self.customers.get(key) else {
             return Duration::ZERO;
         };
@@ -278,7 +278,7 @@
     }
 
     /// Whether the offer would run at once.
-    fn has_capacity(&self, customer: &CustomerRecord, offer: &AdmissionOffer) -> bool {
+    fn has_capacity(&self, customer: &CustomerRecord, offer: &AdmissionRequest) -> bool {
         self.in_flight < self.capacity.max_in_flight
             && self.in_flight_tokens + offer.tokens <= self.capacity.kv_tokens
             && self.ready_weight == 0
@@ -302,11 +302,11 @@
         wait.clamp(Duration::from_secs(1), self.settings.max_retry_after)
     }
 
-    fn enqueue(&mut self, key: CustomerKey, offer: AdmissionOffer) -> TicketKey {
+    fn enqueue(&mut self, key: CustomerKey, offer: AdmissionRequest) -> TicketKey {
         let (priority, tokens) = (offer.priority, offer.tokens);
         let latest = offer
             .deadline
-            .map(|deadline| latest_start(deadline, offer.run));
+            .map(|deadline| latest_start(deadline, offer.run_time));
         let ticket = self.tickets.insert(AdmissionTicket {
             offer,
             customer: key,
@@ -336,7 +336,7 @@
         };
         let (key, priority, tokens) = (record.customer, record.offer.priority, record.offer.tokens);
         if let Some(deadline) = record.offer.deadline {
-            let latest = latest_start(deadline, record.offer.run);
+            let latest = latest_start(deadline, record.offer.run_time);
             self.latest_starts.remove(&(latest, ticket));
         }
         self.queued = self.queued.saturating_sub(1);
@@ -408,7 +408,7 @@
                 changes.push(AdmissionChange::Refused {
                     request: record.offer.request,
                     refusal: RequestRefusal {
-                        reason: RefusalReason::DeadlineUnreachable,
+                        reason: AdmissionRefusal::DeadlineUnreachable,
                         retry_after: Some(self.clamp_retry_after(Duration::ZERO)),
                     },
                 });
@@ -446,12 +446,12 @@
     }
 }
 
-fn latest_start(deadline: MonotonicTime, run: Duration) -> MonotonicTime {
-    let run = u64::try_from(run.as_micros()).unwrap_or(u64::MAX);
-    MonotonicTime::from_micros(deadline.as_micros().saturating_sub(run))
+fn latest_start(deadline: MonotonicTime, run_time: Duration) -> MonotonicTime {
+    let run_time = u64::try_from(run_time.as_micros()).unwrap_or(u64::MAX);
+    MonotonicTime::from_micros(deadline.as_micros().saturating_sub(run_time))
 }
 
-fn refuse(reason: RefusalReason, retry_after: Option<Duration>) -> AdmissionVerdict {
+fn refuse(reason: AdmissionRefusal, retry_after: Option<Duration>) -> AdmissionVerdict {
     AdmissionVerdict::Refuse(RequestRefusal {
         reason,
         retry_after,
--- a/crates/coordination/src/limits/offer.rs
+++ b/crates/coordination/src/limits/offer.rs
@@ -35,7 +35,7 @@
 
 /// A request offered for admission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct AdmissionOffer {
+pub struct AdmissionRequest {
     /// Identity of the request.
     pub request: RequestId,
     /// Customer that sent it.
@@ -45,7 +45,8 @@
     /// Tokens of the prompt and of the expected answer: its cost and its KV cache, in tokens.
     pub tokens: u64,
     /// Predicted run time, from start to end.
-    pub run: Duration,
+    #[serde(rename = "run")]
+    pub run_time: Duration,
     /// Time by which it must end.
     pub deadline: Option<MonotonicTime>,
 }
@@ -101,7 +102,7 @@
 #[display("{reason}")]
 pub struct RequestRefusal {
     /// Reason of the refusal.
-    pub reason: RefusalReason,
+    pub reason: AdmissionRefusal,
     /// Time after which a retry may succeed; `None` if no retry can.
     pub retry_after: Option<Duration>,
 }
@@ -109,7 +110,7 @@
 /// Reason why a request was refused.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum RefusalReason {
+pub enum AdmissionRefusal {
     /// The customer exceeds its request rate.
     #[display("rate of the customer exceeded")]
     RateLimited,
--- a/crates/coordination/src/limits/wait.rs
+++ b/crates/coordination/src/limits/wait.rs
@@ -18,10 +18,12 @@
     /// Time from its arrival for which a request waits while all backend servers are full.
     pub full: Duration,
     /// The same at a host that is still discovering the backend servers.
-    pub learning: Duration,
+    #[serde(rename = "learning")]
+    pub discovery: Duration,
     /// Time from its start for which a host is discovering backend servers. They announce
     /// themselves about once a second to the keepers, which may have to elect a leader first.
-    pub learning_time: Duration,
+    #[serde(rename = "learning-time")]
+    pub discovery_time: Duration,
 }
 
 impl Default for WaitSettings {
@@ -30,8 +32,8 @@
             full: Duration::from_millis(1_200),
             // Callers disconnect after 2 s without an event, and the first event takes up to 250
             // ms.
-            learning: Duration::from_millis(1_700),
-            learning_time: Duration::from_secs(5),
+            discovery: Duration::from_millis(1_700),
+            discovery_time: Duration::from_secs(5),
         }
     }
 }
@@ -45,15 +47,15 @@
         started: MonotonicTime,
         arrived: MonotonicTime,
     ) -> MonotonicTime {
-        arrived.after(if self.is_learning(now, started) {
-            self.learning
+        arrived.after(if self.is_discovering(now, started) {
+            self.discovery
         } else {
             self.full
         })
     }
 
     /// Whether the host may not know all backend servers yet.
-    pub fn is_learning(&self, now: MonotonicTime, started: MonotonicTime) -> bool {
-        now.since(started) < self.learning_time
+    pub fn is_discovering(&self, now: MonotonicTime, started: MonotonicTime) -> bool {
+        now.since(started) < self.discovery_time
     }
 }
--- a/crates/coordination/tests/limits_fairness.rs
+++ b/crates/coordination/tests/limits_fairness.rs
@@ -5,8 +5,8 @@
 
 use pollendrift_coordination::base::{CustomerName, MonotonicTime, RequestId};
 use pollendrift_coordination::limits::{
-    AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionTable, AdmissionVerdict,
-    CustomerLimits, LimitSettings, RefusalReason, RequestPriority, TicketKey,
+    AdmissionCapacity, AdmissionChange, AdmissionRefusal, AdmissionRequest, AdmissionTable,
+    AdmissionVerdict, CustomerLimits, LimitSettings, RequestPriority, TicketKey,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,13 +17,13 @@
     MonotonicTime::from_millis(millis)
 }
 
-fn offer(customer: &str, request: &str) -> AdmissionOffer {
-    AdmissionOffer {
+fn offer(customer: &str, request: &str) -> AdmissionRequest {
+    AdmissionRequest {
         request: RequestId::from(request),
         customer: CustomerName::from(customer),
         priority: RequestPriority::Normal,
         tokens: 100,
-        run: RUN,
+        run_time: RUN,
         deadline: None,
     }
 }
@@ -233,7 +233,7 @@
                 AdmissionVerdict::Admit(ticket) => started.push((id, ticket)),
                 AdmissionVerdict::Queue { .. } => {}
                 AdmissionVerdict::Refuse(refusal) => {
-                    assert_eq!(refusal.reason, RefusalReason::QueueFull);
+                    assert_eq!(refusal.reason, AdmissionRefusal::QueueFull);
                     *run.refused.entry(customer).or_default() += 1;
                 }
             }
--- a/crates/coordination/tests/limits_patience.rs
+++ b/crates/coordination/tests/limits_patience.rs
@@ -31,14 +31,14 @@
 // cuts the callers' streams, all of them retry at once, and most have only one retry.
 #[test]
 fn retries_after_a_restart_of_all_hosts_wait_for_discovery() {
-    let learning = WaitSettings::default();
+    let discovering = WaitSettings::default();
     let without_learning = WaitSettings {
-        learning_time: Duration::ZERO,
-        ..learning
+        discovery_time: Duration::ZERO,
+        ..discovering
     };
     for known in [900, 1_200, 1_400, 1_600] {
         assert_eq!(
-            refused_after_restart(&learning, 500, known),
+            refused_after_restart(&discovering, 500, known),
             0,
             "known after {known} ms"
         );
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -121,11 +121,11 @@
         },
     ];
     let limits = [
-        limits::RefusalReason::RateLimited,
-        limits::RefusalReason::QueueFull,
-        limits::RefusalReason::DeadlineUnreachable,
-        limits::RefusalReason::TooLarge,
-        limits::RefusalReason::TooManyCustomers,
+        limits::AdmissionRefusal::RateLimited,
+        limits::AdmissionRefusal::QueueFull,
+        limits::AdmissionRefusal::DeadlineUnreachable,
+        limits::AdmissionRefusal::TooLarge,
+        limits::AdmissionRefusal::TooManyCustomers,
     ];
     let tables = [
         TableError::UnknownRoute,
--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -8,8 +8,8 @@
 use pollendrift_coordination::base::{CustomerName, MonotonicTime, RequestId};
 use pollendrift_coordination::configuration::LabelSettings;
 use pollendrift_coordination::limits::{
-    AdmissionCapacity, AdmissionChange, AdmissionOffer, AdmissionTable, AdmissionVerdict,
-    CustomerLimits, LimitSettings, RefusalReason, RequestPriority, RequestRefusal, TicketKey,
+    AdmissionCapacity, AdmissionChange, AdmissionRefusal, AdmissionRequest, AdmissionTable,
+    AdmissionVerdict, CustomerLimits, LimitSettings, RequestPriority, RequestRefusal, TicketKey,
 };
 use serde::Serialize;
 use tokio::sync::oneshot;
@@ -173,17 +173,17 @@
         let limits = self.limits(request.settings);
         let mut state = self.lock();
         state.table.set_limits(now, request.customer, limits);
-        let run = state
+        let run_time = state
             .token_time
             .saturating_mul(u32::try_from(request.tokens).unwrap_or(u32::MAX));
         let verdict = state.table.offer(
             now,
-            AdmissionOffer {
+            AdmissionRequest {
                 request: identity.clone(),
                 customer: request.customer.clone(),
                 priority: priority(request.settings.priority),
                 tokens: request.tokens,
-                run,
+                run_time,
                 deadline: request.deadline,
             },
         );
@@ -192,7 +192,7 @@
             AdmissionVerdict::Refuse(refusal) => Offered::Refused(refusal),
             AdmissionVerdict::Queue { ticket, wait } if wait > self.max_wait => {
                 state.table.finish(now, ticket);
-                let reason = RefusalReason::QueueFull;
+                let reason = AdmissionRefusal::QueueFull;
                 Offered::Refused(RequestRefusal {
                     reason,
                     retry_after: Some(wait),
@@ -318,7 +318,7 @@
 
 fn gone() -> RequestRefusal {
     RequestRefusal {
-        reason: RefusalReason::QueueFull,
+        reason: AdmissionRefusal::QueueFull,
         retry_after: None,
     }
 }
--- a/crates/daemon/src/entry/refusal.rs
+++ b/crates/daemon/src/entry/refusal.rs
@@ -6,7 +6,7 @@
 use pollendrift_border::{ProblemReport, ProblemReportOutcome};
 use pollendrift_coordination::base::{RequestId, Revision, ServerName};
 use pollendrift_coordination::evidence::DecisionTrace;
-use pollendrift_coordination::limits::{RefusalReason, RequestRefusal};
+use pollendrift_coordination::limits::{AdmissionRefusal, RequestRefusal};
 use pollendrift_http::{ClientError, ReadFailure, ResponseBody, json_response};
 
 use super::context::REQUEST_ID_HEADER;
@@ -205,11 +205,11 @@
     /// Admission refused it.
     pub(crate) fn not_admitted(refusal: &RequestRefusal) -> Self {
         let status = match refusal.reason {
-            RefusalReason::RateLimited => StatusCode::TOO_MANY_REQUESTS,
-            RefusalReason::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            RefusalReason::QueueFull
-            | RefusalReason::DeadlineUnreachable
-            | RefusalReason::TooManyCustomers => StatusCode::SERVICE_UNAVAILABLE,
+            AdmissionRefusal::RateLimited => StatusCode::TOO_MANY_REQUESTS,
+            AdmissionRefusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            AdmissionRefusal::QueueFull
+            | AdmissionRefusal::DeadlineUnreachable
+            | AdmissionRefusal::TooManyCustomers => StatusCode::SERVICE_UNAVAILABLE,
         };
         let told = Self::not_run(status, "not-admitted", "Not admitted", refusal.to_string());
         Self {
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -133,7 +133,7 @@
 
     /// Whether this host may not know all servers yet.
     pub(super) fn is_learning(&self, now: MonotonicTime) -> bool {
-        self.patience.is_learning(now, MonotonicTime::START)
+        self.patience.is_discovering(now, MonotonicTime::START)
     }
 
     /// A first send to a service earns a part of a retry.
