--- a/crates/coordination/src/claims/call.rs
+++ b/crates/coordination/src/claims/call.rs
@@ -189,7 +189,7 @@
 
     /// Releases the key, so that a call that did not run does not block the caller's retry.
     fn not_run(&mut self, reason: NotRunReason) -> Vec<CallEffect> {
-        self.settle(ClaimOutcome::NotSent, CallerResponse::NotRun(reason))
+        self.settle(ClaimOutcome::NotRun, CallerResponse::NotRun(reason))
     }
 
     fn settle(&mut self, outcome: ClaimOutcome, response: CallerResponse) -> Vec<CallEffect> {
--- a/crates/coordination/src/claims/claim.rs
+++ b/crates/coordination/src/claims/claim.rs
@@ -185,7 +185,8 @@
     Unknown,
     /// The call provably did not run: nothing was sent, or the backend server reported that it did
     /// not start the call. The key becomes free.
-    NotSent,
+    #[serde(rename = "NotSent")]
+    NotRun,
 }
 
 /// Command that records the outcome of a call.
--- a/crates/coordination/src/claims/settings.rs
+++ b/crates/coordination/src/claims/settings.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimSettings {
     /// Time for which a settled claim is kept; a call that is resent with its key later runs again.
-    pub horizon: Duration,
+    #[serde(rename = "horizon")]
+    pub retention: Duration,
     /// Limit of claims; in excess of it, new calls are refused as not run.
     pub max_claims: usize,
     /// Limit of claims of one customer, so that one customer's flood does not fill the table.
@@ -25,7 +26,7 @@
 impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
-            horizon: Duration::from_secs(24 * 3_600),
+            retention: Duration::from_secs(24 * 3_600),
             max_claims: 200_000,
             max_customer_claims: 50_000,
             max_body_bytes: 16 * 1024,
--- a/crates/coordination/src/claims/table.rs
+++ b/crates/coordination/src/claims/table.rs
@@ -58,14 +58,15 @@
 
 /// Claims of all calls, by scope.
 ///
-/// Invariants: `held` lists exactly the claims in progress, by host; `expiry` lists exactly the
-/// other records, by the time from which their retention runs; `customers` counts the records of
-/// each customer; a take with an incarnation below that of its host in `hosts` is refused.
+/// Invariants: `in_progress` lists exactly the claims in progress, by host; `expiry` lists exactly
+/// the other records, by the time from which their retention runs; `customers` counts the records
+/// of each customer; a take with an incarnation below that of its host in `hosts` is refused.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     settings: ClaimSettings,
     records: BTreeMap<ClaimScope, ClaimRecord>,
-    held: BTreeMap<HostName, BTreeSet<ClaimScope>>,
+    #[serde(rename = "held")]
+    in_progress: BTreeMap<HostName, BTreeSet<ClaimScope>>,
     expiry: BTreeSet<(ReplicatedTime, ClaimScope)>,
     customers: BTreeMap<CustomerName, usize>,
     /// Lowest incarnation of each host that may take claims.
@@ -136,11 +137,11 @@
         }
         let (digest, request) = (*digest, request.clone());
         let mut spent = self.remove(&settle.scope);
-        if settle.outcome == ClaimOutcome::NotSent {
+        if settle.outcome == ClaimOutcome::NotRun {
             record_spent(&mut spent, &settle.ticket);
         }
         let state = match &settle.outcome {
-            ClaimOutcome::NotSent => RecordState::Released { at: now },
+            ClaimOutcome::NotRun => RecordState::Released { at: now },
             outcome => RecordState::Claimed {
                 digest,
                 request,
@@ -162,9 +163,9 @@
     ) -> usize {
         let lowest = self.hosts.entry(host.clone()).or_default();
         *lowest = (*lowest).max(ended.next());
-        let held = self.held.get(host).cloned().unwrap_or_default();
+        let scopes = self.in_progress.get(host).cloned().unwrap_or_default();
         let mut count = 0;
-        for scope in held {
+        for scope in scopes {
             count += usize::from(self.mark_unknown(&scope, ended, now));
         }
         count
@@ -179,7 +180,7 @@
     }
 
     /// Number of records in any state, including released keys.
-    pub fn held(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
@@ -202,11 +203,11 @@
         counts
     }
 
-    /// Removes settled claims and released keys older than the horizon. A claim in progress never
-    /// expires, because its holder may still send the call.
+    /// Removes settled claims and released keys older than the retention time. A claim in progress
+    /// never expires, because its holder may still send the call.
     pub fn expire(&mut self, now: ReplicatedTime) {
         while let Some((since, scope)) = self.expiry.first() {
-            if now.since(*since) <= self.settings.horizon {
+            if now.since(*since) <= self.settings.retention {
                 return;
             }
             let scope = scope.clone();
@@ -226,7 +227,7 @@
 
     /// Records a ticket that releases a key which another ticket claimed.
     fn settle_other(&mut self, settle: &SettleClaim) -> SettleAnswer {
-        let is_release = settle.outcome == ClaimOutcome::NotSent;
+        let is_release = settle.outcome == ClaimOutcome::NotRun;
         match self.records.get_mut(&settle.scope) {
             Some(record) if is_release => {
                 record_spent(&mut record.spent, &settle.ticket);
@@ -238,7 +239,7 @@
 
     /// Records a ticket that releases a key before its take is applied.
     fn settle_absent(&mut self, settle: &SettleClaim, now: ReplicatedTime) -> SettleAnswer {
-        let is_recorded = settle.outcome == ClaimOutcome::NotSent
+        let is_recorded = settle.outcome == ClaimOutcome::NotRun
             && !self.is_replaced(&settle.ticket)
             && !self.is_full(&settle.scope.customer);
         if !is_recorded {
@@ -306,8 +307,8 @@
                 self.expiry.insert((since, scope.clone()));
             }
             None => {
-                let held = self.held.entry(ticket.host.clone()).or_default();
-                held.insert(scope.clone());
+                let scopes = self.in_progress.entry(ticket.host.clone()).or_default();
+                scopes.insert(scope.clone());
             }
         }
         self.stored_bytes += state.stored_bytes();
@@ -328,10 +329,10 @@
         if let Some(since) = record.state.expires_from() {
             self.expiry.remove(&(since, scope.clone()));
         }
-        if let Some(held) = self.held.get_mut(&record.ticket.host) {
-            held.remove(scope);
-            if held.is_empty() {
-                self.held.remove(&record.ticket.host);
+        if let Some(scopes) = self.in_progress.get_mut(&record.ticket.host) {
+            scopes.remove(scope);
+            if scopes.is_empty() {
+                self.in_progress.remove(&record.ticket.host);
             }
         }
         self.stored_bytes -= record.state.stored_bytes();
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -26,7 +26,7 @@
 pub struct ReplicatedSettings {
     /// Retention of configuration changes.
     pub changes: ChangeRetention,
-    /// Limits and horizon of claims.
+    /// Limits and retention of claims.
     pub claims: ClaimSettings,
     /// Retention of evidence in memory.
     pub evidence: EvidenceRetention,
--- a/crates/coordination/tests/claims_bounds.rs
+++ b/crates/coordination/tests/claims_bounds.rs
@@ -15,7 +15,7 @@
 
 fn table() -> ClaimTable {
     ClaimTable::new(ClaimSettings {
-        horizon: HORIZON,
+        retention: HORIZON,
         max_claims: 4,
         max_customer_claims: 2,
         max_body_bytes: 8,
--- a/crates/coordination/tests/outer_encodings/replicated.rs
+++ b/crates/coordination/tests/outer_encodings/replicated.rs
@@ -63,7 +63,7 @@
         ticket: ticket(),
     });
     let finished = bodies.map(|body| settle(ClaimOutcome::Finished(answer(body))));
-    let others = [ClaimOutcome::Unknown, ClaimOutcome::NotSent].map(settle);
+    let others = [ClaimOutcome::Unknown, ClaimOutcome::NotRun].map(settle);
     std::iter::once(take)
         .chain(finished)
         .chain(others)
--- a/crates/coordination/tests/outer_encodings/snapshot.rs
+++ b/crates/coordination/tests/outer_encodings/snapshot.rs
@@ -31,7 +31,7 @@
             history_bytes: 10_500,
         },
         claims: ClaimSettings {
-            horizon: Duration::from_secs(201),
+            retention: Duration::from_secs(201),
             max_claims: 202,
             max_customer_claims: 203,
             max_body_bytes: 204,
@@ -90,7 +90,7 @@
         Some(whole),
         Some(long),
         Some(ClaimOutcome::Unknown),
-        Some(ClaimOutcome::NotSent),
+        Some(ClaimOutcome::NotRun),
     ];
     let mut commands = Vec::new();
     for (sequence, outcome) in (1..).zip(outcomes) {
@@ -161,8 +161,8 @@
     state
 }
 
-/// A renamed field or variant would make a keeper unable to start from the snapshot on its disk, and
-/// one that lags unable to take the leader's.
+/// A renamed field or variant would make a keeper unable to start from the snapshot on its disk,
+/// and one that lags unable to take the leader's.
 #[test]
 fn snapshots_of_the_replicated_state_keep_their_encoding() {
     let bytes = filled().snapshot().expect("it encodes");
--- a/crates/coordination/tests/replicated_state.rs
+++ b/crates/coordination/tests/replicated_state.rs
@@ -92,7 +92,7 @@
                 outcome: match outcome {
                     0 => ClaimOutcome::Finished(answer),
                     1 => ClaimOutcome::Unknown,
-                    _ => ClaimOutcome::NotSent,
+                    _ => ClaimOutcome::NotRun,
                 },
             })
         }),
--- a/crates/daemon/src/observe.rs
+++ b/crates/daemon/src/observe.rs
@@ -46,7 +46,7 @@
         metrics.evidence(&recorder.status());
     }
     if let Some(shared) = tables.node.shared() {
-        metrics.claims(count(shared.read(|state| state.claims().held())));
+        metrics.claims(count(shared.read(|state| state.claims().record_count())));
     }
 }
 
