--- a/crates/coordination/src/agreement.rs
+++ b/crates/coordination/src/agreement.rs
@@ -27,9 +27,9 @@
     EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, SnapshotMetadata, Term,
 };
 pub use interface::{
-    AgreementEffect, AgreementInput, DropReason, HandOverOutcome, KeeperRole, MembershipChange,
-    PersistRequest, PersistSequence, ProposalOutcome, ReadOutcome, RefusalReason, RequestToken,
-    RestoredState, RoleStatus, StoredSnapshot,
+    AgreementEffect, AgreementInput, HandOverOutcome, KeeperRole, MembershipChange,
+    MessageDropReason, PersistRequest, PersistSequence, ProposalOutcome, ReadOutcome,
+    RefusalReason, RequestToken, RestoredState, RoleStatus, StoredSnapshot,
 };
 pub use message::{
     AgreementEnvelope, AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat,
--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -26,8 +26,8 @@
     /// Starts a pre-vote when no heartbeat or append arrived within the election timeout.
     pub(super) fn run_election_timer(&mut self) {
         let is_due = self.now >= self.election_due;
-        let may_campaign = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
-        if is_due && may_campaign && self.is_voter() {
+        let may_start_election = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
+        if is_due && may_start_election && self.is_voter() {
             self.start_pre_vote();
         }
     }
@@ -50,7 +50,7 @@
         };
         self.writes.set_hard_state(self.hard_state.clone());
         self.leader = None;
-        self.assembly = None;
+        self.snapshot_assembly = None;
         self.reset_retry_timer();
         self.role = RoleState::Candidate(VoteCount::default());
         self.request_votes(kind, self.term());
@@ -204,7 +204,7 @@
                 voted_for: None,
             };
             self.writes.set_hard_state(self.hard_state.clone());
-            self.assembly = None;
+            self.snapshot_assembly = None;
             self.leader = None;
             self.leader_seen_at = None;
         }
--- a/crates/coordination/src/agreement/follower.rs
+++ b/crates/coordination/src/agreement/follower.rs
@@ -1,7 +1,7 @@
 //! Handling of a leader's messages by a follower.
 
 use super::entry::{KeeperId, LogEntry, LogIndex, Term};
-use super::interface::DropReason;
+use super::interface::MessageDropReason;
 use super::message::{
     AgreementMessage, AppendOutcome, AppendReply, AppendRequest, Heartbeat, HeartbeatReply,
 };
@@ -23,7 +23,7 @@
         let is_leader = matches!(self.role, RoleState::Leader(_));
         let has_other_leader = self.leader.as_ref().is_some_and(|leader| leader != from);
         if term == self.term() && (is_leader || has_other_leader) {
-            self.drop_message(from.clone(), DropReason::Malformed);
+            self.drop_message(from.clone(), MessageDropReason::Malformed);
             return false;
         }
         self.follow(term, Some(from.clone()));
@@ -50,7 +50,7 @@
     /// Appends a leader's entries; the reply is sent after their sync.
     pub(super) fn on_append(&mut self, from: KeeperId, request: AppendRequest) {
         if !is_well_formed(&request) {
-            self.drop_message(from, DropReason::Malformed);
+            self.drop_message(from, MessageDropReason::Malformed);
             return;
         }
         if !self.accept_leader(&from, request.term) {
@@ -93,7 +93,7 @@
             .collect();
         if let Some(first) = new_entries.first().map(|entry| entry.index) {
             if first <= self.commit {
-                self.drop_message(from.clone(), DropReason::Malformed);
+                self.drop_message(from.clone(), MessageDropReason::Malformed);
                 return None;
             }
             if first <= self.log.last_index() {
--- a/crates/coordination/src/agreement/hand_over.rs
+++ b/crates/coordination/src/agreement/hand_over.rs
@@ -91,8 +91,8 @@
     /// Starts an election at once when the leader of this term requests it.
     pub(super) fn on_timeout_now(&mut self, from: &KeeperId, term: Term) {
         let is_from_leader = term == self.term() && self.leader.as_ref() == Some(from);
-        let may_campaign = matches!(self.role, RoleState::Follower) && self.is_voter();
-        if is_from_leader && may_campaign {
+        let may_start_election = matches!(self.role, RoleState::Follower) && self.is_voter();
+        if is_from_leader && may_start_election {
             self.start_election(VoteKind::HandOver);
         }
     }
--- a/crates/coordination/src/agreement/identity.rs
+++ b/crates/coordination/src/agreement/identity.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use super::entry::{KeeperId, LogIndex, Term};
-use super::interface::{AgreementEffect, DropReason};
+use super::interface::{AgreementEffect, MessageDropReason};
 use super::message::{
     AgreementEnvelope, AgreementMessage, IdentityRejected, ObservedAck, ProcessStart,
 };
@@ -113,25 +113,25 @@
 
 impl AgreementNode {
     /// Checks sender and receiver of a message before its content is processed.
-    pub(super) fn admit(&mut self, envelope: &AgreementEnvelope) -> Result<(), DropReason> {
+    pub(super) fn admit(&mut self, envelope: &AgreementEnvelope) -> Result<(), MessageDropReason> {
         if matches!(self.role, RoleState::Retired) {
-            return Err(DropReason::Retired);
+            return Err(MessageDropReason::Retired);
         }
         if envelope.to != self.id {
-            return Err(DropReason::OtherReceiver);
+            return Err(MessageDropReason::OtherReceiver);
         }
         if envelope.from == self.id {
-            return Err(DropReason::OwnIdentity);
+            return Err(MessageDropReason::OwnIdentity);
         }
         if self.log.membership().supersedes(&envelope.from) {
-            return Err(DropReason::FormerIncarnation);
+            return Err(MessageDropReason::FormerIncarnation);
         }
         let highest = self.term().0.saturating_add(MAX_TERM_STEP);
         if envelope.message.term().is_some_and(|term| term.0 > highest) {
-            return Err(DropReason::Malformed);
+            return Err(MessageDropReason::Malformed);
         }
         if !self.accept_start(&envelope.from, envelope.start) {
-            return Err(DropReason::OldDisk);
+            return Err(MessageDropReason::OldDisk);
         }
         Ok(())
     }
--- a/crates/coordination/src/agreement/interface.rs
+++ b/crates/coordination/src/agreement/interface.rs
@@ -170,7 +170,7 @@
         /// Sender of the message.
         from: KeeperId,
         /// Reason for ignoring it.
-        reason: DropReason,
+        reason: MessageDropReason,
     },
 }
 
@@ -311,7 +311,7 @@
 /// Reason for ignoring a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DropReason {
+pub enum MessageDropReason {
     /// Addressed to another keeper or another incarnation.
     #[display("not addressed to this incarnation")]
     OtherReceiver,
--- a/crates/coordination/src/agreement/leader.rs
+++ b/crates/coordination/src/agreement/leader.rs
@@ -7,8 +7,8 @@
 use super::entry::{EntryPayload, KeeperId, LogIndex, Membership};
 use super::hand_over::HandOverState;
 use super::interface::{
-    AgreementEffect, DropReason, HandOverOutcome, ProposalOutcome, ReadOutcome, RefusalReason,
-    RequestToken,
+    AgreementEffect, HandOverOutcome, MessageDropReason, ProposalOutcome, ReadOutcome,
+    RefusalReason, RequestToken,
 };
 use super::log::entry_bytes;
 use super::message::{
@@ -16,7 +16,7 @@
     ObservedAck,
 };
 use super::node::{AgreementNode, RoleState};
-use super::progress::{LeavingPeer, PeerProgress, SendMode};
+use super::progress::{PeerProgress, RemovedPeer, SendMode};
 use super::read::ReadQueue;
 use super::redundancy::RedundancyReport;
 use crate::base::MonotonicTime;
@@ -25,7 +25,7 @@
 const ACK_REPEAT_ROUNDS: u64 = 20;
 
 /// Election timeouts for which the leader continues to send the log to a removed peer.
-const LEAVING_ELECTION_TIMEOUTS: u32 = 10;
+const REMOVED_PEER_ELECTION_TIMEOUTS: u32 = 10;
 
 /// A request that waits for its entry to be committed.
 #[derive(Clone, Copy, Debug)]
@@ -217,7 +217,7 @@
     /// Leader duties of one tick, after all inputs.
     pub(super) fn run_leader(&mut self) {
         self.advance_commit();
-        self.drop_departed_peers();
+        self.drop_removed_peers();
         self.remove_former_incarnations();
         self.remove_lost_voters();
         self.run_hand_over();
@@ -306,18 +306,18 @@
         };
         let membership = self.log.membership();
         leader.peers.retain(|peer, _| !membership.supersedes(peer));
-        let leave_timeout = self
+        let removed_timeout = self
             .settings
             .election_timeout
-            .saturating_mul(LEAVING_ELECTION_TIMEOUTS);
-        let leaving = LeavingPeer {
+            .saturating_mul(REMOVED_PEER_ELECTION_TIMEOUTS);
+        let removed = RemovedPeer {
             removed_at: self.log.membership_index(),
-            due: self.now.after(leave_timeout),
+            due: self.now.after(removed_timeout),
         };
         for (peer, progress) in &mut leader.peers {
             let is_member = membership.contains(peer);
-            let leaving = progress.leaving.unwrap_or(leaving);
-            progress.leaving = (!is_member).then_some(leaving);
+            let removed = progress.removed.unwrap_or(removed);
+            progress.removed = (!is_member).then_some(removed);
         }
         for keeper in membership.keepers().filter(|keeper| **keeper != self.id) {
             if !leader.peers.contains_key(keeper) {
@@ -327,9 +327,11 @@
         }
     }
 
-    fn drop_departed_peers(&mut self) {
+    fn drop_removed_peers(&mut self) {
         if let RoleState::Leader(leader) = &mut self.role {
-            leader.peers.retain(|_, peer| !peer.has_departed(self.now));
+            leader
+                .peers
+                .retain(|_, peer| !peer.is_removal_complete(self.now));
         }
     }
 
@@ -359,7 +361,7 @@
 
     pub(super) fn on_matched(&mut self, from: &KeeperId, index: LogIndex) {
         if index > self.log.last_index() {
-            self.drop_message(from.clone(), DropReason::Malformed);
+            self.drop_message(from.clone(), MessageDropReason::Malformed);
             return;
         }
         let term = self.term();
@@ -402,7 +404,7 @@
             return;
         };
         if reply.round > leader.round {
-            self.drop_message(from.clone(), DropReason::Malformed);
+            self.drop_message(from.clone(), MessageDropReason::Malformed);
             return;
         }
         if let Some(progress) = leader.peers.get_mut(from) {
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -9,7 +9,7 @@
 use super::entry::{EntryPayload, HardState, KeeperId, LogEntry, LogIndex, Membership, Term};
 use super::identity::IdentityTable;
 use super::interface::{
-    AgreementEffect, AgreementInput, DropReason, KeeperRole, RestoredState, RoleStatus,
+    AgreementEffect, AgreementInput, KeeperRole, MessageDropReason, RestoredState, RoleStatus,
 };
 use super::leader::LeaderState;
 use super::log::ReplicatedLog;
@@ -58,7 +58,7 @@
     pub(super) delivered: LogIndex,
     /// Number of snapshots from peers that wait for their sync; delivery pauses meanwhile.
     pub(super) installs_pending: usize,
-    pub(super) assembly: Option<SnapshotAssembly>,
+    pub(super) snapshot_assembly: Option<SnapshotAssembly>,
     pub(super) identities: IdentityTable,
     /// Index at which a snapshot was last requested.
     pub(super) snapshot_requested_at: LogIndex,
@@ -110,7 +110,7 @@
             commit: log.base_index(),
             delivered: log.base_index(),
             installs_pending: 0,
-            assembly: None,
+            snapshot_assembly: None,
             identities: IdentityTable::default(),
             snapshot_requested_at: log.snapshot_index(),
             reported_role: None,
@@ -242,7 +242,7 @@
         }
     }
 
-    pub(super) fn drop_message(&mut self, from: KeeperId, reason: DropReason) {
+    pub(super) fn drop_message(&mut self, from: KeeperId, reason: MessageDropReason) {
         self.effects
             .push(AgreementEffect::MessageDropped { from, reason });
     }
--- a/crates/coordination/src/agreement/progress.rs
+++ b/crates/coordination/src/agreement/progress.rs
@@ -41,7 +41,7 @@
     pub(super) sent_commit: LogIndex,
     /// Time from which the resend timeout runs: that of the last reply, or of the first message
     /// sent after every earlier message was answered.
-    pub(super) advanced_at: MonotonicTime,
+    pub(super) resend_from: MonotonicTime,
     /// Sending time of the latest heartbeat that the peer answered.
     pub(super) contact_at: MonotonicTime,
     /// Latest heartbeat round that the peer answered.
@@ -53,14 +53,14 @@
     /// Highest commit index that the peer reported.
     pub(super) known_commit: LogIndex,
     /// Set once the peer is no longer a member.
-    pub(super) leaving: Option<LeavingPeer>,
+    pub(super) removed: Option<RemovedPeer>,
 }
 
 /// A removed peer that is still sent the log until it knows of its removal.
 ///
 /// Without this it would consider itself a voter forever and request votes that nobody grants.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LeavingPeer {
+pub(super) struct RemovedPeer {
     /// Index of the entry that removes it.
     pub(super) removed_at: LogIndex,
     /// Time at which the leader stops sending, since the peer's disk may be lost.
@@ -76,13 +76,13 @@
             inflight: VecDeque::new(),
             waiting: false,
             sent_commit: LogIndex(0),
-            advanced_at: now,
+            resend_from: now,
             contact_at: now,
             answered_round: HeartbeatRound(0),
             caught_up_at: None,
             catch_up_goal: last_index,
             known_commit: LogIndex(0),
-            leaving: None,
+            removed: None,
         }
     }
 
@@ -97,13 +97,13 @@
     /// Records that a probe or a snapshot chunk was sent.
     pub(super) fn record_waiting(&mut self, now: MonotonicTime) {
         self.waiting = true;
-        self.advanced_at = now;
+        self.resend_from = now;
     }
 
     /// Records that a message of the stream was sent, whose last entry is `last`.
     pub(super) fn record_streamed(&mut self, last: LogIndex, now: MonotonicTime) {
         if self.inflight.is_empty() {
-            self.advanced_at = now;
+            self.resend_from = now;
         }
         self.inflight.push_back(last);
         self.next = last.next();
@@ -111,7 +111,7 @@
 
     /// Records that the peer has synced everything up to `matched`.
     pub(super) fn record_matched(&mut self, matched: LogIndex, now: MonotonicTime) {
-        self.advanced_at = now;
+        self.resend_from = now;
         self.matched = self.matched.max(matched);
         while self.inflight.front().is_some_and(|last| *last <= matched) {
             self.inflight.pop_front();
@@ -130,12 +130,12 @@
         self.inflight.clear();
         self.waiting = false;
         self.next = next.max(self.matched.next());
-        self.advanced_at = now;
+        self.resend_from = now;
     }
 
     /// Allows a resend after `resend_timeout` without progress.
     pub(super) fn expire(&mut self, now: MonotonicTime, settings: &AgreementSettings) {
-        let is_stalled = now.since(self.advanced_at) >= settings.resend_timeout;
+        let is_stalled = now.since(self.resend_from) >= settings.resend_timeout;
         if !is_stalled {
             return;
         }
@@ -154,10 +154,10 @@
     }
 
     /// Whether the peer is removed, and either knows it or exceeded its time limit.
-    pub(super) fn has_departed(&self, now: MonotonicTime) -> bool {
+    pub(super) fn is_removal_complete(&self, now: MonotonicTime) -> bool {
         let is_done =
-            |leaving: LeavingPeer| self.known_commit >= leaving.removed_at || now >= leaving.due;
-        self.leaving.is_some_and(is_done)
+            |removed: RemovedPeer| self.known_commit >= removed.removed_at || now >= removed.due;
+        self.removed.is_some_and(is_done)
     }
 
     /// Whether the peer answered within `window`.
--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -41,7 +41,8 @@
     /// Voters in the membership.
     pub voters: usize,
     /// Further voters that can fail now while the group still accepts changes.
-    pub losses_borne: usize,
+    #[serde(rename = "losses_borne")]
+    pub losses_tolerated: usize,
     /// Reasons for incomplete redundancy; empty if it is complete.
     pub gaps: Vec<RedundancyGap>,
 }
@@ -91,7 +92,7 @@
         if membership.voters.len() < MIN_REDUNDANT_VOTERS {
             report.gaps.push(RedundancyGap::TooFewVoters);
         }
-        report.losses_borne = report.current_voters.saturating_sub(membership.quorum());
+        report.losses_tolerated = report.current_voters.saturating_sub(membership.quorum());
         report
     }
 
--- a/crates/coordination/src/agreement/snapshot_transfer.rs
+++ b/crates/coordination/src/agreement/snapshot_transfer.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::entry::{KeeperId, LogIndex, Membership, SnapshotMetadata, Term};
-use super::interface::{AgreementEffect, DropReason, StoredSnapshot};
+use super::interface::{AgreementEffect, MessageDropReason, StoredSnapshot};
 use super::message::{AgreementMessage, SnapshotChunk, SnapshotOutcome, SnapshotReply};
 use super::node::{AgreementNode, RoleState};
 use super::persist::HeldAction;
@@ -78,7 +78,7 @@
     /// Stores a chunk; the last one installs the snapshot in place of the log.
     pub(super) fn on_snapshot_chunk(&mut self, from: KeeperId, chunk: SnapshotChunk) {
         if !self.is_acceptable(&chunk) {
-            self.drop_message(from, DropReason::Malformed);
+            self.drop_message(from, MessageDropReason::Malformed);
             return;
         }
         if !self.accept_leader(&from, chunk.term) {
@@ -103,20 +103,20 @@
 
     fn assemble(&mut self, chunk: SnapshotChunk) -> SnapshotOutcome {
         if chunk.mark.index <= self.commit {
-            self.assembly = None;
+            self.snapshot_assembly = None;
             return SnapshotOutcome::Installed(self.commit);
         }
         let differs = |assembly: &SnapshotAssembly| {
             assembly.mark != chunk.mark || assembly.total != chunk.total
         };
-        if self.assembly.as_ref().is_none_or(differs) {
-            self.assembly = Some(SnapshotAssembly {
+        if self.snapshot_assembly.as_ref().is_none_or(differs) {
+            self.snapshot_assembly = Some(SnapshotAssembly {
                 mark: chunk.mark.clone(),
                 total: chunk.total,
                 bytes: Vec::new(),
             });
         }
-        let Some(mut assembly) = self.assembly.take() else {
+        let Some(mut assembly) = self.snapshot_assembly.take() else {
             return SnapshotOutcome::Continue(0);
         };
         if chunk.offset == length(&assembly.bytes) {
@@ -124,7 +124,7 @@
         }
         let received = length(&assembly.bytes);
         if received < assembly.total {
-            self.assembly = Some(assembly);
+            self.snapshot_assembly = Some(assembly);
             return SnapshotOutcome::Continue(received);
         }
         let index = assembly.mark.index;
@@ -177,7 +177,7 @@
         {
             *offset = expected;
             progress.waiting = false;
-            progress.advanced_at = self.now;
+            progress.resend_from = self.now;
         }
     }
 
--- a/crates/coordination/tests/agreement_faults/faults.rs
+++ b/crates/coordination/tests/agreement_faults/faults.rs
@@ -155,7 +155,11 @@
         let Some(report) = report else {
             return "not the leader\n".to_owned();
         };
-        let (held, voters, losses) = (report.current_voters, report.voters, report.losses_borne);
+        let (held, voters, losses) = (
+            report.current_voters,
+            report.voters,
+            report.losses_tolerated,
+        );
         let gaps: Vec<String> = report.gaps.iter().map(|gap| format!("{gap}")).collect();
         let gaps = gaps.join(", ");
         format!("{held} of {voters} voters current, can lose {losses}; gaps: [{gaps}]\n")
--- a/crates/coordination/tests/outer_encodings/status.rs
+++ b/crates/coordination/tests/outer_encodings/status.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pollendrift_coordination::agreement::{
-    AgreementDump, DropReason, KeeperRole, LeadershipDump, LogIndex, PeerDump, RedundancyGap,
+    AgreementDump, MessageDropReason, KeeperRole, LeadershipDump, LogIndex, PeerDump, RedundancyGap,
     RedundancyReport, RoleStatus, Term,
 };
 use pollendrift_coordination::base::{Incarnation, MonotonicTime};
@@ -31,7 +31,7 @@
     RedundancyReport {
         current_voters: 2,
         voters: 3,
-        losses_borne: 1,
+        losses_tolerated: 1,
         gaps: vec![
             RedundancyGap::Silent(keeper("k1", 11)),
             RedundancyGap::Behind(keeper("k2", 12)),
@@ -99,12 +99,12 @@
 #[test]
 fn reasons_of_dropped_messages_keep_their_names() {
     let reasons = [
-        DropReason::OtherReceiver,
-        DropReason::OwnIdentity,
-        DropReason::FormerIncarnation,
-        DropReason::OldDisk,
-        DropReason::Malformed,
-        DropReason::Retired,
+        MessageDropReason::OtherReceiver,
+        MessageDropReason::OwnIdentity,
+        MessageDropReason::FormerIncarnation,
+        MessageDropReason::OldDisk,
+        MessageDropReason::Malformed,
+        MessageDropReason::Retired,
     ];
     let lines = reasons.map(|reason| format!("{} {reason}", json(&reason)));
     insta::assert_snapshot!(lines.join("\n"));
