--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -30,8 +30,8 @@
 pub use packed::{LeaseNumber, NumberedRenewal, PackedRenewals, RenewalDecodeError};
 pub use record::{LeaseEvent, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
 pub use settings::BackendLeaseSettings;
-pub use subset::{SubsetHost, SubsetSettings, entries_of, works_with};
-pub use worker::{WorkerLayers, WorkerOffer};
+pub use subset::{SubsetHost, SubsetSettings, entries_of, may_use_server};
+pub use worker::{BackendLayers, BackendOffer};
 
 use batch::NumberMap;
 use record::AnnounceReceipt;
@@ -101,10 +101,10 @@
             return MergeVerdict::Stale;
         }
         let receipt = AnnounceReceipt {
-            heard_at: now.before(age),
-            // The deadline isn't computed from `heard_at`, because `heard_at` cannot be earlier
-            // than the start of this process: a delta sent before a restart of the receiver would
-            // then renew the lease for its full duration.
+            received_at: now.before(age),
+            // The deadline isn't computed from `received_at`, because `received_at` cannot be
+            // earlier than the start of this process: a delta sent before a restart of the receiver
+            // would then renew the lease for its full duration.
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
@@ -225,13 +225,13 @@
         from: LeaseSource,
     ) -> Option<MergeVerdict> {
         let lease = self.leases.get(key)?;
-        let heard_at = now.before(age);
-        let is_known = heard_at <= lease.heard_at;
+        let received_at = now.before(age);
+        let is_known = received_at <= lease.received_at;
         if is_known || age >= self.settings.lease || lease.announce.incarnation != incarnation {
             return None;
         }
         let receipt = AnnounceReceipt {
-            heard_at,
+            received_at,
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
--- a/crates/coordination/src/leases/batch.rs
+++ b/crates/coordination/src/leases/batch.rs
@@ -91,8 +91,8 @@
     pub unknown_servers: Vec<ServerName>,
     /// Lease numbers whose servers must be requested from the sender.
     pub unknown_numbers: Vec<LeaseNumber>,
-    /// Why the heartbeats by number were rejected; `None` if they were decoded.
-    pub fault: Option<RenewalDecodeError>,
+    /// Why the renewals were rejected; `None` if they were decoded.
+    pub renewal_error: Option<RenewalDecodeError>,
 }
 
 /// Lease numbers of one sender.
@@ -106,21 +106,21 @@
 
 impl LeaseTable {
     /// Returns the leases of `scope` that changed or were renewed after `cursor`, with at most
-    /// `limit` leases by name, and the new cursor. `first` applies to a receiver that has not yet
-    /// been sent the whole table.
+    /// `limit` leases by name, and the new cursor. `initial_sync` applies to a receiver that has
+    /// not yet been sent the whole table.
     pub fn batch(
         &self,
         now: MonotonicTime,
         cursor: DeltaCursor,
         limit: usize,
         scope: LeaseScope,
-        first: InitialSync,
+        initial_sync: InitialSync,
     ) -> (LeaseBatch, DeltaCursor) {
         let mut named = Vec::new();
         let mut renewals = Vec::new();
         let mut reached = cursor.reached;
         let mut complete = cursor.complete;
-        let is_first = first == InitialSync::NamesOnly && cursor.complete == 0;
+        let is_initial = initial_sync == InitialSync::NamesOnly && cursor.complete == 0;
         let mut leases = self.by_version.range(reached.saturating_add(1)..);
         loop {
             let Some((version, key)) = leases.next() else {
@@ -137,13 +137,13 @@
             if lease.ended || !scope.includes(lease.from) {
                 continue;
             }
-            if !is_first && lease.is_sent_by_number(cursor) {
+            if !is_initial && lease.is_sent_by_number(cursor) {
                 renewals.push(lease.numbered_renewal(now));
                 continue;
             }
             named.push(NamedLease {
                 number: lease.number,
-                delta: if is_first {
+                delta: if is_initial {
                     lease.renewal(now, true)
                 } else {
                     lease.delta_since(now, cursor)
@@ -224,7 +224,7 @@
         }
         match batch.renewals.unpack() {
             Ok(renewals) => self.merge_numbered(now, &map, renewals, from, transit, &mut outcome),
-            Err(fault) => outcome.fault = Some(fault),
+            Err(error) => outcome.renewal_error = Some(error),
         }
         self.numbers.insert(host.clone(), map);
         outcome
@@ -286,7 +286,7 @@
     fn numbered_renewal(&self, now: MonotonicTime) -> NumberedRenewal {
         NumberedRenewal {
             number: self.number,
-            age: now.since(self.heard_at),
+            age: now.since(self.received_at),
         }
     }
 
--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -251,7 +251,7 @@
     pub(super) fn full_delta(&self, now: MonotonicTime) -> LeaseDelta {
         LeaseDelta::Full(FullLease {
             announce: self.announce.clone(),
-            age: now.since(self.heard_at),
+            age: now.since(self.received_at),
         })
     }
 
@@ -276,7 +276,7 @@
             incarnation: self.announce.incarnation,
             sequence: self.announce.sequence,
             digest: self.digest,
-            age: now.since(self.heard_at),
+            age: now.since(self.received_at),
             load: includes_load.then_some(self.sent_load),
         })
     }
--- a/crates/coordination/src/leases/load.rs
+++ b/crates/coordination/src/leases/load.rs
@@ -53,7 +53,7 @@
     ///
     /// Receivers therefore know each value within an eighth, or within one sequence or 256 tokens
     /// if that is more. The start or end of a server's only sequence is within that bound.
-    pub(super) fn is_beyond_step(&self, sent: &Self) -> bool {
+    pub(super) fn exceeds_send_threshold(&self, sent: &Self) -> bool {
         let exceeds = |new: u64, old: u64, tolerance: u64| {
             new.abs_diff(old) > tolerance.max(new.max(old) / STEP_DIVISOR)
         };
@@ -88,7 +88,11 @@
         ];
         for (sent, now, expected) in cases {
             let (sent, now) = (load(sent.0, sent.1), load(now.0, now.1));
-            assert_eq!(now.is_beyond_step(&sent), expected, "{sent:?} {now:?}");
+            assert_eq!(
+                now.exceeds_send_threshold(&sent),
+                expected,
+                "{sent:?} {now:?}"
+            );
         }
     }
 }
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -56,7 +56,8 @@
     /// Last announcement in (incarnation, sequence) order.
     pub announce: ServerAnnounce,
     /// Time at which the first receiving host got that announcement, by this host's clock.
-    pub heard_at: MonotonicTime,
+    #[serde(rename = "heard_at")]
+    pub received_at: MonotonicTime,
     /// Start of the server's uninterrupted presence in this table, by this host's clock.
     pub since: MonotonicTime,
     /// End of the lease; for an ended lease, the time at which the server is removed.
@@ -70,8 +71,9 @@
     /// Version of the table when `digest` last changed.
     pub content_version: u64,
     /// Sources of all announcements of the server so far.
-    pub heard_from: BTreeSet<LeaseSource>,
-    /// Version of the table when `heard_from` last grew, since the receivers of a lease depend on
+    #[serde(rename = "heard_from")]
+    pub sources: BTreeSet<LeaseSource>,
+    /// Version of the table when `sources` last grew, since the receivers of a lease depend on
     /// its sources. A server whose heartbeats alternate between hosts is not sent by name again on
     /// each alternation.
     pub from_version: u64,
@@ -94,14 +96,14 @@
     ) -> Self {
         Self {
             number,
-            heard_at: receipt.heard_at,
-            since: receipt.heard_at,
+            received_at: receipt.received_at,
+            since: receipt.received_at,
             deadline: receipt.deadline,
             from: receipt.from,
             ended: false,
             version: 0,
             content_version: 0,
-            heard_from: BTreeSet::from([receipt.from]),
+            sources: BTreeSet::from([receipt.from]),
             from_version: 0,
             load_version: 0,
             digest: ContentDigest::of(&announce),
@@ -134,14 +136,14 @@
     /// Sets `version` and the versions of the parts that must be sent to peers again.
     pub(super) fn touch(&mut self, version: u64, is_changed: bool) {
         self.version = version;
-        if self.heard_from.insert(self.from) {
+        if self.sources.insert(self.from) {
             self.from_version = version;
         }
         if is_changed {
             self.digest = ContentDigest::of(&self.announce);
             self.content_version = version;
         }
-        if is_changed || self.announce.load.is_beyond_step(&self.sent_load) {
+        if is_changed || self.announce.load.exceeds_send_threshold(&self.sent_load) {
             self.sent_load = self.announce.load;
             self.load_version = version;
         }
@@ -149,11 +151,11 @@
 
     pub(super) fn renew(&mut self, announce: ServerAnnounce, receipt: AnnounceReceipt) {
         if self.ended || self.announce.incarnation != announce.incarnation {
-            self.since = receipt.heard_at;
+            self.since = receipt.received_at;
         }
         self.has_load |= announce.load != AnnouncedLoad::default();
         self.announce = announce;
-        self.heard_at = receipt.heard_at;
+        self.received_at = receipt.received_at;
         self.from = receipt.from;
         // A later announcement with a longer transit time must not shorten the current lease.
         self.deadline = if self.ended {
@@ -180,7 +182,7 @@
 /// Time and source of an announcement, and the deadline of the lease that it grants.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnnounceReceipt {
-    pub(super) heard_at: MonotonicTime,
+    pub(super) received_at: MonotonicTime,
     pub(super) deadline: MonotonicTime,
     pub(super) from: LeaseSource,
 }
--- a/crates/coordination/src/leases/subset.rs
+++ b/crates/coordination/src/leases/subset.rs
@@ -3,7 +3,7 @@
 //!
 //! With rendezvous hashing every host computes the same result from the same list of hosts, a host
 //! that joins or leaves moves only its own servers, and no host stores a table. Each server gets
-//! `overlap` entries of its own region.
+//! `entries_per_server` entries of its own region.
 
 use std::cmp::Reverse;
 
@@ -15,9 +15,10 @@
 /// Settings of the assignment of servers to entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubsetSettings {
-    /// Number of entries that work with each server.
-    pub overlap: usize,
-    /// Number of hosts up to which each host works with every server.
+    /// Number of entries that send requests to each server.
+    #[serde(rename = "overlap")]
+    pub entries_per_server: usize,
+    /// Number of hosts up to which each host sends requests to every server.
     #[serde(rename = "whole_up_to")]
     pub all_servers_up_to: usize,
 }
@@ -25,7 +26,7 @@
 impl Default for SubsetSettings {
     fn default() -> Self {
         Self {
-            overlap: 4,
+            entries_per_server: 4,
             all_servers_up_to: 32,
         }
     }
@@ -42,8 +43,8 @@
     pub region: DataCentreName,
 }
 
-/// Returns the entries that work with `server`, best first: up to `overlap` entries of its region,
-/// one per data centre before any data centre gets a second.
+/// Returns the entries that send requests to `server`, best first: up to `entries_per_server`
+/// entries of its region, one per data centre before any data centre gets a second.
 ///
 /// With at most `all_servers_up_to` hosts it returns all of them, regardless of their region.
 pub fn entries_of<'hosts>(
@@ -70,11 +71,11 @@
     }
     rounds.sort_by_key(|(round, _)| *round);
     let selected = rounds.into_iter().map(|(_, host)| host);
-    selected.take(settings.overlap).collect()
+    selected.take(settings.entries_per_server).collect()
 }
 
 /// Whether `host` works with `server`.
-pub fn works_with(
+pub fn may_use_server(
     settings: &SubsetSettings,
     host: &HostName,
     server: &ServerName,
@@ -183,7 +184,7 @@
         assert!(
             hosts
                 .iter()
-                .all(|h| works_with(&settings, &h.host, &server, &region, &hosts))
+                .all(|h| may_use_server(&settings, &h.host, &server, &region, &hosts))
         );
     }
 }
--- a/crates/coordination/src/leases/worker.rs
+++ b/crates/coordination/src/leases/worker.rs
@@ -1,4 +1,4 @@
-//! Offer of a backend server of a published service.
+//! Offer of a backend server of a service in the configuration.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,18 +6,18 @@
 
 /// Model layers that an engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerLayers {
+pub struct BackendLayers {
     /// Range of the layers.
     pub range: LayerRange,
     /// Version of the model weights.
     pub version: VersionName,
 }
 
-/// Offer of a backend server of a published service. The published document describes the
-/// capabilities of each kind of accelerator, so that the offer stays small and both can change
-/// independently.
+/// Offer of a backend server of a service in the configuration. The configuration in force
+/// describes the capabilities of each kind of accelerator, so that the offer stays small and both
+/// can change independently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerOffer {
+pub struct BackendOffer {
     /// Name of the service.
     pub service: ServiceName,
     /// Number of requests that the server runs concurrently.
@@ -27,5 +27,5 @@
     /// Kind of accelerator; empty for a plain service.
     pub kind: String,
     /// Loaded layers; `None` for a plain service or for an engine without layers.
-    pub layers: Option<WorkerLayers>,
+    pub layers: Option<BackendLayers>,
 }
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -5,9 +5,9 @@
 use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
 use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, LeaseBatch, LeaseDelta, LeaseNumber,
-    LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
-    WorkerLayers, WorkerOffer,
+    AnnouncedLoad, BackendLayers, BackendOffer, ContentDigest, DeltaCursor, FullLease, LeaseBatch,
+    LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals,
+    ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
 use pollendrift_coordination::revision_follower::QuestionNumber;
@@ -24,13 +24,13 @@
     kv_used_tokens: 5_000,
 };
 
-pub(crate) fn offer() -> WorkerOffer {
-    WorkerOffer {
+pub(crate) fn offer() -> BackendOffer {
+    BackendOffer {
         service: "drafts".into(),
         slots: 4,
         cold: true,
         kind: "big".to_owned(),
-        layers: Some(WorkerLayers {
+        layers: Some(BackendLayers {
             range: layers(0, 8),
             version: "v1".into(),
         }),
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -327,7 +327,7 @@
             Arc::make_mut(view).load = lease.announce.load;
         }
         self.planner
-            .report(&load_report(&lease.announce, lease.heard_at));
+            .report(&load_report(&lease.announce, lease.received_at));
     }
 
     fn take_view(&mut self, now: MonotonicTime, lease: &ServerLease, view: ServerView) {
@@ -350,7 +350,7 @@
             return;
         }
         self.planner
-            .report(&load_report(&lease.announce, lease.heard_at));
+            .report(&load_report(&lease.announce, lease.received_at));
     }
 
     fn drop_view(&mut self, server: &ServerName) {
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -9,7 +9,7 @@
     DataCentreName, Incarnation, MonotonicTime, SequenceNumber, ServerName,
 };
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, LeaseScope, MergeVerdict, ServerAnnounce, ServerState, WorkerOffer,
+    AnnouncedLoad, BackendOffer, LeaseScope, MergeVerdict, ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::routing::{SurveyResult, SurveyedEngine};
 use pollendrift_dialect::ServerNote;
@@ -34,7 +34,7 @@
     /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
     /// What it offers.
-    pub offer: WorkerOffer,
+    pub offer: BackendOffer,
 }
 
 impl WorkerView {
--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -97,7 +97,7 @@
         let outcome = self
             .fleet
             .merge_batch(now, sender, batch, TRANSIT_ALLOWANCE);
-        if let Some(fault) = outcome.fault {
+        if let Some(fault) = outcome.renewal_error {
             log::warn!(host:% = from, reason:% = fault; "renewals not taken");
         }
         if !outcome.unknown_servers.is_empty() {
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -14,7 +14,7 @@
 use pollendrift_coordination::base::{
     DataCentreName, Incarnation, LayerRange, ModelName, MonotonicTime, SequenceNumber, ServerName,
 };
-use pollendrift_coordination::leases::WorkerLayers;
+use pollendrift_coordination::leases::BackendLayers;
 use pollendrift_coordination::routes::{RouteTable, SpecGeneration, SpecGenerations};
 use pollendrift_coordination::routing::{
     ByteRate, DegradedLinks, DegradedSettings, EngineFilter, EngineRecord, FleetPlanner, FlightKey,
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct KnownEngine {
     incarnation: Incarnation,
-    layers: WorkerLayers,
+    layers: BackendLayers,
     address: SocketAddr,
     /// Generation of the service specification that the announcement was computed from.
     generation: Option<SpecGeneration>,
--- a/crates/daemon/src/relay/engine_estimates.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pollendrift_coordination::base::{ModelName, SequenceNumber};
-use pollendrift_coordination::leases::WorkerLayers;
+use pollendrift_coordination::leases::BackendLayers;
 use pollendrift_coordination::retries::SlowStartSettings;
 use pollendrift_coordination::routes::{EngineSpec, ServiceSpec};
 use pollendrift_coordination::routing::{
@@ -39,7 +39,7 @@
 /// range.
 pub(super) fn announcement_for(
     worker: &WorkerView,
-    layers: &WorkerLayers,
+    layers: &BackendLayers,
     spec: &EngineSpec,
     sequence: SequenceNumber,
     slowness: u32,
--- a/crates/dialect/src/registry.rs
+++ b/crates/dialect/src/registry.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error};
 use http::{Method, Response};
 use pollendrift_coordination::base::{DataCentreName, Incarnation, SequenceNumber, ServerName};
-use pollendrift_coordination::leases::{ServerState, WorkerOffer};
+use pollendrift_coordination::leases::{BackendOffer, ServerState};
 
 /// What a backend server says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
     /// What it offers.
-    pub offer: WorkerOffer,
+    pub offer: BackendOffer,
 }
 
 /// One call of a backend server.
