--- a/crates/coordination/src/retries/deadline.rs
+++ b/crates/coordination/src/retries/deadline.rs
@@ -27,7 +27,7 @@
     /// Remaining time for the next hop: the remaining time minus `margin`, which is reserved for
     /// the return of the answer. `None` if nothing remains.
     pub fn remaining_for_hop(self, now: MonotonicTime, margin: Duration) -> Option<Duration> {
-        let left = self.remaining(now).saturating_sub(margin);
-        (!left.is_zero()).then_some(left)
+        let remaining = self.remaining(now).saturating_sub(margin);
+        (!remaining.is_zero()).then_some(remaining)
     }
 }
--- a/crates/coordination/src/revision_follower.rs
+++ b/crates/coordination/src/revision_follower.rs
@@ -88,7 +88,7 @@
     /// Offset of the first keeper within each list; distributes hosts over keepers.
     keeper_offset: usize,
     /// Number of failovers to the next keeper since the first keeper was last selected.
-    turn: usize,
+    failover_count: usize,
     /// Consecutive answers of keepers in `far`.
     far_answers: u32,
     number: QuestionNumber,
@@ -114,7 +114,7 @@
             near: keepers,
             far: Vec::new(),
             keeper_offset,
-            turn: 0,
+            failover_count: 0,
             far_answers: 0,
             number: QuestionNumber(0),
             held: None,
@@ -143,7 +143,7 @@
             return None;
         }
         if self.unanswered > 0 {
-            self.turn = self.turn.wrapping_add(1);
+            self.failover_count = self.failover_count.wrapping_add(1);
         }
         let keeper = self.keeper()?.clone();
         self.unanswered = self.unanswered.saturating_add(1);
@@ -163,9 +163,11 @@
         self.keeper()
     }
 
-    /// Returns the keeper at position `turn` of the near and then the far keepers.
+    /// Returns the keeper at position `failover_count` of the near and then the far keepers.
     fn keeper(&self) -> Option<&HostName> {
-        let turn = self.turn.checked_rem(self.near.len() + self.far.len())?;
+        let turn = self
+            .failover_count
+            .checked_rem(self.near.len() + self.far.len())?;
         let (keepers, turn) = match turn.checked_sub(self.near.len()) {
             None => (&self.near, turn),
             Some(turn) => (&self.far, turn),
@@ -187,7 +189,7 @@
         self.far_answers += 1;
         if self.far_answers >= MAX_FAR_ANSWERS {
             self.far_answers = 0;
-            self.turn = 0;
+            self.failover_count = 0;
         }
     }
 
--- a/crates/coordination/src/streams.rs
+++ b/crates/coordination/src/streams.rs
@@ -71,7 +71,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct HeldStream {
+struct StoredStream {
     record: StreamRecord,
     updated_at: MonotonicTime,
     bytes: usize,
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub struct StreamTable {
     settings: StreamSettings,
-    streams: BTreeMap<RequestId, HeldStream>,
+    streams: BTreeMap<RequestId, StoredStream>,
     by_age: BTreeSet<(MonotonicTime, RequestId)>,
     bytes: usize,
 }
@@ -103,20 +103,20 @@
     /// Adds the tokens of an update to its stream. An update that leaves a gap removes the stream,
     /// because a resume would give the caller an answer with missing tokens.
     pub fn record(&mut self, now: MonotonicTime, update: StreamUpdate) {
-        let mut held = match self.remove(&update.request) {
-            Some(held)
-                if held.record.digest == update.digest
-                    && held.record.customer == update.customer =>
+        let mut stored = match self.remove(&update.request) {
+            Some(stored)
+                if stored.record.digest == update.digest
+                    && stored.record.customer == update.customer =>
             {
-                held
+                stored
             }
-            _ => HeldStream {
+            _ => StoredStream {
                 record: empty_record(&update),
                 updated_at: now,
                 bytes: record_overhead(&update),
             },
         };
-        let known = u32::try_from(held.record.tokens.len()).unwrap_or(u32::MAX);
+        let known = u32::try_from(stored.record.tokens.len()).unwrap_or(u32::MAX);
         if update.first.0 > known {
             return;
         }
@@ -125,19 +125,19 @@
             .into_iter()
             .skip(to_usize(known - update.first.0));
         for token in new_tokens {
-            held.bytes += token_bytes(&token);
-            held.record.tokens.push(token);
+            stored.bytes += token_bytes(&token);
+            stored.record.tokens.push(token);
         }
-        held.record.attempt = held.record.attempt.max(update.attempt);
-        held.record.finish = held.record.finish.or(update.finish);
-        held.updated_at = now;
-        self.insert(update.request, held);
+        stored.record.attempt = stored.record.attempt.max(update.attempt);
+        stored.record.finish = stored.record.finish.or(update.finish);
+        stored.updated_at = now;
+        self.insert(update.request, stored);
         self.evict();
     }
 
     /// Returns the stored copy of the answer to `request`.
     pub fn look_up(&self, request: &RequestId) -> Option<&StreamRecord> {
-        self.streams.get(request).map(|held| &held.record)
+        self.streams.get(request).map(|stored| &stored.record)
     }
 
     /// Removes streams without an update during the retention. Callers run it on every tick.
@@ -160,17 +160,17 @@
         self.streams.is_empty()
     }
 
-    fn insert(&mut self, request: RequestId, held: HeldStream) {
-        self.bytes += held.bytes;
-        self.by_age.insert((held.updated_at, request.clone()));
-        self.streams.insert(request, held);
+    fn insert(&mut self, request: RequestId, stored: StoredStream) {
+        self.bytes += stored.bytes;
+        self.by_age.insert((stored.updated_at, request.clone()));
+        self.streams.insert(request, stored);
     }
 
-    fn remove(&mut self, request: &RequestId) -> Option<HeldStream> {
-        let held = self.streams.remove(request)?;
-        self.by_age.remove(&(held.updated_at, request.clone()));
-        self.bytes -= held.bytes;
-        Some(held)
+    fn remove(&mut self, request: &RequestId) -> Option<StoredStream> {
+        let stored = self.streams.remove(request)?;
+        self.by_age.remove(&(stored.updated_at, request.clone()));
+        self.bytes -= stored.bytes;
+        Some(stored)
     }
 
     fn evict(&mut self) {
@@ -220,7 +220,7 @@
 }
 
 fn record_overhead(update: &StreamUpdate) -> usize {
-    size_of::<HeldStream>() + update.request.as_str().len() * 2
+    size_of::<StoredStream>() + update.request.as_str().len() * 2
 }
 
 fn token_bytes(token: &GeneratedToken) -> usize {
--- a/crates/coordination/src/streams/tests.rs
+++ b/crates/coordination/src/streams/tests.rs
@@ -48,9 +48,9 @@
         ("begun elsewhere", &[(2, 1)]),
     ];
     let mut seen = Vec::new();
-    for (name, notes) in cases {
+    for (name, updates) in cases {
         let mut table = StreamTable::new(StreamSettings::default());
-        for (first, count) in notes {
+        for (first, count) in updates {
             table.record(at(1), update(*first, *count));
         }
         seen.push(format!("{name}: {}", stored_tokens(&table)));
@@ -84,7 +84,7 @@
         small.record(at(number), update);
     }
     assert!(
-        small.len() * size_of::<super::HeldStream>() <= 2_000,
+        small.len() * size_of::<super::StoredStream>() <= 2_000,
         "{}",
         small.len()
     );
