--- a/crates/coordination/benches/routing.rs
+++ b/crates/coordination/benches/routing.rs
@@ -8,7 +8,7 @@
     Incarnation, LayerRange, ModelName, MonotonicTime, SequenceNumber,
 };
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineRecord, EngineRole, FleetPlanner, LoadFigures, LoadReport,
+    ByteRate, EngineAnnouncement, EngineRecord, EngineRole, FleetPlanner, LoadReport, LoadValues,
     PermitAll, RoutePlanner, RoutePriority, RouteQuery, RoutingSettings, TokenCount, TokenRate,
 };
 
@@ -118,8 +118,8 @@
                     server: announcement.server.clone(),
                     incarnation: Incarnation(1),
                     sequence: SequenceNumber(u64::from(number) + 1),
-                    taken: LATER,
-                    figures: LoadFigures::default(),
+                    measured_at: LATER,
+                    figures: LoadValues::default(),
                 };
                 assert!(planner.announce(LATER, announcement).is_ok());
                 black_box(planner.report(&report))
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -40,8 +40,8 @@
 pub use flight::FlightKey;
 pub use graph::GraphId;
 pub use health::{ChainHealth, ChainVerdict, HealthSettings};
-pub use link::LinkFigures;
-pub use load::{LoadFigures, LoadReport};
+pub use link::LinkProperties;
+pub use load::{LoadReport, LoadValues};
 pub use plan::{
     EngineFilter, NoRoute, NoRouteReason, PermitAll, RejectCounts, RejectReason, RoutePlan,
     RoutePriority, RouteQuery, RouteStage, is_complete_chain,
--- a/crates/coordination/src/routing/bound.rs
+++ b/crates/coordination/src/routing/bound.rs
@@ -19,7 +19,7 @@
 use crate::base::LayerRange;
 
 /// Placeholder for the data centre before the first stage; it is equally close to all others.
-pub(crate) const ENTRY: DataCentreIndex = DataCentreIndex(u16::MAX);
+pub(crate) const BEFORE_FIRST_STAGE: DataCentreIndex = DataCentreIndex(u16::MAX);
 
 /// Bisection steps of the search for the lowest load factor that still carries the total flow.
 const BALANCE_STEPS: u32 = 8;
@@ -50,7 +50,7 @@
     /// Edge that carries the total flow of a group.
     groups: BTreeMap<GroupKey, EdgeIndex>,
     /// Edge from the incoming hub of a boundary into a group.
-    entries: BTreeMap<(u32, GroupKey), EdgeIndex>,
+    group_inflows: BTreeMap<(u32, GroupKey), EdgeIndex>,
     /// Edge between the hubs of a boundary, by layer, source and target data centre.
     hops: BTreeMap<(u32, DataCentreIndex, DataCentreIndex), EdgeIndex>,
 }
@@ -148,7 +148,7 @@
         source,
         sink,
         groups: BTreeMap::new(),
-        entries: BTreeMap::new(),
+        group_inflows: BTreeMap::new(),
         hops: BTreeMap::new(),
     };
     let centres = within.map_or_else(|| find_centres(graph), |centre| vec![centre]);
@@ -160,7 +160,7 @@
             hubs_out.insert((*layer, *centre), net.network.add_node());
         }
     }
-    let entry = within.unwrap_or(ENTRY);
+    let entry = within.unwrap_or(BEFORE_FIRST_STAGE);
     add_hops(&mut net, fleet, graph, mix, entry, &hubs_in, &hubs_out);
     for (key, group) in &graph.groups {
         let is_excluded = within.is_some_and(|centre| centre != group.shape.data_centre);
@@ -180,7 +180,7 @@
             let hub = hubs_in.get(&(*layer, centre)).copied();
             if let Some(hub) = hub.filter(|_| boundary.groups.contains(&key)) {
                 let edge = net.network.add_edge(hub, group_node, UNBOUNDED);
-                net.entries.insert((*layer, key), edge);
+                net.group_inflows.insert((*layer, key), edge);
             }
         }
     }
@@ -323,17 +323,17 @@
             .filter(|key| net.groups.contains_key(*key));
         let row = FlowRow {
             groups: usable_groups.clone().copied().collect(),
-            ends: cumulative_sums(usable_groups.map(weight)),
+            cumulative_flow: cumulative_sums(usable_groups.map(weight)),
         };
         boundary.rows.insert((phase, *from), row);
     }
     for (layer, boundary) in &mut graph.boundaries {
-        let entry = |key| net.entries.get(&(*layer, key));
+        let inflow = |key| net.group_inflows.get(&(*layer, key));
         let usable_groups = boundary
             .groups
             .iter()
             .filter(|key| net.groups.contains_key(*key));
-        let flow = |key: &GroupKey| entry(*key).map_or(0, |edge| net.network.flow(*edge)) as f64;
+        let flow = |key: &GroupKey| inflow(*key).map_or(0, |edge| net.network.flow(*edge)) as f64;
         let flows = usable_groups.map(|key| ((phase, *key), flow(key)));
         let flows: Vec<((RoutePhase, GroupKey), f64)> = flows.collect();
         boundary.flows.extend(flows);
@@ -365,7 +365,7 @@
         return 0.0;
     }
     let hop = flow(net.hops.get(&(layer, from, to)));
-    hop * flow(net.entries.get(&(layer, key))) / hub_inflow
+    hop * flow(net.group_inflows.get(&(layer, key))) / hub_inflow
 }
 
 fn cumulative_sums<I>(weights: I) -> Vec<f64>
--- a/crates/coordination/src/routing/fleet.rs
+++ b/crates/coordination/src/routing/fleet.rs
@@ -7,7 +7,7 @@
 use super::capacity::mean_capacity;
 use super::engine::EngineAnnouncement;
 use super::graph::{GraphId, GroupShape, LayerGraph};
-use super::link::{DataCentreIndex, LinkFigures, LinkTable};
+use super::link::{DataCentreIndex, LinkProperties, LinkTable};
 use super::load::{LoadReport, LoadTracker};
 use super::settings::RoutingSettings;
 use crate::base::{AdapterName, DataCentreName, FindingList, MonotonicTime, ServerName};
@@ -137,7 +137,12 @@
 
     /// Sets the link between two data centres in both directions. A changed link marks the flow at
     /// both ends as stale in every graph.
-    pub fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkFigures) {
+    pub fn set_link(
+        &mut self,
+        one: &DataCentreName,
+        other: &DataCentreName,
+        figures: LinkProperties,
+    ) {
         if !self.links.set(one, other, figures) {
             return;
         }
--- a/crates/coordination/src/routing/graph.rs
+++ b/crates/coordination/src/routing/graph.rs
@@ -83,13 +83,13 @@
 pub(crate) struct FlowRow {
     pub(crate) groups: Vec<GroupKey>,
     /// Cumulative flow into `groups`, one entry per group.
-    pub(crate) ends: Vec<f64>,
+    pub(crate) cumulative_flow: Vec<f64>,
 }
 
 impl FlowRow {
     /// Returns the flow into all groups.
     pub(crate) fn total(&self) -> f64 {
-        self.ends.last().copied().unwrap_or(0.0)
+        self.cumulative_flow.last().copied().unwrap_or(0.0)
     }
 }
 
@@ -99,7 +99,7 @@
     /// Groups that hold the layer and from whose end a pipeline can reach the last layer.
     pub(crate) groups: Vec<GroupKey>,
     /// Cumulative number of members of `groups`, one entry per group.
-    pub(crate) cumulative: Vec<u32>,
+    pub(crate) cumulative_members: Vec<u32>,
     /// Flow weights by phase and data centre of the previous stage, as of the last refresh.
     pub(crate) rows: BTreeMap<(RoutePhase, DataCentreIndex), FlowRow>,
     /// Flow into each group by phase, from all data centres, as of the last refresh.
@@ -111,7 +111,7 @@
 impl LayerBoundary {
     /// Returns the number of engines that can run a stage from here.
     pub(crate) fn len(&self) -> u32 {
-        self.cumulative.last().copied().unwrap_or(0)
+        self.cumulative_members.last().copied().unwrap_or(0)
     }
 }
 
@@ -275,11 +275,11 @@
     fn count_members(&mut self) {
         for boundary in self.boundaries.values_mut() {
             let mut total = 0;
-            boundary.cumulative.clear();
+            boundary.cumulative_members.clear();
             for group in &boundary.groups {
                 let members = self.groups.get(*group).map_or(0, |g| g.members.len());
                 total += u32::try_from(members).unwrap_or(u32::MAX);
-                boundary.cumulative.push(total);
+                boundary.cumulative_members.push(total);
             }
         }
     }
--- a/crates/coordination/src/routing/link.rs
+++ b/crates/coordination/src/routing/link.rs
@@ -14,7 +14,7 @@
 
 /// Rate and latency of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LinkFigures {
+pub struct LinkProperties {
     /// Rate in bytes per second, in each direction.
     pub rate: ByteRate,
     /// One-way latency.
@@ -24,18 +24,18 @@
 /// Links between data centres; pairs without their own setting use the default link.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkTable {
-    default: LinkFigures,
+    default: LinkProperties,
     /// Link within one data centre. Only its latency applies; the rate is limited by the engines.
-    local: LinkFigures,
+    local: LinkProperties,
     names: Vec<DataCentreName>,
-    links: BTreeMap<(DataCentreIndex, DataCentreIndex), LinkFigures>,
+    links: BTreeMap<(DataCentreIndex, DataCentreIndex), LinkProperties>,
 }
 
 impl LinkTable {
-    pub(crate) fn new(default: LinkFigures, local_latency: Duration) -> Self {
+    pub(crate) fn new(default: LinkProperties, local_latency: Duration) -> Self {
         Self {
             default,
-            local: LinkFigures {
+            local: LinkProperties {
                 rate: ByteRate(u64::MAX),
                 latency: local_latency,
             },
@@ -59,7 +59,7 @@
         &mut self,
         one: &DataCentreName,
         other: &DataCentreName,
-        figures: LinkFigures,
+        figures: LinkProperties,
     ) -> bool {
         let one = self.intern(one);
         let other = self.intern(other);
@@ -68,7 +68,7 @@
         previous != Some(figures)
     }
 
-    pub(crate) fn get(&self, from: DataCentreIndex, to: DataCentreIndex) -> LinkFigures {
+    pub(crate) fn get(&self, from: DataCentreIndex, to: DataCentreIndex) -> LinkProperties {
         if from == to {
             return self.local;
         }
--- a/crates/coordination/src/routing/load.rs
+++ b/crates/coordination/src/routing/load.rs
@@ -20,7 +20,7 @@
 
 /// Load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadFigures {
+pub struct LoadValues {
     /// Prompt tokens that are queued or in prefill.
     pub prefill: TokenCount,
     /// Sequences that are being generated or are queued.
@@ -41,9 +41,10 @@
     pub sequence: SequenceNumber,
     /// When the engine measured its load, on this process's clock: time of arrival minus the stated
     /// age.
-    pub taken: MonotonicTime,
+    #[serde(rename = "taken")]
+    pub measured_at: MonotonicTime,
     /// Measured load.
-    pub figures: LoadFigures,
+    pub figures: LoadValues,
 }
 
 /// Change of an engine's load by one own request.
@@ -73,12 +74,12 @@
 /// Reported load of one engine, and the load of the own requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTracker {
-    reported: LoadFigures,
+    reported: LoadValues,
     report_number: (Incarnation, SequenceNumber),
     /// Own events since the report was measured, oldest first.
     events: VecDeque<(MonotonicTime, LoadDelta)>,
     /// Sum of `events`.
-    since: LoadDelta,
+    own_since_report: LoadDelta,
     /// Sum of all own requests that have not ended; each field is at least 0.
     own: LoadDelta,
     /// When the engine last declined a request for lack of capacity.
@@ -94,13 +95,13 @@
             return false;
         }
         self.report_number = number;
-        self.declined_at = self.declined_at.filter(|at| *at >= report.taken);
+        self.declined_at = self.declined_at.filter(|at| *at >= report.measured_at);
         self.reported = report.figures;
         while let Some((at, delta)) = self.events.front().copied() {
-            if at > report.taken {
+            if at > report.measured_at {
                 break;
             }
-            self.since.add(delta.negated());
+            self.own_since_report.add(delta.negated());
             self.events.pop_front();
         }
         true
@@ -131,7 +132,7 @@
     /// Applies a load change caused by an own request.
     pub(crate) fn apply(&mut self, now: MonotonicTime, delta: LoadDelta) {
         self.own.add(delta);
-        self.since.add(delta);
+        self.own_since_report.add(delta);
         self.events.push_back((now, delta));
         if self.events.len() > MAX_EVENTS {
             self.merge_oldest();
@@ -140,12 +141,16 @@
 
     /// Estimates the current load. The load of own requests is the lower bound, since these are
     /// known to be on the engine.
-    pub(crate) fn estimate(&self) -> LoadFigures {
-        let prefill = add(self.reported.prefill.0, self.since.prefill).max(count(self.own.prefill));
-        let sequences = add(u64::from(self.reported.sequences), self.since.sequences)
-            .max(count(self.own.sequences));
-        let kv = add(self.reported.kv.0, self.since.kv).max(count(self.own.kv));
-        LoadFigures {
+    pub(crate) fn estimate(&self) -> LoadValues {
+        let prefill = add(self.reported.prefill.0, self.own_since_report.prefill)
+            .max(count(self.own.prefill));
+        let sequences = add(
+            u64::from(self.reported.sequences),
+            self.own_since_report.sequences,
+        )
+        .max(count(self.own.sequences));
+        let kv = add(self.reported.kv.0, self.own_since_report.kv).max(count(self.own.kv));
+        LoadValues {
             prefill: TokenCount(prefill),
             sequences: u32::try_from(sequences).unwrap_or(u32::MAX),
             kv: TokenCount(kv),
--- a/crates/coordination/src/routing/planner.rs
+++ b/crates/coordination/src/routing/planner.rs
@@ -10,8 +10,8 @@
 use super::fleet::{EngineKey, FleetTable, GraphKey, UpsertOutcome};
 use super::flight::{FlightKey, FlightTable};
 use super::graph::LayerGraph;
-use super::link::LinkFigures;
-use super::load::{LoadFigures, LoadReport};
+use super::link::LinkProperties;
+use super::load::{LoadReport, LoadValues};
 use super::outliers::{EngineOutliers, PeerClass};
 use super::plan::{NoRoute, RoutePlan, RouteQuery};
 use super::policy::RoutePolicy;
@@ -45,7 +45,7 @@
     fn remove(&mut self, server: &ServerName) -> bool;
 
     /// Sets the figures of the link between two data centres, for both directions.
-    fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkFigures);
+    fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkProperties);
 
     /// Ends expired ejections and refreshes the flow weights if the flow interval has passed.
     fn tick(&mut self, now: MonotonicTime);
@@ -103,7 +103,7 @@
     /// Latest announcement of the engine.
     pub announcement: EngineAnnouncement,
     /// Estimated current load.
-    pub load: LoadFigures,
+    pub load: LoadValues,
     /// Running requests that this planner sent to the engine.
     pub own_sequences: u64,
     /// Whether the engine is ejected because of failures.
@@ -260,7 +260,7 @@
         true
     }
 
-    fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkFigures) {
+    fn set_link(&mut self, one: &DataCentreName, other: &DataCentreName, figures: LinkProperties) {
         self.fleet.set_link(one, other, figures);
     }
 
--- a/crates/coordination/src/routing/search.rs
+++ b/crates/coordination/src/routing/search.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use super::bound::ENTRY;
+use super::bound::BEFORE_FIRST_STAGE;
 use super::fleet::EngineKey;
 use super::plan::{NoRouteReason, RejectCounts, RejectReason};
 use super::settings::ChainScope;
@@ -39,7 +39,10 @@
     let is_local = context.settings.chain_scope == ChainScope::WithinDataCentre;
     WalkPoint {
         layer: 0,
-        data_centre: context.within.filter(|_| is_local).unwrap_or(ENTRY),
+        data_centre: context
+            .within
+            .filter(|_| is_local)
+            .unwrap_or(BEFORE_FIRST_STAGE),
         link_rate: None,
     }
 }
--- a/crates/coordination/src/routing/settings.rs
+++ b/crates/coordination/src/routing/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::link::LinkFigures;
+use super::link::LinkProperties;
 use super::policy::PolicyKind;
 use super::unit::ByteRate;
 use crate::retries::{OutlierSettings, SlowStartSettings};
@@ -65,7 +65,7 @@
     /// Share of each engine's KV cache that is reserved for urgent requests, in percent.
     pub urgent_reserve_percent: u32,
     /// Link between two data centres without their own setting.
-    pub default_link: LinkFigures,
+    pub default_link: LinkProperties,
     /// One-way latency between engines in the same data centre.
     pub local_latency: Duration,
     /// Maximum number of cached prefixes tracked per engine.
@@ -86,7 +86,7 @@
             workload: WorkloadMix::default(),
             kv_headroom_percent: 5,
             urgent_reserve_percent: 5,
-            default_link: LinkFigures {
+            default_link: LinkProperties {
                 rate: ByteRate(125_000_000),
                 latency: Duration::from_micros(500),
             },
--- a/crates/coordination/src/routing/survey.rs
+++ b/crates/coordination/src/routing/survey.rs
@@ -49,7 +49,7 @@
     /// Its state; `None` if it did not answer.
     pub load: Option<EngineLoad>,
     /// When the engine answered, or when its answer was due.
-    pub taken: MonotonicTime,
+    pub measured_at: MonotonicTime,
     /// Number of consecutive results without an answer.
     pub missed: u32,
 }
@@ -65,9 +65,9 @@
     /// than `MAX_AGE` are removed.
     pub fn merge(&mut self, now: MonotonicTime, results: Vec<SurveyResult>) {
         for result in results {
-            let taken = now.before(result.age);
+            let measured_at = now.before(result.age);
             let stored = self.engines.get(&result.server);
-            if stored.is_some_and(|stored| stored.taken >= taken) {
+            if stored.is_some_and(|stored| stored.measured_at >= measured_at) {
                 continue;
             }
             let missed = match (result.load, stored) {
@@ -80,13 +80,13 @@
             let surveyed = SurveyedEngine {
                 incarnation: result.incarnation,
                 load: result.load,
-                taken,
+                measured_at,
                 missed,
             };
             self.engines.insert(result.server, surveyed);
         }
         self.engines
-            .retain(|_, engine| now.since(engine.taken) < MAX_AGE);
+            .retain(|_, engine| now.since(engine.measured_at) < MAX_AGE);
     }
 
     /// Returns the result for this incarnation of an engine, if it is still valid at `now`.
@@ -97,7 +97,7 @@
         incarnation: Incarnation,
     ) -> Option<SurveyedEngine> {
         let engine = self.engines.get(server)?;
-        let is_valid = engine.incarnation == incarnation && now.since(engine.taken) < MAX_AGE;
+        let is_valid = engine.incarnation == incarnation && now.since(engine.measured_at) < MAX_AGE;
         is_valid.then_some(*engine)
     }
 }
--- a/crates/coordination/src/routing/view.rs
+++ b/crates/coordination/src/routing/view.rs
@@ -248,7 +248,7 @@
 
     /// Returns the engine at `index` in `0..len`.
     pub(crate) fn member(&self, index: u32) -> Option<EngineKey> {
-        let cumulative = &self.boundary.cumulative;
+        let cumulative = &self.boundary.cumulative_members;
         let position = cumulative.partition_point(|end| *end <= index);
         let group_key = *self.boundary.groups.get(position)?;
         let group = self.context.graph.groups.get(group_key)?;
@@ -284,7 +284,7 @@
         };
         let total = Some(row.total()).filter(|total| *total > 0.0)?;
         let threshold = self.rng.random_range(0.0..total);
-        let position = row.ends.partition_point(|end| *end <= threshold);
+        let position = row.cumulative_flow.partition_point(|end| *end <= threshold);
         self.sample_member(*row.groups.get(position)?)
     }
 
--- a/crates/coordination/tests/outer_encodings/status.rs
+++ b/crates/coordination/tests/outer_encodings/status.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use pollendrift_coordination::agreement::{
-    AgreementDump, MessageDropReason, KeeperRole, LeadershipDump, LogIndex, PeerDump, RedundancyGap,
-    RedundancyReport, RoleStatus, Term,
+    AgreementDump, KeeperRole, LeadershipDump, LogIndex, MessageDropReason, PeerDump,
+    RedundancyGap, RedundancyReport, RoleStatus, Term,
 };
 use pollendrift_coordination::base::{Incarnation, MonotonicTime};
 use pollendrift_coordination::evidence::{BufferStatus, ChainHead, ChainWriter, EvidenceDigest};
 use pollendrift_coordination::leases::{BackendLeaseSettings, LeaseTable, ServerState};
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineDump, EngineRole, LoadFigures, PolicyKind, RoutingDump,
+    ByteRate, EngineAnnouncement, EngineDump, EngineRole, LoadValues, PolicyKind, RoutingDump,
     RoutingSettings, TokenCount, TokenRate,
 };
 
@@ -172,7 +172,7 @@
             activation_bytes: 10,
             kv_bytes: 11,
         },
-        load: LoadFigures {
+        load: LoadValues {
             prefill: TokenCount(400),
             sequences: 2,
             kv: TokenCount(500),
--- a/crates/coordination/tests/routing_contract/load.rs
+++ b/crates/coordination/tests/routing_contract/load.rs
@@ -6,8 +6,8 @@
 use pollendrift_coordination::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 use pollendrift_coordination::retries::SlowStartSettings;
 use pollendrift_coordination::routing::{
-    ByteRate, CacheChange, CacheEvent, CacheOutcome, EngineRole, FleetPlanner, LoadFigures,
-    LoadReport, PolicyKind, PrefixDigest, PromptPrefix, RoutePlanner, RoutingSettings, TokenRate,
+    ByteRate, CacheChange, CacheEvent, CacheOutcome, EngineRole, FleetPlanner, LoadReport,
+    LoadValues, PolicyKind, PrefixDigest, PromptPrefix, RoutePlanner, RoutingSettings, TokenRate,
 };
 
 // Guards against routing prompts to an engine for a cached prefix that it has evicted. `b` stores
@@ -100,14 +100,14 @@
 #[test]
 fn own_requests_add_to_the_load_of_delayed_reports() {
     let mut planner = planner(vec![engine("a", 0, 32), engine("b", 0, 32)]);
-    let report = |sequence, taken, sequences| LoadReport {
+    let report = |sequence, measured_at, sequences| LoadReport {
         server: ServerName::from("a"),
         incarnation: Incarnation(1),
         sequence: SequenceNumber(sequence),
-        taken,
-        figures: LoadFigures {
+        measured_at,
+        figures: LoadValues {
             sequences,
-            ..LoadFigures::default()
+            ..LoadValues::default()
         },
     };
     let mut flights = Vec::new();
@@ -197,12 +197,12 @@
 #[test]
 fn an_engine_that_declined_is_avoided_while_another_can_serve() {
     let after = |millis: u64| MonotonicTime::from_millis(60_000 + millis);
-    let report = |taken| LoadReport {
+    let report = |measured_at| LoadReport {
         server: ServerName::from("a"),
         incarnation: Incarnation(1),
         sequence: SequenceNumber(1),
-        taken,
-        figures: LoadFigures::default(),
+        measured_at,
+        figures: LoadValues::default(),
     };
     let both = || vec![engine("a", 0, 32), engine("b", 0, 32)];
     let cases = [
--- a/crates/coordination/tests/routing_contract/routes.rs
+++ b/crates/coordination/tests/routing_contract/routes.rs
@@ -9,8 +9,8 @@
 use pollendrift_coordination::ledger::check_chain;
 use pollendrift_coordination::retries::OutlierSettings;
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineRecord, FleetPlanner, LinkFigures, LoadFigures, LoadReport,
-    PolicyKind, RoutePlanner, RoutePriority, RoutingSettings, TokenCount,
+    ByteRate, EngineAnnouncement, EngineRecord, FleetPlanner, LinkProperties, LoadReport,
+    LoadValues, PolicyKind, RoutePlanner, RoutePriority, RoutingSettings, TokenCount,
 };
 use proptest::prelude::{ProptestConfig, prop, proptest};
 use std::time::Duration;
@@ -74,10 +74,10 @@
             server: ServerName::from("a"),
             incarnation: Incarnation(1),
             sequence: SequenceNumber(1),
-            taken: LATER,
-            figures: LoadFigures {
+            measured_at: LATER,
+            figures: LoadValues {
                 kv: TokenCount(kv),
-                ..LoadFigures::default()
+                ..LoadValues::default()
             },
         };
         let mut planner = planner(vec![engine("a", 0, 32)]);
@@ -210,7 +210,7 @@
     let mut planner = planner(vec![engine("a", 0, 16), remote("b"), remote("c")]);
     let (model, version) = (ModelName::from("m"), VersionName::from("v1"));
     let fast_link = planner.bound(&model, None, &version);
-    let figures = LinkFigures {
+    let figures = LinkProperties {
         rate: ByteRate(1_000_000),
         latency: Duration::from_millis(1),
     };
--- a/crates/daemon/src/fleet/announcement.rs
+++ b/crates/daemon/src/fleet/announcement.rs
@@ -10,7 +10,7 @@
 use pollendrift_coordination::configuration::ServerFacts;
 use pollendrift_coordination::leases::{AnnouncedLoad, ServerAnnounce, ServerState};
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineRole, LoadFigures, LoadReport, TokenCount, TokenRate,
+    ByteRate, EngineAnnouncement, EngineRole, LoadReport, LoadValues, TokenCount, TokenRate,
 };
 
 use super::{AnnounceError, ServerView};
@@ -182,14 +182,14 @@
 }
 
 /// What the planner is told of an engine's load.
-pub(super) fn load_report(announce: &ServerAnnounce, taken: MonotonicTime) -> LoadReport {
+pub(super) fn load_report(announce: &ServerAnnounce, measured_at: MonotonicTime) -> LoadReport {
     let load = &announce.load;
     LoadReport {
         server: announce.server.clone(),
         incarnation: announce.incarnation,
         sequence: announce.sequence,
-        taken,
-        figures: LoadFigures {
+        measured_at,
+        figures: LoadValues {
             prefill: TokenCount(load.prefill_tokens),
             sequences: load.running.saturating_add(load.queued),
             kv: TokenCount(load.kv_used_tokens),
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -18,7 +18,7 @@
 use pollendrift_coordination::routes::{RouteTable, SpecGeneration, SpecGenerations};
 use pollendrift_coordination::routing::{
     ByteRate, DegradedLinks, DegradedSettings, EngineFilter, EngineRecord, FleetPlanner, FlightKey,
-    LinkFigures, LoadFigures, LoadReport, NoRoute, NoRouteReason, RoutePlan, RoutePlanner,
+    LinkProperties, LoadReport, LoadValues, NoRoute, NoRouteReason, RoutePlan, RoutePlanner,
     RoutePriority, RouteQuery, RoutingSettings, SurveyedEngine, TokenCount, is_complete_chain,
 };
 use pollendrift_dialect::StageHop;
@@ -212,9 +212,9 @@
         self.planner.report(&LoadReport {
             server: worker.server.clone(),
             incarnation: worker.incarnation,
-            sequence: SequenceNumber(surveyed.taken.as_micros()),
-            taken: surveyed.taken.before(REPORT_LAG),
-            figures: LoadFigures {
+            sequence: SequenceNumber(surveyed.measured_at.as_micros()),
+            measured_at: surveyed.measured_at.before(REPORT_LAG),
+            figures: LoadValues {
                 prefill: TokenCount(u64::from(load.waiting) * WAITING_TOKENS),
                 sequences: load.running.saturating_add(load.waiting),
                 kv: TokenCount(load.kv_tokens),
@@ -230,7 +230,7 @@
             return;
         };
         let centres: BTreeSet<&DataCentreName> = workers.iter().map(|w| &w.data_centre).collect();
-        let figures = LinkFigures {
+        let figures = LinkProperties {
             rate: ByteRate((rate * MEGABIT) as u64),
             latency: RoutingSettings::default().default_link.latency,
         };
--- a/crates/daemon/src/relay/chains/refresh.rs
+++ b/crates/daemon/src/relay/chains/refresh.rs
@@ -45,7 +45,9 @@
         let surveyed = worker.and_then(|worker| context.fleet.surveyed(now, worker));
         let answered = surveyed.filter(|surveyed| surveyed.load.is_some());
         if let Some(answered) = answered {
-            context.health().cleared_by_peer(&server, answered.taken);
+            context
+                .health()
+                .cleared_by_peer(&server, answered.measured_at);
         }
     }
 }
--- a/crates/standins/examples/policies/experiment.rs
+++ b/crates/standins/examples/policies/experiment.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use pollendrift_coordination::base::{Incarnation, ModelName, MonotonicTime, SequenceNumber};
 use pollendrift_coordination::routing::{
-    EngineAnnouncement, FleetPlanner, FlightKey, LoadFigures, LoadReport, PermitAll, PolicyKind,
+    EngineAnnouncement, FleetPlanner, FlightKey, LoadReport, LoadValues, PermitAll, PolicyKind,
     RoutePlan, RoutePlanner, RoutePriority, RouteQuery, RoutingSettings, WorkloadMix,
 };
 use rand::{RngExt, SeedableRng};
@@ -46,8 +46,8 @@
     pub(crate) is_busy: bool,
     pub(crate) is_dead: bool,
     pub(crate) link_free: u64,
-    pub(crate) figures: LoadFigures,
-    reports: VecDeque<(u64, LoadFigures)>,
+    pub(crate) figures: LoadValues,
+    reports: VecDeque<(u64, LoadValues)>,
     /// Microseconds of measured steps.
     pub(crate) worked: u64,
     /// Microseconds of that without the floor of a step.
@@ -417,7 +417,7 @@
                 server: self.announced[index].server.clone(),
                 incarnation: Incarnation(1),
                 sequence: SequenceNumber(taken),
-                taken: MonotonicTime::from_micros(taken),
+                measured_at: MonotonicTime::from_micros(taken),
                 figures,
             };
             for planner in &mut self.planners {
--- a/crates/standins/examples/policies/fleet.rs
+++ b/crates/standins/examples/policies/fleet.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::base::{Incarnation, LayerRange, MonotonicTime, SequenceNumber};
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineRole, FleetPlanner, LinkFigures, RoutePlanner,
+    ByteRate, EngineAnnouncement, EngineRole, FleetPlanner, LinkProperties, RoutePlanner,
     RoutingSettings, TokenCount, TokenRate,
 };
 
@@ -89,8 +89,8 @@
 }
 
 /// Links between the data centres, both ways.
-pub(crate) fn links() -> [(&'static str, &'static str, LinkFigures); 3] {
-    let link = |rate, micros| LinkFigures {
+pub(crate) fn links() -> [(&'static str, &'static str, LinkProperties); 3] {
+    let link = |rate, micros| LinkProperties {
         rate: ByteRate(rate),
         latency: Duration::from_micros(micros),
     };
