--- a/crates/coordination/src/agreement/dump.rs
+++ b/crates/coordination/src/agreement/dump.rs
@@ -85,7 +85,7 @@
             commit_index: self.commit,
             durable_index: self.writes.durable_index(),
             last_index: self.log.last_index(),
-            held_actions: self.writes.held_len(),
+            held_actions: self.writes.pending_len(),
             leadership: self.dump_leadership(),
         }
     }
--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -11,7 +11,7 @@
 use super::leader::LeaderState;
 use super::message::{AgreementMessage, VoteKind, VoteReply, VoteRequest};
 use super::node::{AgreementNode, RoleState};
-use super::persist::HeldAction;
+use super::persist::PendingAction;
 
 /// Replies that a candidate received.
 ///
@@ -54,7 +54,7 @@
         self.reset_retry_timer();
         self.role = RoleState::Candidate(VoteCount::default());
         self.request_votes(kind, self.term());
-        self.after_persist(HeldAction::CountOwnVote(self.term()));
+        self.after_persist(PendingAction::CountOwnVote(self.term()));
     }
 
     fn request_votes(&mut self, kind: VoteKind, term: Term) {
--- a/crates/coordination/src/agreement/node.rs
+++ b/crates/coordination/src/agreement/node.rs
@@ -14,7 +14,7 @@
 use super::leader::LeaderState;
 use super::log::ReplicatedLog;
 use super::message::{AgreementEnvelope, AgreementMessage, ProcessStart};
-use super::persist::{HeldAction, PersistQueue};
+use super::persist::{PendingAction, PersistQueue};
 use super::settings::AgreementSettings;
 use super::snapshot_transfer::SnapshotAssembly;
 use crate::base::MonotonicTime;
@@ -263,7 +263,7 @@
 
     pub(super) fn send_after_persist(&mut self, to: KeeperId, message: AgreementMessage) {
         let envelope = self.envelope(to, message);
-        self.after_persist(HeldAction::Send(envelope));
+        self.after_persist(PendingAction::Send(envelope));
     }
 
     pub(super) fn is_voter(&self) -> bool {
--- a/crates/coordination/src/agreement/persist.rs
+++ b/crates/coordination/src/agreement/persist.rs
@@ -18,7 +18,7 @@
 
 /// Action that waits until a persist request is synced.
 #[derive(Debug)]
-pub(super) enum HeldAction {
+pub(super) enum PendingAction {
     /// Send a message.
     Send(AgreementEnvelope),
     /// Count this keeper's vote for itself.
@@ -43,7 +43,7 @@
     /// Index of the last entry that the outstanding request makes durable.
     outstanding_index: LogIndex,
     durable_index: LogIndex,
-    held: VecDeque<(PersistSequence, HeldAction)>,
+    pending: VecDeque<(PersistSequence, PendingAction)>,
 }
 
 impl PersistQueue {
@@ -92,11 +92,11 @@
     }
 
     fn is_full(&self) -> bool {
-        self.held.len() >= MAX_HELD_MESSAGES
+        self.pending.len() >= MAX_HELD_MESSAGES
     }
 
-    pub(super) fn held_len(&self) -> usize {
-        self.held.len()
+    pub(super) fn pending_len(&self) -> usize {
+        self.pending.len()
     }
 
     fn is_dirty(&self, log: &ReplicatedLog) -> bool {
@@ -135,7 +135,7 @@
     }
 
     /// Records a completed sync and returns the actions that waited for it.
-    fn finish(&mut self, sequence: PersistSequence) -> Vec<HeldAction> {
+    fn finish(&mut self, sequence: PersistSequence) -> Vec<PendingAction> {
         if !self.outstanding || sequence != self.issued {
             return Vec::new();
         }
@@ -143,11 +143,11 @@
         self.durable_index = self.outstanding_index;
         let mut released = Vec::new();
         while self
-            .held
+            .pending
             .front()
             .is_some_and(|(required_sync, _)| *required_sync <= self.issued)
         {
-            if let Some((_, action)) = self.held.pop_front() {
+            if let Some((_, action)) = self.pending.pop_front() {
                 released.push(action);
             }
         }
@@ -157,10 +157,10 @@
 
 impl AgreementNode {
     /// Performs `action` once all current state is synced; at once if it already is.
-    pub(super) fn after_persist(&mut self, action: HeldAction) {
+    pub(super) fn after_persist(&mut self, action: PendingAction) {
         match self.writes.required_sync(&self.log) {
-            Some(_) if self.writes.is_full() && matches!(action, HeldAction::Send(_)) => {}
-            Some(sequence) => self.writes.held.push_back((sequence, action)),
+            Some(_) if self.writes.is_full() && matches!(action, PendingAction::Send(_)) => {}
+            Some(sequence) => self.writes.pending.push_back((sequence, action)),
             None => self.perform(action),
         }
     }
@@ -179,11 +179,11 @@
         }
     }
 
-    fn perform(&mut self, action: HeldAction) {
+    fn perform(&mut self, action: PendingAction) {
         match action {
-            HeldAction::Send(envelope) => self.effects.push(AgreementEffect::Send(envelope)),
-            HeldAction::CountOwnVote(term) => self.count_own_vote(term),
-            HeldAction::Install(snapshot) => {
+            PendingAction::Send(envelope) => self.effects.push(AgreementEffect::Send(envelope)),
+            PendingAction::CountOwnVote(term) => self.count_own_vote(term),
+            PendingAction::Install(snapshot) => {
                 self.installs_pending = self.installs_pending.saturating_sub(1);
                 self.effects
                     .push(AgreementEffect::InstallSnapshot(snapshot));
--- a/crates/coordination/src/agreement/snapshot_transfer.rs
+++ b/crates/coordination/src/agreement/snapshot_transfer.rs
@@ -6,7 +6,7 @@
 use super::interface::{AgreementEffect, MessageDropReason, StoredSnapshot};
 use super::message::{AgreementMessage, SnapshotChunk, SnapshotOutcome, SnapshotReply};
 use super::node::{AgreementNode, RoleState};
-use super::persist::HeldAction;
+use super::persist::PendingAction;
 use super::progress::{PeerProgress, SendMode};
 use super::settings::AgreementSettings;
 
@@ -143,7 +143,7 @@
         self.commit = index;
         self.delivered = index;
         self.installs_pending = self.installs_pending.saturating_add(1);
-        self.after_persist(HeldAction::Install(snapshot));
+        self.after_persist(PendingAction::Install(snapshot));
     }
 
     /// Handles the receiver's reply: continues with the next chunk, or returns to sending entries.
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct LeaseTable {
     settings: BackendLeaseSettings,
-    /// Distinguishes this table from the table of an earlier process of the same host.
+    /// Distinguishes this table from the table of a former process of the same host.
     incarnation: Incarnation,
     leases: SlotMap<LeaseKey, ServerLease>,
     by_name: BTreeMap<ServerName, LeaseKey>,
@@ -70,7 +70,7 @@
     }
 
     /// Creates a table without leases whose batches carry `incarnation`, so that receivers can
-    /// distinguish its lease numbers from those of an earlier process of this host.
+    /// distinguish its lease numbers from those of a former process of this host.
     pub fn with_incarnation(settings: BackendLeaseSettings, incarnation: Incarnation) -> Self {
         Self {
             settings,
--- a/crates/coordination/src/leases/subset.rs
+++ b/crates/coordination/src/leases/subset.rs
@@ -1,4 +1,4 @@
-//! Assignment of backend servers to entries, for a fleet in which an entry cannot work with every
+//! Assignment of backend servers to entries, for a fleet in which an entry cannot use every
 //! server.
 //!
 //! With rendezvous hashing every host computes the same result from the same list of hosts, a host
@@ -74,7 +74,7 @@
     selected.take(settings.entries_per_server).collect()
 }
 
-/// Whether `host` works with `server`.
+/// Whether `host` sends requests to `server`.
 pub fn may_use_server(
     settings: &SubsetSettings,
     host: &HostName,
@@ -175,7 +175,7 @@
     }
 
     // Guards against a small installation in which a server has only a few entries, although every
-    // host can work with all servers.
+    // host can use all servers.
     #[test]
     fn few_hosts_work_with_every_server() {
         let settings = SubsetSettings::default();
--- a/crates/coordination/src/placement/coverage.rs
+++ b/crates/coordination/src/placement/coverage.rs
@@ -2,7 +2,7 @@
 
 use crate::base::LayerRange;
 
-/// Rate in tokens per second, and number of holders, by layer.
+/// Rate in tokens per second, and number of engines with the layer.
 #[derive(Clone, Debug)]
 pub(crate) struct LayerCoverage {
     rates: Vec<f64>,
@@ -10,7 +10,7 @@
 }
 
 impl LayerCoverage {
-    /// Creates a coverage of `layers` layers, all without holders.
+    /// Creates a coverage of `layers` layers, none of them on an engine.
     pub(crate) fn new(layers: u32) -> Self {
         let count = layers as usize;
         Self {
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Whether every layer has a holder, so that a complete pipeline exists.
+    /// Whether every layer is on an engine, so that a complete pipeline exists.
     pub(crate) fn is_complete(&self) -> bool {
         self.first_missing(0).is_none()
     }
 
-    /// First layer at or after `from` without a holder.
+    /// First layer at or after `from` that no engine has.
     pub(crate) fn first_missing(&self, from: u32) -> Option<u32> {
         let position = self
             .holders
@@ -50,7 +50,7 @@
         u32::try_from(position).ok().map(|offset| from + offset)
     }
 
-    /// Range of consecutive layers without a holder that starts at `missing`, in a model of
+    /// Range from `missing` on of consecutive layers that no engine has, in a model of
     /// `layers` layers.
     pub(crate) fn find_gap(&self, missing: u32, layers: u32) -> LayerRange {
         let mut end = missing + 1;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether every layer of `layers` has more than one holder.
+    /// Whether every layer of `layers` is on more than one engine.
     pub(crate) fn is_redundant(&self, layers: LayerRange) -> bool {
         self.span(layers).all(|layer| self.holders[layer] > 1)
     }
--- a/crates/coordination/src/placement/layout.rs
+++ b/crates/coordination/src/placement/layout.rs
@@ -1,15 +1,15 @@
 //! Plans a layout from scratch: assigns layers to engines for the highest throughput of drafts.
 //!
-//! The step rate alone does not determine the throughput of a chain. By Little's law it is the
+//! The step rate alone does not determine the throughput of a pipeline. By Little's law it is the
 //! number of drafts that fit in the KV memory of the layer with the least KV memory, divided by the
 //! time for which each draft holds that memory. An additional layer on an engine takes memory from
 //! all of its drafts, and a slow engine makes drafts hold the memory of all other engines for
 //! longer. The planner therefore divides the engines into rows, the fastest first. Each row is a
 //! complete copy of the layers, and each engine holds as many layers as leave it a given number of
-//! tokens. Few layers per engine yield long chains with much KV memory but no spare engines; many
-//! layers per engine yield short fast chains with little KV memory, and second copies. The planner
-//! tries every number of tokens at which some engine would hold one layer more or less, and selects
-//! the layout with the highest throughput, reduced for missing second copies.
+//! tokens. Few layers per engine yield long pipelines with much KV memory but no spare engines;
+//! many layers per engine yield short fast pipelines with little KV memory, and second copies. The
+//! planner tries every number of tokens at which some engine would hold one layer more or less, and
+//! selects the layout with the highest throughput, reduced for missing second copies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,8 +20,8 @@
 
 /// Share of a layout's throughput that is subtracted if no layer has a second copy.
 ///
-/// If each layer has a single holder, any loss aborts every draft of the data centre and leaves it
-/// without a chain for several seconds, until the layers are loaded again. More copies reduce
+/// If each layer is on a single engine, any loss aborts every draft of the data centre and leaves
+/// it without a pipeline for several seconds, until the layers are loaded again. More copies reduce
 /// throughput a little in normal operation, and keep serving through a loss.
 const MISSING_COPY_PENALTY: f64 = 0.5;
 
--- a/crates/coordination/src/placement/memory.rs
+++ b/crates/coordination/src/placement/memory.rs
@@ -1,4 +1,4 @@
-//! Restores layers of engines that report their memory: the fastest way to a complete chain with
+//! Restores layers of engines that report their memory: the fastest way to a complete pipeline with
 //! sufficient KV memory.
 
 use super::engine::{PlacedEngine, PlacedKey, PlacementTarget};
@@ -10,15 +10,15 @@
 use crate::base::{LayerRange, MonotonicTime};
 
 /// Divisors of the layout's reserved KV memory for a repair, tried in order. Engines that take over
-/// layers of a lost engine must keep at least the reserved memory divided by this number. A chain
-/// with a quarter of the KV memory serves requests; a chain with a missing layer does not, and a
-/// new layout of all engines aborts their running requests.
+/// layers of a lost engine must keep at least the reserved memory divided by this number. A
+/// pipeline with a quarter of the KV memory serves requests; a pipeline with a missing layer does
+/// not, and a new layout of all engines aborts their running requests.
 const REPAIR_DIVISORS: [u64; 2] = [2, 4];
 
 impl PlacementTable {
     /// Orders the loads that complete a target again: on spare engines; otherwise additional layers
     /// on engines next to the gap; otherwise a new layout of all engines, since a data centre
-    /// without a complete chain cannot serve in any case.
+    /// without a complete pipeline cannot serve in any case.
     pub(super) fn restore_by_memory(
         &mut self,
         now: MonotonicTime,
--- a/crates/coordination/src/placement/order.rs
+++ b/crates/coordination/src/placement/order.rs
@@ -9,8 +9,8 @@
 /// The order right for engines, as this process holds it: the right to give orders to them, granted
 /// by the agreement group (see [`crate::replicated`]).
 ///
-/// Invariant, enforced by the agreement group: there is one holder at a time, and each new holder
-/// has a higher fencing number than the previous one.
+/// Invariant, enforced by the agreement group: there is one right holder at a time, and each new
+/// one has a higher fencing number than the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRight {
     /// Fencing number of the orders.
@@ -69,7 +69,7 @@
         /// End of the wait.
         until: MonotonicTime,
     },
-    /// Orders of the previous holder may still reach engines that ignore fencing numbers.
+    /// Orders of the previous right holder may still reach engines that ignore fencing numbers.
     #[display("{server} ignores fencing numbers, waiting until {until}")]
     Unfenced {
         /// Name of the engine.
--- a/crates/coordination/src/placement/restore.rs
+++ b/crates/coordination/src/placement/restore.rs
@@ -23,8 +23,8 @@
 
 /// Returns the loads that complete `coverage`.
 ///
-/// The walk skips layers that have a holder. At each missing layer it starts the spare engine with
-/// the largest capacity. An engine that reaches a later layer is never worse, because it also
+/// The walk skips layers that are on an engine. At each missing layer it starts the spare engine
+/// with the largest capacity. An engine that reaches a later layer is never worse, because it also
 /// covers every layer in between; taking the largest engines first therefore needs the fewest
 /// loads. A smaller engine is used if it also closes the gap.
 ///
--- a/crates/coordination/src/placement/spares.rs
+++ b/crates/coordination/src/placement/spares.rs
@@ -130,8 +130,8 @@
     }
 
     /// Whether an order to the engine is safe. Engines that check fencing numbers reject orders of
-    /// the previous holder. The others accept them until its right expires, so this process waits
-    /// for longer than that first.
+    /// the previous right holder. The others accept them until its right expires, so this process
+    /// waits for longer than that first.
     fn can_order_safely(
         &self,
         now: MonotonicTime,
--- a/crates/coordination/src/replicated/command.rs
+++ b/crates/coordination/src/replicated/command.rs
@@ -26,7 +26,7 @@
     RecordEvidence(EvidenceBatch),
     /// Requests the right to give orders to a backend server.
     GrantOrderRight(GrantOrderRight),
-    /// Assigns an incarnation to a host's new process and ends the host's earlier incarnations.
+    /// Assigns an incarnation to a host's new process and ends the host's former incarnations.
     StartHost(StartHost),
     /// Ends a host's process; its claims in progress become unknown.
     EndHost {
--- a/crates/coordination/src/replicated/order_right.rs
+++ b/crates/coordination/src/replicated/order_right.rs
@@ -1,4 +1,5 @@
-//! Rights to give orders to backend servers, each with one holder and an increasing number.
+//! Order rights: rights to give orders to backend servers, each with one holder and an increasing
+//! number. Placement uses the order right for engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -154,7 +154,7 @@
         decision.answer
     }
 
-    /// Starts a host's process; claims that its earlier incarnations have in progress become
+    /// Starts a host's process; claims that its former incarnations have in progress become
     /// unknown.
     fn start(&mut self, start: &StartHost, now: ReplicatedTime) -> Incarnation {
         let incarnation = self.tables.incarnations.start(start);
--- a/crates/coordination/src/retries/outlier.rs
+++ b/crates/coordination/src/retries/outlier.rs
@@ -12,7 +12,7 @@
 /// A current ejection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Ejection<C> {
-    /// Class of peers among which the share of ejected servers is limited.
+    /// Class of servers among which the share of ejected servers is limited.
     pub class: C,
     /// End of the ejection.
     pub until: MonotonicTime,
@@ -28,10 +28,10 @@
     last_until: MonotonicTime,
 }
 
-/// Failures and ejections of backend servers with keys `K`, grouped in classes `C` of peers.
+/// Failures and ejections of backend servers with keys `K`, grouped in classes `C`.
 ///
 /// Invariant: when an ejection begins, the current ejections within its class do not exceed the
-/// share of its peers that the settings allow, so at least one peer always remains.
+/// share of the class that the settings allow, so at least one class member always remains.
 #[derive(Clone, Debug)]
 pub struct OutlierTable<K, C>
 where
--- a/crates/coordination/src/routing/bound.rs
+++ b/crates/coordination/src/routing/bound.rs
@@ -389,18 +389,18 @@
 /// divides its compute freely between its layers.
 ///
 /// Bisects the rate. A rate is feasible if a flow from the groups to the layer segments between
-/// consecutive range bounds meets the demand of every segment.
+/// consecutive range boundaries meets the demand of every segment.
 fn find_compute_bound(fleet: &FleetTable, graph: &LayerGraph, mix: &WorkloadMix) -> f64 {
-    let mut range_bounds: Vec<u32> = vec![0, graph.id.layers];
+    let mut range_boundaries: Vec<u32> = vec![0, graph.id.layers];
     for group in graph.groups.values() {
-        range_bounds.extend([group.shape.layers.first, group.shape.layers.end]);
+        range_boundaries.extend([group.shape.layers.first, group.shape.layers.end]);
     }
-    range_bounds.sort_unstable();
-    range_bounds.dedup();
+    range_boundaries.sort_unstable();
+    range_boundaries.dedup();
     let mut network = FlowNetwork::default();
     let source = network.add_node();
     let sink = network.add_node();
-    let segments: Vec<_> = range_bounds
+    let segments: Vec<_> = range_boundaries
         .windows(2)
         .filter_map(|pair| LayerRange::new(pair[0], pair[1]))
         .map(|range| {
--- a/crates/coordination/src/routing/health.rs
+++ b/crates/coordination/src/routing/health.rs
@@ -1,8 +1,8 @@
-//! Finds the failed stage of a silent chain.
+//! Finds the failed stage of a silent pipeline.
 //!
-//! A stage that fails is silent: the first engine of the chain stops sending events and reports
+//! A stage that fails is silent: the first engine of the pipeline stops sending events and reports
 //! nothing about the other engines for seconds. Each engine serves many streams at a time, and an
-//! event of any stream proves that every engine of its chain is alive. An engine without recent
+//! event of any stream proves that every engine of its pipeline is alive. An engine without recent
 //! events is probed, and only an engine that does not answer the probe is suspected. A stream that
 //! is only slow, for example because its request was preempted for lack of memory, is not moved: a
 //! retry would repeat its prefill on engines that are short of memory already.
@@ -58,12 +58,13 @@
     is_unreachable: bool,
 }
 
-/// Diagnosis of the chain of a silent stream.
+/// Diagnosis of the pipeline of a silent stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainVerdict {
     /// Suspected engines; the stream must continue without them.
     pub suspects: Vec<ServerName>,
-    /// Whether one of the suspects is unreachable, so that the chain cannot send any more events.
+    /// Whether one of the suspects is unreachable, so that the pipeline cannot send any more
+    /// events.
     pub is_dead: bool,
     /// Engines to probe now. Each engine is assigned to one requester at a time.
     pub probe: Vec<ServerName>,
@@ -129,7 +130,7 @@
         self.find(server).probe_answers = probe_answers;
     }
 
-    /// Records an event of a stream over `chain`: all engines of the chain are alive.
+    /// Records an event of a stream over `chain`: all engines of the pipeline are alive.
     pub fn mark_alive<'a, C>(&mut self, now: MonotonicTime, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
@@ -164,7 +165,7 @@
         engine.suspected_until = None;
     }
 
-    /// Returns the engines to exclude from new chains.
+    /// Returns the engines to exclude from new pipelines.
     pub fn suspects(&self, now: MonotonicTime) -> Vec<ServerName> {
         let suspects = self
             .engines
@@ -188,8 +189,8 @@
         engine.suspected_until = Some(now.after(suspicion));
     }
 
-    /// Diagnoses the chain of a stream that has been silent since `since`. A silence shorter than
-    /// `silence_timeout` yields an empty verdict.
+    /// Diagnoses the pipeline of a stream that has been silent since `since`. A silence shorter
+    /// than `silence_timeout` yields an empty verdict.
     pub fn diagnose<'a, C>(
         &mut self,
         now: MonotonicTime,
@@ -212,7 +213,7 @@
                 verdict.suspects.push(server.clone());
                 continue;
             }
-            // A slow engine also stalls the streams over the other engines of its chains. These
+            // A slow engine also stalls the streams over the other engines of its pipelines. These
             // answer every probe, so each answer doubles the timeout until the next one.
             let silence_timeout = silence_timeout * (1 << engine.probe_answers.min(MAX_DOUBLINGS));
             let is_quiet = engine
@@ -227,7 +228,7 @@
         verdict
     }
 
-    /// Whether an engine is currently excluded from new chains.
+    /// Whether an engine is currently excluded from new pipelines.
     pub fn is_suspected(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let engine = self.engines.get(server);
         let until = engine.and_then(|engine| engine.suspected_until);
--- a/crates/coordination/src/routing/planner.rs
+++ b/crates/coordination/src/routing/planner.rs
@@ -104,7 +104,7 @@
     pub announcement: EngineAnnouncement,
     /// Estimated current load.
     pub load: LoadValues,
-    /// Running requests that this planner sent to the engine.
+    /// Running own requests on the engine.
     pub own_sequences: u64,
     /// Whether the engine is ejected because of failures.
     pub ejected: bool,
@@ -117,7 +117,7 @@
     pub settings: RoutingSettings,
     /// Engines, sorted by name.
     pub engines: Vec<EngineDump>,
-    /// Running requests of this planner.
+    /// Running own requests.
     pub flights: usize,
 }
 
--- a/crates/coordination/src/routing/prefix.rs
+++ b/crates/coordination/src/routing/prefix.rs
@@ -9,7 +9,7 @@
 use super::fleet::EngineKey;
 use crate::base::{Incarnation, SequenceNumber, ServerName};
 
-/// Limit on the number of engines that the index stores as holders of one prefix.
+/// Limit on the number of engines that the index stores as caching one prefix.
 const MAX_HOLDERS: usize = 16;
 
 /// Sequence number of the first event of an incarnation.
@@ -77,7 +77,7 @@
     digests: HashSet<PrefixDigest>,
 }
 
-/// Cached prefixes by engine, and some holders by prefix.
+/// Cached prefixes by engine, and some of the engines by prefix.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixIndex {
     max_prefixes: usize,
--- a/crates/coordination/src/routing/settings.rs
+++ b/crates/coordination/src/routing/settings.rs
@@ -38,10 +38,11 @@
     /// Engines in any data centres that are connected by links.
     #[default]
     AcrossDataCentres,
-    /// Engines in one data centre, if it has a complete chain. The flow is computed for each data
-    /// centre separately, and only again for data centres that changed. On a host with a tenth of a
-    /// core, one computation for all data centres at once would stall every stream for a quarter of
-    /// a second.
+    /// Engines in one data centre. If it has no complete pipeline, its flow is zero, and engines
+    /// are sampled uniformly instead of by flow. The flow is computed for each data centre
+    /// separately, and only again for data centres that changed. On a host with a tenth of a core,
+    /// one computation for all data centres at once would stall every stream for a quarter of a
+    /// second.
     WithinDataCentre,
 }
 
--- a/crates/coordination/src/routing/survey.rs
+++ b/crates/coordination/src/routing/survey.rs
@@ -1,9 +1,9 @@
 //! Survey results: the state of all engines, probed by one host and shared with the others.
 //!
-//! An entry knows only the load that it causes itself, which is a small part of the load if there
-//! are many entries. Keepers divide the engines among themselves, probe each engine a few times per
-//! second and send the results to all entries. Thus all entries use the same data, and each engine
-//! is probed once rather than once per entry.
+//! An entry (the reverse proxy part of a daemon) knows only the load that it causes itself, which
+//! is a small part of the load if there are many entries. Keepers divide the engines among
+//! themselves, probe each engine a few times per second and send the results to all entries. Thus
+//! all entries use the same data, and each engine is probed once rather than once per entry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
