--- a/crates/coordination/src/agreement/election.rs
+++ b/crates/coordination/src/agreement/election.rs
@@ -11,7 +11,7 @@
 use super::leader::LeaderState;
 use super::message::{AgreementMessage, VoteKind, VoteReply, VoteRequest};
 use super::node::{AgreementNode, RoleState};
-use super::persist::HeldAction;
+use super::persist::PendingAction;
 
 /// Replies that a candidate received.
 ///
@@ -26,8 +26,8 @@
     /// Starts a pre-vote when no heartbeat or append arrived within the election timeout.
     pub(super) fn run_election_timer(&mut self) {
         let is_due = self.now >= self.election_due;
-        let may_campaign = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
-        if is_due && may_campaign && self.is_voter() {
+        let may_start_election = !matches!(self.role, RoleState::Leader(_) | RoleState::Retired);
+        if is_due && may_start_election && self.is_voter() {
             self.start_pre_vote();
         }
     }
@@ -50,11 +50,11 @@
         };
         self.writes.set_hard_state(self.hard_state.clone());
         self.leader = None;
-        self.assembly = None;
+        self.snapshot_assembly = None;
         self.reset_retry_timer();
         self.role = RoleState::Candidate(VoteCount::default());
         self.request_votes(kind, self.term());
-        self.after_persist(HeldAction::CountOwnVote(self.term()));
+        self.after_persist(PendingAction::CountOwnVote(self.term()));
     }
 
     fn request_votes(&mut self, kind: VoteKind, term: Term) {
@@ -204,7 +204,7 @@
                 voted_for: None,
             };
             self.writes.set_hard_state(self.hard_state.clone());
-            self.assembly = None;
+            self.snapshot_assembly = None;
             self.leader = None;
             self.leader_seen_at = None;
         }
--- a/crates/coordination/src/agreement/interface.rs
+++ b/crates/coordination/src/agreement/interface.rs
@@ -87,7 +87,7 @@
 /// One step of a membership change.
 ///
 /// A replacement is `AddLearner` with the new incarnation, then `Promote` once it has caught up;
-/// the leader removes the host's earlier incarnation by itself once the promotion is committed.
+/// the leader removes the host's former incarnation by itself once the promotion is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
     /// Add a keeper that receives the log and doesn't vote.
@@ -170,7 +170,7 @@
         /// Sender of the message.
         from: KeeperId,
         /// Reason for ignoring it.
-        reason: DropReason,
+        reason: MessageDropReason,
     },
 }
 
@@ -311,7 +311,7 @@
 /// Reason for ignoring a message.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum DropReason {
+pub enum MessageDropReason {
     /// Addressed to another keeper or another incarnation.
     #[display("not addressed to this incarnation")]
     OtherReceiver,
--- a/crates/coordination/src/agreement/redundancy.rs
+++ b/crates/coordination/src/agreement/redundancy.rs
@@ -25,7 +25,7 @@
     /// The keeper is a learner that catches up and doesn't vote yet.
     #[display("{_0} is being brought up to date")]
     Learning(KeeperId),
-    /// The keeper is an earlier incarnation of a host and waits to be removed.
+    /// The keeper is a former incarnation of a host and waits to be removed.
     #[display("{_0} waits to be removed")]
     Replaced(KeeperId),
     /// A group of fewer than three voters tolerates no loss.
@@ -41,7 +41,8 @@
     /// Voters in the membership.
     pub voters: usize,
     /// Further voters that can fail now while the group still accepts changes.
-    pub losses_borne: usize,
+    #[serde(rename = "losses_borne")]
+    pub losses_tolerated: usize,
     /// Reasons for incomplete redundancy; empty if it is complete.
     pub gaps: Vec<RedundancyGap>,
 }
@@ -91,7 +92,7 @@
         if membership.voters.len() < MIN_REDUNDANT_VOTERS {
             report.gaps.push(RedundancyGap::TooFewVoters);
         }
-        report.losses_borne = report.current_voters.saturating_sub(membership.quorum());
+        report.losses_tolerated = report.current_voters.saturating_sub(membership.quorum());
         report
     }
 
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -30,8 +30,8 @@
 pub use packed::{LeaseNumber, NumberedRenewal, PackedRenewals, RenewalDecodeError};
 pub use record::{LeaseEvent, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
 pub use settings::BackendLeaseSettings;
-pub use subset::{SubsetHost, SubsetSettings, entries_of, works_with};
-pub use worker::{WorkerLayers, WorkerOffer};
+pub use subset::{SubsetHost, SubsetSettings, entries_of, may_use_server};
+pub use worker::{BackendLayers, BackendOffer};
 
 use batch::NumberMap;
 use record::AnnounceReceipt;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct LeaseTable {
     settings: BackendLeaseSettings,
-    /// Distinguishes this table from the table of an earlier process of the same host.
+    /// Distinguishes this table from the table of a former process of the same host.
     incarnation: Incarnation,
     leases: SlotMap<LeaseKey, ServerLease>,
     by_name: BTreeMap<ServerName, LeaseKey>,
@@ -70,7 +70,7 @@
     }
 
     /// Creates a table without leases whose batches carry `incarnation`, so that receivers can
-    /// distinguish its lease numbers from those of an earlier process of this host.
+    /// distinguish its lease numbers from those of a former process of this host.
     pub fn with_incarnation(settings: BackendLeaseSettings, incarnation: Incarnation) -> Self {
         Self {
             settings,
@@ -101,10 +101,10 @@
             return MergeVerdict::Stale;
         }
         let receipt = AnnounceReceipt {
-            heard_at: now.before(age),
-            // The deadline isn't computed from `heard_at`, because `heard_at` cannot be earlier
-            // than the start of this process: a delta sent before a restart of the receiver would
-            // then renew the lease for its full duration.
+            received_at: now.before(age),
+            // The deadline isn't computed from `received_at`, because `received_at` cannot be
+            // earlier than the start of this process: a delta sent before a restart of the receiver
+            // would then renew the lease for its full duration.
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
@@ -200,9 +200,10 @@
         if !lease.is_older_than(announce.incarnation, announce.sequence) {
             return MergeVerdict::Stale;
         }
-        // When the server's threads race, a heartbeat sent before the leave can arrive after it
-        // with a higher sequence. Accepting it would send work to a server that is shutting down.
-        // Only a new incarnation, which the server takes at its next start, ends a leave.
+        // When the server's threads race, a heartbeat sent before the leaving announcement can
+        // arrive after it with a higher sequence. Accepting it would send work to a server that is
+        // shutting down. Only a new incarnation, which the server takes at its next start, is
+        // accepted after it.
         if lease.announce.state == ServerState::Leaving
             && announce.incarnation == lease.announce.incarnation
         {
@@ -224,13 +225,13 @@
         from: LeaseSource,
     ) -> Option<MergeVerdict> {
         let lease = self.leases.get(key)?;
-        let heard_at = now.before(age);
-        let is_known = heard_at <= lease.heard_at;
+        let received_at = now.before(age);
+        let is_known = received_at <= lease.received_at;
         if is_known || age >= self.settings.lease || lease.announce.incarnation != incarnation {
             return None;
         }
         let receipt = AnnounceReceipt {
-            heard_at,
+            received_at,
             deadline: now.after(self.settings.lease.saturating_sub(age)),
             from,
         };
--- a/crates/coordination/src/placement/order.rs
+++ b/crates/coordination/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! Load orders, the placement right, and the reasons why a tick ordered nothing.
+//! Load orders, the order right of placement, and the reasons why a tick ordered nothing.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,11 @@
 use super::engine::{HeldWeights, WeightsId};
 use crate::base::{FencingNumber, MonotonicTime, ServerName};
 
-/// Right to give orders to engines, granted by the agreement group.
+/// The order right for engines, as this process holds it: the right to give orders to them, granted
+/// by the agreement group (see [`crate::replicated`]).
 ///
-/// Invariant, enforced by the agreement group: there is one holder at a time, and each new holder
-/// has a higher fencing number than the previous one.
+/// Invariant, enforced by the agreement group: there is one right holder at a time, and each new
+/// one has a higher fencing number than the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRight {
     /// Fencing number of the orders.
@@ -45,7 +46,7 @@
 pub struct LoadOrder {
     /// Name of the engine.
     pub server: ServerName,
-    /// Fencing number of the placement right.
+    /// Fencing number of the order right.
     pub fencing: FencingNumber,
     /// End of the right; the sender checks it again before it sends the order.
     pub valid_until: MonotonicTime,
@@ -59,7 +60,7 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementWait {
-    /// This process does not hold the placement right.
+    /// This process does not hold the order right.
     #[display("without the placement right")]
     NoRight,
     /// Engines may not have announced themselves yet.
@@ -68,7 +69,7 @@
         /// End of the wait.
         until: MonotonicTime,
     },
-    /// Orders of the previous holder may still reach engines that ignore fencing numbers.
+    /// Orders of the previous right holder may still reach engines that ignore fencing numbers.
     #[display("{server} ignores fencing numbers, waiting until {until}")]
     Unfenced {
         /// Name of the engine.
--- a/crates/coordination/src/replicated/state.rs
+++ b/crates/coordination/src/replicated/state.rs
@@ -26,7 +26,7 @@
 pub struct ReplicatedSettings {
     /// Retention of configuration changes.
     pub changes: ChangeRetention,
-    /// Limits and horizon of claims.
+    /// Limits and retention of claims.
     pub claims: ClaimSettings,
     /// Retention of evidence in memory.
     pub evidence: EvidenceRetention,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The configuration in effect after this keeper's last applied entry.
+    /// The configuration in force after this keeper's last applied entry.
     pub fn configuration(&self) -> Arc<Configuration> {
         self.configuration.clone()
     }
@@ -154,7 +154,7 @@
         decision.answer
     }
 
-    /// Starts a host's process; claims that its earlier incarnations have in progress become
+    /// Starts a host's process; claims that its former incarnations have in progress become
     /// unknown.
     fn start(&mut self, start: &StartHost, now: ReplicatedTime) -> Incarnation {
         let incarnation = self.tables.incarnations.start(start);
--- a/crates/coordination/src/retries/outlier.rs
+++ b/crates/coordination/src/retries/outlier.rs
@@ -9,10 +9,10 @@
 use super::settings::OutlierSettings;
 use crate::base::MonotonicTime;
 
-/// An ejection in force.
+/// A current ejection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Ejection<C> {
-    /// Class of peers among which the share of ejected servers is limited.
+    /// Class of servers among which the share of ejected servers is limited.
     pub class: C,
     /// End of the ejection.
     pub until: MonotonicTime,
@@ -28,10 +28,10 @@
     last_until: MonotonicTime,
 }
 
-/// Failures and ejections of backend servers with keys `K`, grouped in classes `C` of peers.
+/// Failures and ejections of backend servers with keys `K`, grouped in classes `C`.
 ///
-/// Invariant: when an ejection begins, the ejections in force within its class do not exceed the
-/// share of its peers that the settings allow, so at least one peer always remains.
+/// Invariant: when an ejection begins, the current ejections within its class do not exceed the
+/// share of the class that the settings allow, so at least one class member always remains.
 #[derive(Clone, Debug)]
 pub struct OutlierTable<K, C>
 where
@@ -125,7 +125,7 @@
         self.ejected.remove(&key);
     }
 
-    /// Ejections that are in force, or expired and not yet removed by a tick.
+    /// Ejections that are current, or expired and not yet removed by a tick.
     pub fn ejections(&self) -> impl Iterator<Item = (K, &Ejection<C>)> {
         self.ejected.iter().map(|(key, ejection)| (*key, ejection))
     }
--- a/crates/coordination/src/revision_follower.rs
+++ b/crates/coordination/src/revision_follower.rs
@@ -88,7 +88,7 @@
     /// Offset of the first keeper within each list; distributes hosts over keepers.
     keeper_offset: usize,
     /// Number of failovers to the next keeper since the first keeper was last selected.
-    turn: usize,
+    failover_count: usize,
     /// Consecutive answers of keepers in `far`.
     far_answers: u32,
     number: QuestionNumber,
@@ -114,7 +114,7 @@
             near: keepers,
             far: Vec::new(),
             keeper_offset,
-            turn: 0,
+            failover_count: 0,
             far_answers: 0,
             number: QuestionNumber(0),
             held: None,
@@ -143,7 +143,7 @@
             return None;
         }
         if self.unanswered > 0 {
-            self.turn = self.turn.wrapping_add(1);
+            self.failover_count = self.failover_count.wrapping_add(1);
         }
         let keeper = self.keeper()?.clone();
         self.unanswered = self.unanswered.saturating_add(1);
@@ -163,9 +163,11 @@
         self.keeper()
     }
 
-    /// Returns the keeper at position `turn` of the near and then the far keepers.
+    /// Returns the keeper at position `failover_count` of the near and then the far keepers.
     fn keeper(&self) -> Option<&HostName> {
-        let turn = self.turn.checked_rem(self.near.len() + self.far.len())?;
+        let turn = self
+            .failover_count
+            .checked_rem(self.near.len() + self.far.len())?;
         let (keepers, turn) = match turn.checked_sub(self.near.len()) {
             None => (&self.near, turn),
             Some(turn) => (&self.far, turn),
@@ -187,21 +189,21 @@
         self.far_answers += 1;
         if self.far_answers >= MAX_FAR_ANSWERS {
             self.far_answers = 0;
-            self.turn = 0;
+            self.failover_count = 0;
         }
     }
 
     /// Records that a peer holds `revision`. If the revision is newer than the held one and no
     /// question is pending, the next question is due at once.
     ///
-    /// Failure: many peers report a change within a second, and a host asked the next keeper for
-    /// the whole content at each report. Symptom: some hosts got a change seconds after the others.
-    /// One pending question is enough; if its answer takes longer than
+    /// Many peers report a change within a second. If each report triggered a question for the
+    /// complete content, some hosts would get a change seconds after the others. Therefore one
+    /// question is pending at a time; if its answer takes longer than
     /// [`FollowSettings::answer_timeout`], the next keeper is asked.
     ///
-    /// Failure: operators change routes ten times a second, and a host fetches each change
-    /// separately, each time a document of thousands of routes. Symptom: all streams of the host
-    /// paused during that time. Changes within [`FollowSettings::spacing`] are fetched together.
+    /// Operators may change routes ten times a second. If a host fetched each change separately,
+    /// each time with a document of thousands of routes, all its streams would pause during that
+    /// time. Changes within [`FollowSettings::spacing`] are therefore fetched together.
     pub fn observe(&mut self, now: MonotonicTime, revision: Revision) {
         self.observed = self.observed.max(Some(revision));
         if !self.is_behind() {
--- a/crates/coordination/src/routing/health.rs
+++ b/crates/coordination/src/routing/health.rs
@@ -1,8 +1,8 @@
-//! Finds the failed stage of a silent chain.
+//! Finds the failed stage of a silent pipeline.
 //!
-//! A stage that fails is silent: the first engine of the chain stops sending events and reports
+//! A stage that fails is silent: the first engine of the pipeline stops sending events and reports
 //! nothing about the other engines for seconds. Each engine serves many streams at a time, and an
-//! event of any stream proves that every engine of its chain is alive. An engine without recent
+//! event of any stream proves that every engine of its pipeline is alive. An engine without recent
 //! events is probed, and only an engine that does not answer the probe is suspected. A stream that
 //! is only slow, for example because its request was preempted for lack of memory, is not moved: a
 //! retry would repeat its prefill on engines that are short of memory already.
@@ -23,7 +23,7 @@
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct HealthSettings {
     /// Time within which an engine must answer a probe. Within a region an answer takes a few
-    /// milliseconds and needs no slot.
+    /// milliseconds and does not wait for a batch slot of the engine.
     pub answer_time: Duration,
     /// Time for which a suspected engine is excluded, unless an event clears it. It is longer than
     /// the time after which a failed engine's heartbeats no longer renew its lease.
@@ -51,19 +51,20 @@
     probe_blocked_until: Option<MonotonicTime>,
     suspected_at: Option<MonotonicTime>,
     suspected_until: Option<MonotonicTime>,
-    /// Whether another host's answer has cleared the suspicion since this host last saw the engine
-    /// alive.
+    /// Whether an answer of the engine to another host has cleared the suspicion since this host
+    /// last saw the engine alive.
     is_cleared_by_peer: bool,
     /// Whether nothing listens at the engine's address.
     is_unreachable: bool,
 }
 
-/// Diagnosis of the chain of a silent stream.
+/// Diagnosis of the pipeline of a silent stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainVerdict {
     /// Suspected engines; the stream must continue without them.
     pub suspects: Vec<ServerName>,
-    /// Whether one of the suspects is unreachable, so that the chain cannot send any more events.
+    /// Whether one of the suspects is unreachable, so that the pipeline cannot send any more
+    /// events.
     pub is_dead: bool,
     /// Engines to probe now. Each engine is assigned to one requester at a time.
     pub probe: Vec<ServerName>,
@@ -129,7 +130,7 @@
         self.find(server).probe_answers = probe_answers;
     }
 
-    /// Records an event of a stream over `chain`: all engines of the chain are alive.
+    /// Records an event of a stream over `chain`: all engines of the pipeline are alive.
     pub fn mark_alive<'a, C>(&mut self, now: MonotonicTime, chain: C)
     where
         C: IntoIterator<Item = &'a ServerName>,
@@ -148,10 +149,10 @@
     /// Records that another host received an answer of the engine at `answered`.
     ///
     /// A host that is short of CPU time reads answers too late that arrived in time. Within seconds
-    /// such hosts suspected every engine and found no complete chain, although all engines were
-    /// healthy. A later answer to another host therefore clears a suspicion, but only once until
-    /// this host sees the engine alive itself: if the network path from this host is broken, the
-    /// engine stays excluded.
+    /// such a host would suspect every engine and find no complete pipeline, although all engines
+    /// are healthy. A later answer to another host therefore clears a suspicion, but only once
+    /// until this host sees the engine alive itself: if the network path from this host is broken,
+    /// the engine stays excluded.
     pub fn cleared_by_peer(&mut self, server: &ServerName, answered: MonotonicTime) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
@@ -164,7 +165,7 @@
         engine.suspected_until = None;
     }
 
-    /// Returns the engines to exclude from new chains.
+    /// Returns the engines to exclude from new pipelines.
     pub fn suspects(&self, now: MonotonicTime) -> Vec<ServerName> {
         let suspects = self
             .engines
@@ -188,8 +189,8 @@
         engine.suspected_until = Some(now.after(suspicion));
     }
 
-    /// Diagnoses the chain of a stream that has been silent since `since`. A silence shorter than
-    /// `silence_timeout` yields an empty verdict.
+    /// Diagnoses the pipeline of a stream that has been silent since `since`. A silence shorter
+    /// than `silence_timeout` yields an empty verdict.
     pub fn diagnose<'a, C>(
         &mut self,
         now: MonotonicTime,
@@ -212,7 +213,7 @@
                 verdict.suspects.push(server.clone());
                 continue;
             }
-            // A slow engine also stalls the streams over the other engines of its chains. These
+            // A slow engine also stalls the streams over the other engines of its pipelines. These
             // answer every probe, so each answer doubles the timeout until the next one.
             let silence_timeout = silence_timeout * (1 << engine.probe_answers.min(MAX_DOUBLINGS));
             let is_quiet = engine
@@ -227,7 +228,7 @@
         verdict
     }
 
-    /// Whether an engine is currently excluded from new chains.
+    /// Whether an engine is currently excluded from new pipelines.
     pub fn is_suspected(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let engine = self.engines.get(server);
         let until = engine.and_then(|engine| engine.suspected_until);
--- a/crates/coordination/src/routing/load.rs
+++ b/crates/coordination/src/routing/load.rs
@@ -1,5 +1,5 @@
-//! Estimated load of one engine: its last report, which lags, plus the requests that this entry has
-//! started and ended since.
+//! Estimated load of one engine: its last report, which lags, plus its own requests (those sent by
+//! this process) that have started and ended since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,8 +10,9 @@
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
 /// Time for which an engine counts as full after it declined a request for lack of capacity,
-/// unless a newer report arrives. It is a tenth of the running time of a request of 200 tokens:
-/// about as many requests end in this time as one host in ten may send.
+/// unless a newer report arrives. It is a tenth of the running time of a request of 200 tokens, so
+/// about a tenth of the running requests end in this time, which frees capacity for a request from
+/// one host in ten.
 const FULL_DURATION: Duration = Duration::from_millis(250);
 
 /// Maximum number of own events kept individually between two reports; older events are merged.
@@ -19,7 +20,7 @@
 
 /// Load of an engine at one point in time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LoadFigures {
+pub struct LoadValues {
     /// Prompt tokens that are queued or in prefill.
     pub prefill: TokenCount,
     /// Sequences that are being generated or are queued.
@@ -40,12 +41,13 @@
     pub sequence: SequenceNumber,
     /// When the engine measured its load, on this process's clock: time of arrival minus the stated
     /// age.
-    pub taken: MonotonicTime,
+    #[serde(rename = "taken")]
+    pub measured_at: MonotonicTime,
     /// Measured load.
-    pub figures: LoadFigures,
+    pub figures: LoadValues,
 }
 
-/// Change of an engine's load by one request of this process.
+/// Change of an engine's load by one own request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LoadDelta {
     pub(crate) prefill: i64,
@@ -69,15 +71,15 @@
     }
 }
 
-/// Reported load of one engine, and the load of this process's own requests.
+/// Reported load of one engine, and the load of the own requests.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoadTracker {
-    reported: LoadFigures,
+    reported: LoadValues,
     report_number: (Incarnation, SequenceNumber),
     /// Own events since the report was measured, oldest first.
     events: VecDeque<(MonotonicTime, LoadDelta)>,
     /// Sum of `events`.
-    since: LoadDelta,
+    own_since_report: LoadDelta,
     /// Sum of all own requests that have not ended; each field is at least 0.
     own: LoadDelta,
     /// When the engine last declined a request for lack of capacity.
@@ -93,13 +95,13 @@
             return false;
         }
         self.report_number = number;
-        self.declined_at = self.declined_at.filter(|at| *at >= report.taken);
+        self.declined_at = self.declined_at.filter(|at| *at >= report.measured_at);
         self.reported = report.figures;
         while let Some((at, delta)) = self.events.front().copied() {
-            if at > report.taken {
+            if at > report.measured_at {
                 break;
             }
-            self.since.add(delta.negated());
+            self.own_since_report.add(delta.negated());
             self.events.pop_front();
         }
         true
@@ -130,7 +132,7 @@
     /// Applies a load change caused by an own request.
     pub(crate) fn apply(&mut self, now: MonotonicTime, delta: LoadDelta) {
         self.own.add(delta);
-        self.since.add(delta);
+        self.own_since_report.add(delta);
         self.events.push_back((now, delta));
         if self.events.len() > MAX_EVENTS {
             self.merge_oldest();
@@ -139,12 +141,16 @@
 
     /// Estimates the current load. The load of own requests is the lower bound, since these are
     /// known to be on the engine.
-    pub(crate) fn estimate(&self) -> LoadFigures {
-        let prefill = add(self.reported.prefill.0, self.since.prefill).max(count(self.own.prefill));
-        let sequences = add(u64::from(self.reported.sequences), self.since.sequences)
-            .max(count(self.own.sequences));
-        let kv = add(self.reported.kv.0, self.since.kv).max(count(self.own.kv));
-        LoadFigures {
+    pub(crate) fn estimate(&self) -> LoadValues {
+        let prefill = add(self.reported.prefill.0, self.own_since_report.prefill)
+            .max(count(self.own.prefill));
+        let sequences = add(
+            u64::from(self.reported.sequences),
+            self.own_since_report.sequences,
+        )
+        .max(count(self.own.sequences));
+        let kv = add(self.reported.kv.0, self.own_since_report.kv).max(count(self.own.kv));
+        LoadValues {
             prefill: TokenCount(prefill),
             sequences: u32::try_from(sequences).unwrap_or(u32::MAX),
             kv: TokenCount(kv),
--- a/crates/coordination/src/routing/settings.rs
+++ b/crates/coordination/src/routing/settings.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::link::LinkFigures;
+use super::link::LinkProperties;
 use super::policy::PolicyKind;
 use super::unit::ByteRate;
 use crate::retries::{OutlierSettings, SlowStartSettings};
@@ -38,10 +38,11 @@
     /// Engines in any data centres that are connected by links.
     #[default]
     AcrossDataCentres,
-    /// Engines in one data centre, if it has a complete chain. The flow is computed for each data
-    /// centre separately, and only again for data centres that changed. On a host with a tenth of a
-    /// core, one computation for all data centres at once would stall every stream for a quarter of
-    /// a second.
+    /// Engines in one data centre. If it has no complete pipeline, its flow is zero, and engines
+    /// are sampled uniformly instead of by flow. The flow is computed for each data centre
+    /// separately, and only again for data centres that changed. On a host with a tenth of a core,
+    /// one computation for all data centres at once would stall every stream for a quarter of a
+    /// second.
     WithinDataCentre,
 }
 
@@ -65,7 +66,7 @@
     /// Share of each engine's KV cache that is reserved for urgent requests, in percent.
     pub urgent_reserve_percent: u32,
     /// Link between two data centres without their own setting.
-    pub default_link: LinkFigures,
+    pub default_link: LinkProperties,
     /// One-way latency between engines in the same data centre.
     pub local_latency: Duration,
     /// Maximum number of cached prefixes tracked per engine.
@@ -86,7 +87,7 @@
             workload: WorkloadMix::default(),
             kv_headroom_percent: 5,
             urgent_reserve_percent: 5,
-            default_link: LinkFigures {
+            default_link: LinkProperties {
                 rate: ByteRate(125_000_000),
                 latency: Duration::from_micros(500),
             },
--- a/crates/coordination/src/routing/view.rs
+++ b/crates/coordination/src/routing/view.rs
@@ -169,11 +169,11 @@
     /// Whether an engine is excluded while other engines can serve.
     ///
     /// An engine can decline a request as full while its last report still shows free capacity.
-    /// Without this check every request of this host went to that engine, which declined each one
-    /// up to six times until its next report, and the host used up its retries. A single declined
-    /// request is therefore enough to mark the engine as full. If no other engine holds its layers,
-    /// the engine is still used: capacity is freed there within milliseconds, whereas a request
-    /// that waits for a quarter of a second is late.
+    /// Without this check every request of this host would go to that engine, which would decline
+    /// each one up to six times until its next report, and the host would use up its retries. A
+    /// single declined request is therefore enough to mark the engine as full. If no other engine
+    /// holds its layers, the engine is still used: capacity is freed there within milliseconds,
+    /// whereas a request that waits for a quarter of a second is late.
     fn is_ejected_or_full(&self, key: EngineKey, engine: &EngineRecord) -> bool {
         self.outliers.is_ejected(self.now, key) || engine.load.is_full(self.now)
     }
@@ -248,7 +248,7 @@
 
     /// Returns the engine at `index` in `0..len`.
     pub(crate) fn member(&self, index: u32) -> Option<EngineKey> {
-        let cumulative = &self.boundary.cumulative;
+        let cumulative = &self.boundary.cumulative_members;
         let position = cumulative.partition_point(|end| *end <= index);
         let group_key = *self.boundary.groups.get(position)?;
         let group = self.context.graph.groups.get(group_key)?;
@@ -284,7 +284,7 @@
         };
         let total = Some(row.total()).filter(|total| *total > 0.0)?;
         let threshold = self.rng.random_range(0.0..total);
-        let position = row.ends.partition_point(|end| *end <= threshold);
+        let position = row.cumulative_flow.partition_point(|end| *end <= threshold);
         self.sample_member(*row.groups.get(position)?)
     }
 
--- a/crates/coordination/tests/outer_encodings/status.rs
+++ b/crates/coordination/tests/outer_encodings/status.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use pollendrift_coordination::agreement::{
-    AgreementDump, DropReason, KeeperRole, LeadershipDump, LogIndex, PeerDump, RedundancyGap,
-    RedundancyReport, RoleStatus, Term,
+    AgreementDump, KeeperRole, LeadershipDump, LogIndex, MessageDropReason, PeerDump,
+    RedundancyGap, RedundancyReport, RoleStatus, Term,
 };
 use pollendrift_coordination::base::{Incarnation, MonotonicTime};
 use pollendrift_coordination::evidence::{BufferStatus, ChainHead, ChainWriter, EvidenceDigest};
 use pollendrift_coordination::leases::{BackendLeaseSettings, LeaseTable, ServerState};
 use pollendrift_coordination::routing::{
-    ByteRate, EngineAnnouncement, EngineDump, EngineRole, LoadFigures, PolicyKind, RoutingDump,
+    ByteRate, EngineAnnouncement, EngineDump, EngineRole, LoadValues, PolicyKind, RoutingDump,
     RoutingSettings, TokenCount, TokenRate,
 };
 
@@ -31,7 +31,7 @@
     RedundancyReport {
         current_voters: 2,
         voters: 3,
-        losses_borne: 1,
+        losses_tolerated: 1,
         gaps: vec![
             RedundancyGap::Silent(keeper("k1", 11)),
             RedundancyGap::Behind(keeper("k2", 12)),
@@ -99,12 +99,12 @@
 #[test]
 fn reasons_of_dropped_messages_keep_their_names() {
     let reasons = [
-        DropReason::OtherReceiver,
-        DropReason::OwnIdentity,
-        DropReason::FormerIncarnation,
-        DropReason::OldDisk,
-        DropReason::Malformed,
-        DropReason::Retired,
+        MessageDropReason::OtherReceiver,
+        MessageDropReason::OwnIdentity,
+        MessageDropReason::FormerIncarnation,
+        MessageDropReason::OldDisk,
+        MessageDropReason::Malformed,
+        MessageDropReason::Retired,
     ];
     let lines = reasons.map(|reason| format!("{} {reason}", json(&reason)));
     insta::assert_snapshot!(lines.join("\n"));
@@ -172,7 +172,7 @@
             activation_bytes: 10,
             kv_bytes: 11,
         },
-        load: LoadFigures {
+        load: LoadValues {
             prefill: TokenCount(400),
             sequences: 2,
             kv: TokenCount(500),
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -136,7 +136,7 @@
 
     /// Whether this host started too recently to know all servers.
     pub(super) fn is_learning(&self, now: MonotonicTime) -> bool {
-        self.wait_settings.is_learning(now, MonotonicTime::START)
+        self.wait_settings.is_discovering(now, MonotonicTime::START)
     }
 
     /// Records the first send of a call to a service, which earns a fraction of a retry.
