--- a/crates/daemon/src/admission.rs
+++ b/crates/daemon/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission at this entry: which request runs now, waits, or is refused at once.
+//! Admission at this entry: admits, queues or refuses each request.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,67 +16,67 @@
 
 use crate::clock::TimeSource;
 
-/// Priorities from here on go first.
-pub(crate) const MIN_URGENT_LABEL: u8 = 67;
-/// Priorities below go last.
-const NORMAL_FROM: u8 = 34;
-/// Weight of one observation in the mean time per token, as a power of two.
+/// Lowest priority label of urgent requests, which are admitted first.
+pub(crate) const MIN_URGENT_PRIORITY: u8 = 67;
+/// Lowest priority label of normal requests; lower ones are batch requests, admitted last.
+const MIN_NORMAL_PRIORITY: u8 = 34;
+/// One observation has the weight `1 / 2^ESTIMATE_SHIFT` in the mean time per token.
 const ESTIMATE_SHIFT: u32 = 4;
 
-/// A request that asks to run.
+/// A request for admission.
 #[derive(Clone, Debug)]
 pub struct GateRequest<'request> {
-    /// Whose request it is.
+    /// Customer that sent the request.
     pub customer: &'request CustomerName,
-    /// Limits and priority that labels set.
+    /// Limits and priority set by labels.
     pub settings: &'request LabelSettings,
     /// Tokens of the prompt and of the expected answer; 0 for a call of a plain service.
     pub tokens: u64,
-    /// Time by which it must have ended.
+    /// Time by which the request must have ended.
     pub deadline: Option<MonotonicTime>,
 }
 
-/// Bounds of one entry.
+/// Limits of one entry's gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateLimits {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     pub max_running: u32,
-    /// Longest wait in the queue; a request that would wait for longer is refused at once.
+    /// Longest wait in the queue; a request that would wait longer is refused immediately.
     pub max_wait: Duration,
     /// Entries that share a customer's limits, this one included.
     pub entries: u32,
 }
 
-/// State of the gate, for the dump and the metrics.
+/// Number of running and queued requests, for the dump and the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct GateStatus {
-    /// Requests that run.
+    /// Number of running requests.
     pub in_flight: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
 }
 
-/// Admits requests at one entry.
+/// Limits the running requests of one entry and queues the others.
 pub struct AdmissionGate {
-    table: Mutex<GateState>,
+    state: Mutex<GateState>,
     clock: Arc<dyn TimeSource>,
     /// Entries that share a customer's limits.
     entries: u32,
-    /// A request that would wait for longer is refused at once.
+    /// A request that would wait longer is refused immediately.
     max_wait: Duration,
     defaults: CustomerLimits,
-    offered: AtomicU64,
+    offer_count: AtomicU64,
 }
 
 struct GateState {
     table: AdmissionTable,
-    /// Requests that wait, by the identity that they were offered under.
+    /// Queued requests, by the id under which they were offered to the table.
     waiting: HashMap<RequestId, oneshot::Sender<Result<TicketKey, RequestRefusal>>>,
-    /// Mean time of one token; zero before the first observation.
+    /// Mean time per token; zero before the first observation.
     token_time: Duration,
 }
 
-/// A request that runs; dropping it makes room.
+/// A running request; dropping it frees its slot.
 pub struct AdmissionTicket {
     gate: Arc<AdmissionGate>,
     ticket: TicketKey,
@@ -84,7 +84,7 @@
     started: MonotonicTime,
 }
 
-/// A request that waits; dropped with its caller, it leaves the queue.
+/// A queued request; dropping it, as when its caller disconnects, removes it from the queue.
 struct WaitingTicket<'gate> {
     gate: &'gate AdmissionGate,
     ticket: Option<TicketKey>,
@@ -92,11 +92,11 @@
 }
 
 impl AdmissionGate {
-    /// A gate that runs and holds what `bounds` allow.
-    pub fn new(settings: LimitSettings, bounds: GateLimits, clock: Arc<dyn TimeSource>) -> Self {
-        // KV memory is the planner's to judge, engine by engine; here only requests are counted.
+    /// Creates a gate with an empty queue that enforces `limits`.
+    pub fn new(settings: LimitSettings, limits: GateLimits, clock: Arc<dyn TimeSource>) -> Self {
+        // Only requests are limited here: the planner checks KV memory engine by engine.
         let capacity = AdmissionCapacity {
-            max_in_flight: bounds.max_running,
+            max_in_flight: limits.max_running,
             kv_tokens: u64::MAX,
         };
         let state = GateState {
@@ -105,28 +105,28 @@
             token_time: Duration::ZERO,
         };
         Self {
-            table: Mutex::new(state),
+            state: Mutex::new(state),
             clock,
-            entries: bounds.entries.max(1),
-            max_wait: bounds.max_wait,
+            entries: limits.entries.max(1),
+            max_wait: limits.max_wait,
             defaults: settings.default_limits,
-            offered: AtomicU64::new(0),
+            offer_count: AtomicU64::new(0),
         }
     }
 
-    /// Admits a request, after a wait where it must.
+    /// Admits a request, after a wait in the queue if no slot is free.
     ///
     /// # Errors
-    /// It did not run, and never will; told as soon as it is known.
+    /// The request is refused as soon as that is decided; it did not run.
     pub async fn admit(
         self: &Arc<Self>,
         request: GateRequest<'_>,
     ) -> Result<AdmissionTicket, RequestRefusal> {
         let tokens = request.tokens;
         let ticket = match self.offer(request) {
-            Offered::Admitted(ticket) => ticket,
-            Offered::Refused(refusal) => return Err(refusal),
-            Offered::Queued {
+            OfferResult::Admitted(ticket) => ticket,
+            OfferResult::Refused(refusal) => return Err(refusal),
+            OfferResult::Queued {
                 mut waiting,
                 answer,
             } => match answer.await {
@@ -138,8 +138,8 @@
                     waiting.ticket = None;
                     return Err(refusal);
                 }
-                // The sender stands in the table for as long as this wait lasts.
-                Err(_) => return Err(gone()),
+                // Unreachable: `waiting` keeps the sender in the state during this wait.
+                Err(_) => return Err(queue_closed()),
             },
         };
         Ok(AdmissionTicket {
@@ -150,13 +150,13 @@
         })
     }
 
-    /// Refuses what can no longer meet its deadline, and admits what there is room for.
+    /// Refuses queued requests that can't meet their deadlines and admits others to free slots.
     pub fn tick(&self) {
         let now = self.clock.now();
-        self.lock().settle(now);
+        self.lock().apply_changes(now);
     }
 
-    /// State for the dump and the metrics.
+    /// Returns the current numbers of running and queued requests.
     pub fn status(&self) -> GateStatus {
         let state = self.lock();
         GateStatus {
@@ -165,11 +165,11 @@
         }
     }
 
-    fn offer(&self, request: GateRequest<'_>) -> Offered<'_> {
+    fn offer(&self, request: GateRequest<'_>) -> OfferResult<'_> {
         let now = self.clock.now();
-        let number = self.offered.fetch_add(1, Ordering::Relaxed);
-        // Not the caller's id, which two requests may share.
-        let identity = RequestId::from(number.to_string());
+        let number = self.offer_count.fetch_add(1, Ordering::Relaxed);
+        // The caller's request id is not unique: two requests may share it.
+        let offer_id = RequestId::from(number.to_string());
         let limits = self.limits(request.settings);
         let mut state = self.lock();
         state.table.set_limits(now, request.customer, limits);
@@ -179,7 +179,7 @@
         let verdict = state.table.offer(
             now,
             AdmissionOffer {
-                request: identity.clone(),
+                request: offer_id.clone(),
                 customer: request.customer.clone(),
                 priority: priority(request.settings.priority),
                 tokens: request.tokens,
@@ -188,32 +188,34 @@
             },
         );
         match verdict {
-            AdmissionVerdict::Admit(ticket) => Offered::Admitted(ticket),
-            AdmissionVerdict::Refuse(refusal) => Offered::Refused(refusal),
+            AdmissionVerdict::Admit(ticket) => OfferResult::Admitted(ticket),
+            AdmissionVerdict::Refuse(refusal) => OfferResult::Refused(refusal),
             AdmissionVerdict::Queue { ticket, wait } if wait > self.max_wait => {
                 state.table.finish(now, ticket);
                 let reason = RefusalReason::QueueFull;
-                Offered::Refused(RequestRefusal {
+                OfferResult::Refused(RequestRefusal {
                     reason,
                     retry_after: Some(wait),
                 })
             }
             AdmissionVerdict::Queue { ticket, .. } => {
                 let (sender, answer) = oneshot::channel();
-                state.waiting.insert(identity.clone(), sender);
+                state.waiting.insert(offer_id.clone(), sender);
                 let waiting = WaitingTicket {
                     gate: self,
                     ticket: Some(ticket),
-                    request: identity,
+                    request: offer_id,
                 };
-                Offered::Queued { waiting, answer }
+                OfferResult::Queued { waiting, answer }
             }
         }
     }
 
-    /// Labels limit a customer at all entries together; each entry takes its part.
+    /// Computes this entry's limits for a customer.
+    ///
+    /// Labels limit a customer at all entries together; each entry enforces an equal share.
     fn limits(&self, settings: &LabelSettings) -> CustomerLimits {
-        let part = |total: Option<u64>, default: u32| match total {
+        let share = |total: Option<u64>, default: u32| match total {
             Some(total) => u32::try_from(total)
                 .unwrap_or(u32::MAX)
                 .div_ceil(self.entries),
@@ -221,9 +223,9 @@
         };
         CustomerLimits {
             weight: settings.weight.unwrap_or(self.defaults.weight).max(1),
-            max_in_flight: part(settings.in_flight, self.defaults.max_in_flight),
-            max_queued: part(settings.queue, self.defaults.max_queued),
-            requests_per_second: part(
+            max_in_flight: share(settings.in_flight, self.defaults.max_in_flight),
+            max_queued: share(settings.queue, self.defaults.max_queued),
+            requests_per_second: share(
                 settings.requests_per_second,
                 self.defaults.requests_per_second,
             ),
@@ -236,15 +238,15 @@
         let mut state = self.lock();
         state.table.finish(now, ticket);
         state.observe(tokens, now.since(started));
-        state.settle(now);
+        state.apply_changes(now);
     }
 
     fn lock(&self) -> MutexGuard<'_, GateState> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-enum Offered<'gate> {
+enum OfferResult<'gate> {
     Admitted(TicketKey),
     Refused(RequestRefusal),
     Queued {
@@ -254,17 +256,17 @@
 }
 
 impl GateState {
-    /// Tells those who wait what became of them.
-    fn settle(&mut self, now: MonotonicTime) {
+    /// Notifies the queued requests that the table has admitted or refused.
+    fn apply_changes(&mut self, now: MonotonicTime) {
         for change in self.table.tick(now) {
             match change {
                 AdmissionChange::Admitted { ticket, request } => {
-                    let told = self
+                    let delivered = self
                         .waiting
                         .remove(&request)
                         .map(|waiting| waiting.send(Ok(ticket)));
-                    if !matches!(told, Some(Ok(()))) {
-                        // Its caller went away in this very moment: the room is free again.
+                    if !matches!(delivered, Some(Ok(()))) {
+                        // The caller disconnected in the meantime, so the slot is freed again.
                         self.table.finish(now, ticket);
                     }
                 }
@@ -281,11 +283,11 @@
         let Some(tokens) = u32::try_from(tokens).ok().filter(|tokens| *tokens > 0) else {
             return;
         };
-        let seen = time / tokens;
-        let part = 1 << ESTIMATE_SHIFT;
+        let observed = time / tokens;
+        let divisor = 1 << ESTIMATE_SHIFT;
         self.token_time = match self.token_time {
-            Duration::ZERO => seen,
-            mean => mean - mean / part + seen / part,
+            Duration::ZERO => observed,
+            mean => mean - mean / divisor + observed / divisor,
         };
     }
 }
@@ -310,13 +312,13 @@
 
 fn priority(label: Option<u8>) -> RequestPriority {
     match label {
-        Some(label) if label >= MIN_URGENT_LABEL => RequestPriority::Urgent,
-        Some(label) if label < NORMAL_FROM => RequestPriority::Batch,
+        Some(label) if label >= MIN_URGENT_PRIORITY => RequestPriority::Urgent,
+        Some(label) if label < MIN_NORMAL_PRIORITY => RequestPriority::Batch,
         _ => RequestPriority::Normal,
     }
 }
 
-fn gone() -> RequestRefusal {
+fn queue_closed() -> RequestRefusal {
     RequestRefusal {
         reason: RefusalReason::QueueFull,
         retry_after: None,
@@ -338,13 +340,13 @@
     use crate::clock::SystemClock;
 
     fn gate() -> Arc<AdmissionGate> {
-        let bounds = GateLimits {
+        let limits = GateLimits {
             max_running: 1,
             max_wait: Duration::from_secs(10),
             entries: 1,
         };
         let clock = Arc::new(SystemClock::default());
-        Arc::new(AdmissionGate::new(LimitSettings::default(), bounds, clock))
+        Arc::new(AdmissionGate::new(LimitSettings::default(), limits, clock))
     }
 
     fn request<'request>(
@@ -370,10 +372,11 @@
         }
     }
 
-    // A caller that waits goes away, and another is admitted in the same moment in which the next
-    // goes away. Neither may keep its room: with one place in all, the last one must still run.
+    // Guards against slots that leak when callers disconnect. One caller disconnects while queued,
+    // another just after it was admitted. The gate has one slot, so a leaked one would block the
+    // last request.
     #[tokio::test]
-    async fn callers_that_go_away_leave_their_room() {
+    async fn disconnected_callers_free_their_slots() {
         let gate = gate();
         let customer = CustomerName::from("federation");
         let settings = LabelSettings::default();
--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -1,4 +1,4 @@
-//! The border between request handling and the state that keepers agree on.
+//! Interface between request handling and the state that the keepers replicate.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -11,39 +11,40 @@
 
 use crate::keeper::SubmitError;
 
-/// The answer to a command, still to be awaited.
+/// Future of a command's answer.
 pub type SubmitFuture<'agreed> =
     Pin<Box<dyn Future<Output = Result<CommandAnswer, SubmitError>> + Send + 'agreed>>;
 
-/// State that all hosts agree on, as one host sees it.
+/// Replicated state of all hosts, as known to one host.
 pub trait AgreedState: Send + Sync {
-    /// The configuration in force, or why this host can't tell which one is.
+    /// Returns the configuration in force.
     ///
     /// # Errors
-    /// The lease on the configuration's being current ran out.
+    /// Fails if the lease that confirms the configuration as current has expired.
     fn configuration(&self) -> Result<Arc<Configuration>, StaleConfiguration>;
 
-    /// Whether another host is known to serve by a newer configuration.
+    /// Whether another host is known to use a newer configuration.
     fn is_behind(&self) -> bool;
 
-    /// Every change accepted before this time is known here; `None` before a keeper has answered.
+    /// Time before which every accepted change is known to this host; `None` until a keeper has
+    /// answered.
     fn confirmed_at(&self) -> Option<MonotonicTime>;
 
-    /// Life of this process, once the keepers gave it one; nothing is claimed without it.
+    /// Incarnation of this process; `None` until the keepers have assigned one. Claims require it.
     fn incarnation(&self) -> Option<Incarnation>;
 
-    /// Runs a command through the agreement group. All commands are idempotent by their own ids,
-    /// so one whose answer was lost is sent again until the time for it is up.
+    /// Submits a command to the agreement group. Commands are idempotent by their ids, so a command
+    /// whose answer was lost is sent again until its timeout.
     ///
     /// # Errors
-    /// [`SubmitError::NotRun`] only where it is proved.
+    /// Returns [`SubmitError::NotRun`] only if it is proved that the command did not run.
     fn submit(&self, command: ReplicatedCommand) -> SubmitFuture<'_>;
 }
 
-/// This host can't tell which configuration is in force.
+/// This host can't determine which configuration is in force.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("this host can't tell which configuration is in force: {reason}")]
 pub struct StaleConfiguration {
-    /// What it waits for.
+    /// Condition that this host waits for.
     pub reason: String,
 }
--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,7 +1,7 @@
-//! Callers' face: drafts and calls of plain services.
+//! The entry: HTTP handlers for drafts and for calls of plain services.
 //!
-//! [`EntryHandler`] acts on every request of a caller. Each path has a module of its own; all of
-//! them share one [`EntryContext`].
+//! [`EntryHandler`] dispatches every request of a caller to the module that handles its path. All
+//! modules share one [`EntryContext`].
 
 mod completions;
 mod context;
@@ -27,14 +27,14 @@
 
 const SERVICE_PREFIX: &str = "/services/";
 
-/// Answers callers.
+/// Handles callers' HTTP requests and records a refusal for each request that it rejects.
 #[derive(Debug)]
 pub struct EntryHandler {
     context: Arc<EntryContext>,
 }
 
 impl EntryHandler {
-    /// A handler over `context`.
+    /// Creates a handler that serves requests with the services in `context`.
     pub fn new(context: Arc<EntryContext>) -> Self {
         Self { context }
     }
--- a/crates/daemon/src/entry/completions.rs
+++ b/crates/daemon/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions` and `POST /v1/chat/completions`.
+//! Handlers for `POST /v1/completions` and `POST /v1/chat/completions`.
 
 use std::sync::Arc;
 
@@ -22,17 +22,17 @@
 
 pub(super) const COMPLETIONS_PATH: &str = "/v1/completions";
 pub(super) const CHAT_PATH: &str = "/v1/chat/completions";
-/// Tokens of an answer if the caller names no number.
+/// Maximum tokens of an answer if the caller sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Acts on a completion request.
+/// Handles a completion request.
 pub(super) async fn complete(
     context: &Arc<EntryContext>,
     arrival: &RequestArrival,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let DraftBody { path, last, body } = read_body::<CompletionRequest>(context, request).await?;
-    let ask = DraftAsk {
+    let draft = DraftRequest {
         path,
         model: body.model,
         adapter: body.adapter,
@@ -42,17 +42,17 @@
         last,
         format: ReplyFormat::Completion,
     };
-    start(context, arrival, ask).await
+    start_draft(context, arrival, draft).await
 }
 
-/// Acts on a chat completion request.
+/// Handles a chat completion request.
 pub(super) async fn chat(
     context: &Arc<EntryContext>,
     arrival: &RequestArrival,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let DraftBody { path, last, body } = read_body::<ChatRequest>(context, request).await?;
-    let ask = DraftAsk {
+    let draft = DraftRequest {
         path,
         model: body.model,
         adapter: body.adapter,
@@ -62,10 +62,10 @@
         last,
         format: ReplyFormat::Chat,
     };
-    start(context, arrival, ask).await
+    start_draft(context, arrival, draft).await
 }
 
-/// A request for a draft whose body has been read.
+/// A draft request with its decoded body.
 struct DraftBody<T> {
     path: String,
     last: Option<TokenPosition>,
@@ -93,49 +93,49 @@
     lines.join("\n")
 }
 
-/// A draft as either path asks for it.
-struct DraftAsk {
+/// A draft request in the form common to both paths.
+struct DraftRequest {
     path: String,
     model: String,
     adapter: Option<String>,
     prompt: String,
     max_tokens: Option<u32>,
     stream: bool,
-    /// Last position that a caller who goes on reading holds.
+    /// Last position that the caller of a resumed stream received.
     last: Option<TokenPosition>,
     format: ReplyFormat,
 }
 
-fn draft_facts(customer: CustomerName, ask: &DraftAsk) -> RequestFacts {
-    let mut facts = RequestFacts::draft(customer, ask.model.as_str().into());
-    facts.path = ask.path.as_str().into();
+fn draft_facts(customer: CustomerName, draft: &DraftRequest) -> RequestFacts {
+    let mut facts = RequestFacts::draft(customer, draft.model.as_str().into());
+    facts.path = draft.path.as_str().into();
     if let RequestTarget::Model { adapter, .. } = &mut facts.target {
-        *adapter = ask.adapter.as_deref().map(Into::into);
+        *adapter = draft.adapter.as_deref().map(Into::into);
     }
     facts
 }
 
-/// Tokens of the answer: what the caller asks for, within its labels and this host's bound.
-fn bound_tokens(context: &EntryContext, served: &ServedRequest, asked: Option<u32>) -> u32 {
-    let labelled = served.selected.settings.max_tokens;
-    let allowed = labelled
+/// Maximum tokens of the answer: the requested number, limited by the labels and by this host.
+fn clamp_max_tokens(context: &EntryContext, served: &ServedRequest, requested: Option<u32>) -> u32 {
+    let label_limit = served.selected.settings.max_tokens;
+    let allowed = label_limit
         .and_then(|limit| u32::try_from(limit).ok())
         .unwrap_or(u32::MAX);
-    asked
+    requested
         .unwrap_or(DEFAULT_MAX_TOKENS)
         .min(allowed)
         .min(context.drafts.ledger.max_tokens)
 }
 
-async fn start(
+async fn start_draft(
     context: &Arc<EntryContext>,
     arrival: &RequestArrival,
-    ask: DraftAsk,
+    draft: DraftRequest,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let Some(caller) = arrival.customer.clone() else {
         return Err(Refusal::unauthorized("the request names no customer"));
     };
-    let facts = draft_facts(caller.clone(), &ask);
+    let facts = draft_facts(caller.clone(), &draft);
     let served = select(context, &facts)?;
     let SelectorTarget::Model {
         model,
@@ -151,22 +151,22 @@
             detail,
         ));
     };
-    let max_tokens = bound_tokens(context, &served, ask.max_tokens);
-    let prompt_tokens = estimate_tokens(&ask.prompt);
+    let max_tokens = clamp_max_tokens(context, &served, draft.max_tokens);
+    let prompt_tokens = estimate_tokens(&draft.prompt);
     let tokens = u64::from(prompt_tokens) + u64::from(max_tokens);
     let deadline = served.deadline(context, arrival.arrived);
     let ticket = served.admit(context, &caller, tokens, deadline).await?;
     let digest = draft_digest(
         model.as_str(),
         adapter.as_ref().map(AdapterName::as_str),
-        &ask.prompt,
+        &draft.prompt,
         max_tokens,
     );
-    let resume = match ask.last {
+    let resume = match draft.last {
         Some(last) => Some(find_resume(context, &arrival.id, &caller, digest, last).await?),
         None => None,
     };
-    let body = BodyDigest::of(ask.prompt.as_bytes());
+    let body = BodyDigest::of(draft.prompt.as_bytes());
     let record = RunningRequest::begin(context, arrival, None, body, &served, ticket)?;
     let job = DraftJob {
         id: arrival.id.clone(),
@@ -182,10 +182,10 @@
             .or(version),
         resume,
         adapter,
-        prompt: ask.prompt,
+        prompt: draft.prompt,
         max_tokens,
-        stream: ask.stream,
-        format: ask.format,
+        stream: draft.stream,
+        format: draft.format,
         served,
     };
     run_draft(context, job).await
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -1,8 +1,9 @@
-//! One draft from the first attempt to the last event, over as many pipelines as it takes.
+//! Runs one draft from its first attempt to its last event.
 //!
-//! Acts on a request that a selector serves. Each attempt asks the first stage of a pipeline for
-//! the tokens after those that the caller already holds; the ledger decides what the caller may
-//! see. When a stage dies the next attempt goes on from the last confirmed token.
+//! Handles requests that a selector serves. Each attempt requests the tokens after the confirmed
+//! prefix from the first stage of a pipeline. The ledger decides which tokens are released to the
+//! caller. When a stage fails, the next attempt continues after the last confirmed token on a
+//! pipeline without the failed server.
 
 mod attempt;
 mod caller_link;
@@ -36,23 +37,24 @@
 use super::refusal::Refusal;
 use super::selection::ServedRequest;
 use super::stream::{ReplyFormat, ReplyWriter};
-use crate::admission::MIN_URGENT_LABEL;
+use crate::admission::MIN_URGENT_PRIORITY;
 use crate::fleet::{DraftQuery, DraftRoute};
 use crate::resend::ResendQuery;
 
-/// Path on which a first stage takes sequences.
+/// Path to which sequence requests are posted on the first stage of a pipeline.
 const SEQUENCE_PATH: &str = "/engine/v1/sequences";
-/// Events that wait for a caller that reads slowly; beyond them its engines wait as well.
+/// Capacity of the event buffer for a caller that reads slowly. A full buffer stops the reading
+/// from the first stage, so that the engines wait as well.
 const EVENT_CAPACITY: usize = 64;
 
-/// How drafts run.
+/// Timeouts and ledger limits of drafts.
 #[derive(Clone, Debug)]
 pub struct DraftSettings {
     /// Longest wait for the first event of an attempt.
     pub first_event_timeout: Duration,
-    /// Longest silence between two events of an attempt.
+    /// Longest time between two events of an attempt.
     pub stall_timeout: Duration,
-    /// Bounds of one request's ledger.
+    /// Limits of one request's ledger.
     pub ledger: LedgerSettings,
 }
 
@@ -66,17 +68,17 @@
     }
 }
 
-/// A draft that is to run.
+/// An admitted draft request, ready to run.
 pub(super) struct DraftJob {
     pub(super) id: RequestId,
     pub(super) record: RunningRequest,
     pub(super) customer: CustomerName,
     pub(super) deadline: CallDeadline,
-    /// Estimate, until an engine has counted them.
+    /// Estimated from the text; no engine has counted the prompt's tokens yet.
     pub(super) prompt_tokens: u32,
     pub(super) model: ModelName,
     pub(super) digest: DraftDigest,
-    /// Where a lost stream goes on.
+    /// Position from which an interrupted stream continues.
     pub(super) resume: Option<ResumePoint>,
     pub(super) version: Option<VersionName>,
     pub(super) adapter: Option<AdapterName>,
@@ -87,13 +89,18 @@
     pub(super) served: ServedRequest,
 }
 
-/// Runs a draft; answers as soon as its first token or its refusal is known.
+/// Runs a draft in a task of its own.
+///
+/// Returns the response once a stream has its first token or a buffered answer is complete.
+///
+/// # Errors
+/// Refuses the draft if it fails before the response starts.
 pub(super) async fn run_draft(
     context: &Arc<EntryContext>,
     job: DraftJob,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    // The body stays in this future until the answer begins: a caller that goes away drops it in
-    // either case, and the runner sees its reader gone and frees the engines.
+    // This future owns the body until the response starts. A caller that disconnects drops the
+    // body before or after that, and the runner then stops and frees the engines.
     let (sender, body) = channel_body(EVENT_CAPACITY);
     let (reply, answer) = oneshot::channel();
     let writer = ReplyWriter {
@@ -114,7 +121,7 @@
         ledger,
         attempt,
         excluded: Vec::new(),
-        fruitless: 0,
+        attempts_since_progress: 0,
         has_replicated: false,
         may_have_run: false,
         link: CallerLink {
@@ -139,7 +146,7 @@
     }
 }
 
-/// A ledger of an answer of which the caller holds a part from another entry.
+/// Creates a ledger that contains the tokens released by the entry that served the stream before.
 fn resumed_ledger(context: &EntryContext, job: &DraftJob, resume: &ResumePoint) -> TokenLedger {
     TokenLedger::resume(
         job.id.clone(),
@@ -153,31 +160,31 @@
 struct DraftRunner {
     context: Arc<EntryContext>,
     job: DraftJob,
-    /// Made with the first plan, which fixes the version of the whole answer.
+    /// Created with the first route, which fixes the model version of the complete answer.
     ledger: Option<TokenLedger>,
     attempt: AttemptNumber,
     excluded: Vec<ServerName>,
-    /// Failed attempts since the caller last got a token, the one that brought it included.
+    /// Failed attempts since the last one that produced a token, that one included.
     ///
-    /// A long answer may outlive many stages. Counted over the whole answer, the bound on attempts
-    /// ended drafts that lost a stage now and then and went on well in between.
-    fruitless: u32,
-    /// Whether another host was told of the stream.
+    /// Many stages may fail during a long answer. Counted over the complete answer, the attempt
+    /// limit ended drafts that lost a stage occasionally and made progress in between.
+    attempts_since_progress: u32,
+    /// Whether the stream has been replicated to another host.
     has_replicated: bool,
-    /// Whether any engine may have run a layer; decides between `not-run` and `unknown`.
+    /// Whether any engine may have run a layer; a refusal is then `unknown` instead of `not-run`.
     may_have_run: bool,
     link: CallerLink,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 enum AttemptEnd {
-    /// The caller has the whole answer.
+    /// The ledger has released every token of the answer.
     Complete { reason: String },
-    /// The server is not asked again for this request.
+    /// The attempt failed; `server` is excluded from further attempts of this request.
     Failed {
         server: ServerName,
         reason: String,
-        /// False only where it is proved that no layer ran.
+        /// False only if it is proved that no layer ran.
         started: bool,
     },
 }
@@ -186,9 +193,9 @@
     async fn run(mut self) {
         let watch = self.link.sender.watch();
         let ended = tokio::select! {
-            ended = self.attempts() => ended,
+            ended = self.run_attempts() => ended,
             () = watch.gone() => {
-                log::info!(request:% = self.job.id; "caller went away");
+                log::info!(request:% = self.job.id; "caller disconnected; draft cancelled");
                 return;
             }
         };
@@ -219,18 +226,18 @@
         }
     }
 
-    async fn attempts(&mut self) -> Result<String, Refusal> {
+    async fn run_attempts(&mut self) -> Result<String, Refusal> {
         let mut failure = String::new();
         if let Some(finish) = self.send_resumed().await {
             return Ok(finish);
         }
         loop {
-            let route = self.route(&failure)?;
+            let route = self.plan_route(&failure)?;
             let mut flight = FlightGuard::new(&self.context, route.flight);
             let from = self.next_position();
-            let end = self.attempt(&route, &mut flight).await;
+            let end = self.run_attempt(&route, &mut flight).await;
             let trace = self.trace(&route, from, &end);
-            self.job.record.attempt(trace);
+            self.job.record.record_attempt(trace);
             match end {
                 AttemptEnd::Complete { reason } => {
                     self.replicate_tokens(&[], Some(reason.clone()));
@@ -249,23 +256,23 @@
                 }
             }
             drop(flight);
-            self.fruitless = if self.next_position() > from {
+            self.attempts_since_progress = if self.next_position() > from {
                 1
             } else {
-                self.fruitless + 1
+                self.attempts_since_progress + 1
             };
             self.wait_for_resend(&failure).await?;
         }
     }
 
-    /// Waits before the next attempt, or says why there is none.
+    /// Waits for the back-off before the next attempt; fails if the resend policy allows none.
     async fn wait_for_resend(&self, failure: &str) -> Result<(), Refusal> {
-        // A draft runs no effect outside its engines, and the ledger lets each token out once.
+        // A draft has no effect outside its engines, and the ledger releases each token once.
         let query = ResendQuery {
             customer: &self.job.customer,
             kind: CallKind::Idempotent,
             outcome: SendOutcome::IncompleteAnswer,
-            attempts: self.fruitless,
+            attempts: self.attempts_since_progress,
             deadline: self.job.deadline,
         };
         match self.context.resends.next_delay(query) {
@@ -277,7 +284,7 @@
         }
     }
 
-    fn route(&self, failure: &str) -> Result<DraftRoute, Refusal> {
+    fn plan_route(&self, failure: &str) -> Result<DraftRoute, Refusal> {
         let now = self.context.clock.now();
         let Some(selector) = self.job.served.selector() else {
             return Err(self.refusal("the selector is gone from its configuration".to_owned()));
@@ -303,19 +310,19 @@
             deadline: Some(self.job.deadline.0),
             priority: self.route_priority(),
         };
-        self.context.fleet.route(now, &query).map_err(|missing| {
+        self.context.fleet.route(now, &query).map_err(|error| {
             let after = if failure.is_empty() {
                 String::new()
             } else {
                 format!(" after {failure}")
             };
-            self.refusal(format!("{missing}{after}"))
+            self.refusal(format!("{error}{after}"))
         })
     }
 
     fn route_priority(&self) -> RoutePriority {
         match self.job.served.selected.settings.priority {
-            Some(priority) if priority >= MIN_URGENT_LABEL => RoutePriority::Urgent,
+            Some(priority) if priority >= MIN_URGENT_PRIORITY => RoutePriority::Urgent,
             _ => RoutePriority::Normal,
         }
     }
@@ -326,12 +333,12 @@
             .map_or(TokenPosition(0), TokenLedger::next_position)
     }
 
-    /// The truth about a draft that can't be completed.
+    /// Refusal of a draft that can't be completed: `not-run` only if no engine may have run it.
     fn refusal(&self, detail: String) -> Refusal {
         if !self.may_have_run {
             return Refusal::no_pipeline(detail);
         }
-        let held = self
+        let confirmed = self
             .ledger
             .as_ref()
             .map_or(0, |ledger| ledger.confirmed_prefix().len());
@@ -339,18 +346,18 @@
             StatusCode::BAD_GATEWAY,
             "incomplete",
             "The draft could not be completed",
-            format!("{detail}; the answer ends after {held} tokens"),
+            format!("{detail}; the answer ends after {confirmed} tokens"),
         )
     }
 }
 
-/// Tokens of a text before any engine has counted them: words, with a third for punctuation.
+/// Estimates the tokens of a text as its words plus a third for punctuation; at least 1.
 pub(super) fn estimate_tokens(text: &str) -> u32 {
     let words = u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX);
     words.saturating_add(words / 3).max(1)
 }
 
-/// Length and digest of the text that went to the caller.
+/// Length and digest of the confirmed text.
 fn answer_digest(tokens: &[GeneratedToken]) -> BodyDigest {
     let text: String = tokens.iter().map(|token| token.text.as_ref()).collect();
     BodyDigest::of(text.as_bytes())
--- a/crates/daemon/src/entry/draft/attempt.rs
+++ b/crates/daemon/src/entry/draft/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: what is asked of the first stage, and what becomes of each of its events.
+//! One attempt of a draft: the sequence request to the first stage and the handling of its events.
 
 use http::StatusCode;
 use pollendrift_border::{SequenceEvent, SequenceRequest, TokenEvent};
@@ -12,8 +12,8 @@
 use crate::fleet::DraftRoute;
 
 impl DraftRunner {
-    /// Runs the draft over one pipeline, from the first token that the caller lacks.
-    pub(super) async fn attempt(
+    /// Runs the draft on one pipeline, starting after the confirmed prefix.
+    pub(super) async fn run_attempt(
         &mut self,
         route: &DraftRoute,
         flight: &mut FlightGuard,
@@ -28,14 +28,15 @@
                 started: false,
             };
         }
-        // Asked again after every wait: a paused process would else use a lease that is over.
+        // Leases are checked again after every wait: a process that was paused could otherwise
+        // use an expired lease.
         let now = self.context.clock.now();
         let fleet = &self.context.fleet;
-        let lapsed = route
+        let expired = route
             .stages
             .iter()
             .find(|stage| !fleet.may_take_work(now, &stage.server));
-        if let Some(stage) = lapsed {
+        if let Some(stage) = expired {
             return AttemptEnd::Failed {
                 server: stage.server.clone(),
                 reason: "its lease ran out".to_owned(),
@@ -47,7 +48,7 @@
             Err(error) => AttemptEnd::Failed {
                 server: head,
                 reason: error.to_string(),
-                // Only a connection that never opened proves that no layer ran.
+                // Only a connection that was never opened proves that no layer ran.
                 started: !matches!(error, ClientError::NotSent { .. }),
             },
         }
@@ -138,16 +139,20 @@
             let Ok(event) = serde_json::from_slice::<SequenceEvent>(&line) else {
                 return failed(head.clone(), "it sent an event that can't be read");
             };
-            flight.note_first_token();
-            if let Some(end) = self.take_event(head, event).await {
+            flight.record_first_token();
+            if let Some(end) = self.handle_event(head, event).await {
                 return end;
             }
         }
     }
 
-    async fn take_event(&mut self, head: &ServerName, event: SequenceEvent) -> Option<AttemptEnd> {
+    async fn handle_event(
+        &mut self,
+        head: &ServerName,
+        event: SequenceEvent,
+    ) -> Option<AttemptEnd> {
         match event {
-            SequenceEvent::Token(event) => self.take_token(head, event).await,
+            SequenceEvent::Token(event) => self.handle_token(head, event).await,
             SequenceEvent::Complete(event) => {
                 let last = FinalEvent {
                     request: event.request.as_str().into(),
@@ -176,7 +181,7 @@
         }
     }
 
-    async fn take_token(&mut self, head: &ServerName, event: TokenEvent) -> Option<AttemptEnd> {
+    async fn handle_token(&mut self, head: &ServerName, event: TokenEvent) -> Option<AttemptEnd> {
         let ledger = self.ledger.as_mut()?;
         match ledger.accept(token_result(event)) {
             TokenVerdict::Release { tokens, .. } => {
--- a/crates/daemon/src/entry/draft/caller_link.rs
+++ b/crates/daemon/src/entry/draft/caller_link.rs
@@ -1,4 +1,4 @@
-//! The way back to the caller of one draft: first an answer or a refusal, then events.
+//! Reply channel to the caller of one draft: first the response or a refusal, then events.
 
 use http::Response;
 use pollendrift_coordination::ledger::{GeneratedToken, ReleasedToken};
@@ -8,40 +8,40 @@
 use crate::entry::refusal::Refusal;
 use crate::entry::stream::ReplyWriter;
 
-/// What the handler is told first.
+/// First message from the draft's task to the HTTP handler.
 pub(super) enum FirstAnswer {
     Streaming,
     Buffered(Response<ResponseBody>),
     Refused(Refusal),
 }
 
-/// The way back to the caller.
+/// Sends the reply of one draft to its caller.
 pub(super) struct CallerLink {
     pub(super) writer: ReplyWriter,
     pub(super) sender: BodySender,
-    /// Taken when the handler has been answered.
+    /// `None` once the handler has received its [`FirstAnswer`].
     pub(super) reply: Option<oneshot::Sender<FirstAnswer>>,
     pub(super) stream: bool,
 }
 
 impl CallerLink {
-    /// Whether the caller has seen a part of the answer.
+    /// Whether the response to the caller has started.
     pub(super) fn has_begun(&self) -> bool {
         self.reply.is_none()
     }
 
-    /// Sends released tokens on, if the caller reads a stream.
+    /// Sends released tokens to a streaming caller; does nothing for a buffered answer.
     pub(super) async fn send_tokens(&mut self, tokens: &[ReleasedToken]) {
         if !self.stream {
             return;
         }
         self.answer(FirstAnswer::Streaming);
         for token in tokens {
-            self.writer.token(&self.sender, token).await;
+            self.writer.send_token(&self.sender, token).await;
         }
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer: sends the final events, or the buffered response.
     pub(super) async fn finish(mut self, tokens: &[GeneratedToken], reason: &str) {
         if !self.stream {
             let response = self.writer.buffered_response(tokens, reason);
@@ -52,7 +52,7 @@
         self.writer.finish(self.sender, count, reason).await;
     }
 
-    /// Ends a draft that can't be completed.
+    /// Ends a draft that can't be completed: refuses it, or ends its stream with an error event.
     pub(super) async fn fail(mut self, refusal: Refusal) {
         if self.reply.is_some() {
             return self.answer(FirstAnswer::Refused(refusal));
@@ -63,7 +63,8 @@
 
     fn answer(&mut self, answer: FirstAnswer) {
         if let Some(reply) = self.reply.take() {
-            // A handler that is gone has dropped the body too, which ends the run.
+            // The send fails if the handler was dropped. The body was dropped with it, which
+            // cancels the draft.
             let _ = reply.send(answer);
         }
     }
--- a/crates/daemon/src/entry/draft/flight_guard.rs
+++ b/crates/daemon/src/entry/draft/flight_guard.rs
@@ -1,4 +1,4 @@
-//! Counts one attempt as running on its engines until it ends, however it ends.
+//! Guard that counts one attempt as running on its engines until it ends or is cancelled.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::entry::EntryContext;
 
-/// Tells the planner how an attempt ended, also when its caller goes away in the middle.
+/// Reports the end of an attempt to the planner, also when its caller disconnects midway.
 ///
 /// Without it a dropped attempt would count as running for ever, and its engines would look busy.
 pub(super) struct FlightGuard {
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(super) fn note_first_token(&mut self) {
+    pub(super) fn record_first_token(&mut self) {
         if self.state == FlightState::Started {
             self.state = FlightState::Generating;
             self.context
@@ -41,11 +41,11 @@
         }
     }
 
-    pub(super) fn fail(&mut self, culprit: &ServerName) {
+    pub(super) fn fail(&mut self, failed_server: &ServerName) {
         self.state = FlightState::Failed;
         self.context
             .fleet
-            .failed(self.context.clock.now(), self.flight, Some(culprit));
+            .failed(self.context.clock.now(), self.flight, Some(failed_server));
     }
 }
 
--- a/crates/daemon/src/entry/draft/progress.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -1,4 +1,6 @@
-//! What a running draft tells others: another host, so that it can go on there, and the evidence.
+//! Progress of a running draft: stream updates to another host and attempt traces for evidence.
+//!
+//! The stream updates allow a caller to resume the draft at another entry.
 
 use pollendrift_coordination::base::TokenPosition;
 use pollendrift_coordination::evidence::{AttemptTrace, RouteStage as TracedStage};
@@ -9,7 +11,9 @@
 use crate::fleet::{DraftRoute, PlannedStage};
 
 impl DraftRunner {
-    /// Sends what the lost entry had released and the caller lacks; the end, if it had come.
+    /// Sends the tokens that the lost entry released and the caller has not received.
+    ///
+    /// Returns the finish reason if the answer was already complete.
     pub(super) async fn send_resumed(&mut self) -> Option<String> {
         let resume = self.job.resume.take()?;
         let missing = resume
@@ -30,7 +34,7 @@
         resume.finish
     }
 
-    /// Tells another host of tokens before the caller gets them.
+    /// Replicates tokens to another host before they are sent to the caller.
     pub(super) fn replicate_tokens(&mut self, tokens: &[ReleasedToken], finish: Option<String>) {
         let Some(ledger) = self.ledger.as_ref().filter(|_| self.job.stream) else {
             return;
@@ -38,11 +42,11 @@
         let Some(link) = ledger.route().last() else {
             return;
         };
-        // The first note carries all that is known, so that it fits any host: after a resume the
-        // one that remembers is another than before.
-        let first_note = !std::mem::replace(&mut self.has_replicated, true);
-        let (first, told) = match tokens.first() {
-            _ if first_note => (TokenPosition(0), ledger.confirmed_prefix().to_vec()),
+        // The first update contains the complete confirmed prefix, so that any host can store it:
+        // after a resume, another host than before stores the stream.
+        let is_first_update = !std::mem::replace(&mut self.has_replicated, true);
+        let (first, sent_tokens) = match tokens.first() {
+            _ if is_first_update => (TokenPosition(0), ledger.confirmed_prefix().to_vec()),
             Some(token) => (
                 token.position,
                 tokens.iter().map(|token| token.token.clone()).collect(),
@@ -57,12 +61,12 @@
             model_layers: link.layers.end,
             attempt: self.attempt,
             first,
-            tokens: told,
+            tokens: sent_tokens,
             finish,
         });
     }
 
-    /// One attempt, for the evidence.
+    /// Builds the evidence record of one attempt that started at position `from`.
     pub(super) fn trace(
         &self,
         route: &DraftRoute,
--- a/crates/daemon/src/entry/draft/resume.rs
+++ b/crates/daemon/src/entry/draft/resume.rs
@@ -1,4 +1,4 @@
-//! A draft that a caller goes on reading, after its entry or its connection was lost.
+//! Resumption of a draft's stream after its entry or the connection to the caller was lost.
 
 use http::{HeaderMap, StatusCode};
 use pollendrift_coordination::base::{
@@ -11,17 +11,20 @@
 use crate::entry::EntryContext;
 use crate::entry::refusal::Refusal;
 
-/// Header that names the last event that a caller holds.
+/// Header with the position of the last event that the caller received.
 const LAST_EVENT_HEADER: &str = "last-event-id";
-/// Above all attempts that the lost entry may still begin: engines drop the lower ones.
+/// Added to the last known attempt number.
+///
+/// The result exceeds every attempt number that the lost entry may still use; engines drop attempts
+/// with lower numbers.
 const ATTEMPT_STEP: u32 = 1_000;
 
-/// Where an answer goes on.
+/// State from which an answer continues.
 #[derive(Clone, Debug)]
 pub(crate) struct ResumePoint {
-    /// Tokens of the answer so far, those that the caller lacks included.
+    /// Tokens of the answer so far, including those that the caller has not received.
     pub(crate) tokens: Vec<GeneratedToken>,
-    /// First position that the caller lacks.
+    /// First position that the caller has not received.
     pub(crate) from: TokenPosition,
     pub(crate) version: VersionName,
     pub(crate) model_layers: u32,
@@ -29,7 +32,10 @@
     pub(crate) finish: Option<String>,
 }
 
-/// The last position that the caller holds, if it goes on reading.
+/// Reads the last position that the caller received; `None` unless the caller resumes a stream.
+///
+/// # Errors
+/// Refuses the request if the header is not a position.
 pub(crate) fn last_position(headers: &HeaderMap) -> Result<Option<TokenPosition>, Refusal> {
     let Some(value) = headers.get(LAST_EVENT_HEADER) else {
         return Ok(None);
@@ -46,7 +52,7 @@
     }
 }
 
-/// Digest of all that a draft asks for.
+/// Digest of the request fields that determine a draft.
 pub(crate) fn draft_digest(
     model: &str,
     adapter: Option<&str>,
@@ -62,7 +68,11 @@
     hasher.finalize().into()
 }
 
-/// Acts where the caller names its last event: finds where the answer goes on.
+/// Finds the state from which the stream of `request` continues after position `last`.
+///
+/// # Errors
+/// Refuses the request if no host stores the stream for the same customer and draft, or if the
+/// stored stream ends before `last`.
 pub(crate) async fn find_resume(
     context: &EntryContext,
     request: &RequestId,
@@ -71,8 +81,8 @@
     last: TokenPosition,
 ) -> Result<ResumePoint, Refusal> {
     let record = context.streams.find(request).await;
-    let known = record.filter(|record| record.customer == *customer && record.digest == digest);
-    let Some(record) = known else {
+    let matching = record.filter(|record| record.customer == *customer && record.digest == digest);
+    let Some(record) = matching else {
         return Err(not_resumable("no host knows this stream of this draft"));
     };
     let from = last.next();
@@ -93,8 +103,8 @@
     }
 }
 
-fn not_resumable(why: &str) -> Refusal {
-    let detail = format!("{why}; send the draft without `last-event-id` to begin anew");
+fn not_resumable(reason: &str) -> Refusal {
+    let detail = format!("{reason}; send the draft without `last-event-id` to begin anew");
     Refusal::unknown(
         StatusCode::CONFLICT,
         "not-resumable",
--- a/crates/daemon/src/entry/draft/wire.rs
+++ b/crates/daemon/src/entry/draft/wire.rs
@@ -1,4 +1,4 @@
-//! Drafts as engines read and write them.
+//! Conversions between a draft's types and the engines' wire format.
 
 use pollendrift_border::{ChainLink as BorderLink, LayerSpan, RouteStage, TokenEvent};
 use pollendrift_coordination::base::{AttemptNumber, LayerRange, TokenPosition};
@@ -6,7 +6,7 @@
 
 use crate::fleet::PlannedStage;
 
-/// A stage as the first engine gets it.
+/// Converts a planned stage to the form in which the first stage receives the route.
 pub(super) fn route_stage(stage: &PlannedStage) -> RouteStage {
     RouteStage {
         server: stage.server.to_string(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A token event as the ledger takes it.
+/// Converts a token event of an engine to a result for the ledger.
 pub(super) fn token_result(event: TokenEvent) -> TokenResult {
     let link = |link: BorderLink| ChainLink {
         server: link.server.into(),
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -1,4 +1,4 @@
-//! What goes on record of one request: its beginning, every attempt and its end, or its refusal.
+//! Evidence records of one request: its start, its attempts and its end, or its refusal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,21 +16,21 @@
 use crate::admission::AdmissionTicket;
 use crate::telemetry::{OpenRequest, RequestEnd};
 
-/// Longest wait of a caller for its request's records to be stored.
+/// Longest time for which a caller waits until its request's records are stored.
 ///
-/// Failure: the keepers' quorum is lost while an answer runs, and its caller would wait for the
-/// last event for as long as the outage lasts. After this time the caller gets it; the record
-/// stays in the buffer, is sent when the keepers are back, and no new work is taken meanwhile.
-const STORE_PATIENCE: Duration = Duration::from_secs(3);
+/// Without this limit, a caller whose request runs while the keepers lose their quorum waits for
+/// its last event until the outage ends. After the timeout the caller receives it. The record stays
+/// in the buffer and is sent once the keepers are back; until then no new work is accepted.
+const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest wait of a refused caller for the record of its refusal to be stored.
+/// Longest time for which a refused caller waits until its refusal is stored.
 ///
-/// Failure: an entry that dies between the refusal and the next batch leaves a caller with a
-/// refusal that evidence does not know. Waiting for the keepers closes that gap. Without keepers
-/// refusals are what every caller gets, so their wait is short.
-const REFUSAL_PATIENCE: Duration = Duration::from_millis(250);
+/// If an entry crashes between the refusal and the next batch, the caller has a refusal that is
+/// missing from the evidence; waiting for the keepers prevents that. The timeout is short because
+/// every caller is refused while the keepers are unavailable.
+const REFUSAL_STORE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request that has come in.
+/// A received request, before it is routed.
 #[derive(Clone, Debug)]
 pub(super) struct RequestArrival {
     pub(super) id: RequestId,
@@ -40,11 +40,13 @@
     pub(super) arrived: MonotonicTime,
 }
 
-/// A request that was taken on; dropped without an end, it is on record as `caller-gone`.
+/// An accepted request.
+///
+/// If it is dropped before [`RunningRequest::finish`], its end is recorded as `caller-gone`.
 pub(super) struct RunningRequest {
     context: Arc<EntryContext>,
     arrived: MonotonicTime,
-    /// Makes room at the end.
+    /// Frees the request's admission slot when dropped.
     _ticket: AdmissionTicket,
     open: Option<OpenRequest>,
     first_at: Option<MonotonicTime>,
@@ -53,7 +55,7 @@
     outcome: OutcomeKind,
 }
 
-/// How a request ended.
+/// Result of a request, for its end record.
 #[derive(Clone, Debug)]
 pub(super) struct RequestEnding {
     pub(super) outcome: OutcomeKind,
@@ -63,7 +65,7 @@
 }
 
 impl RequestEnding {
-    /// The end of a request whose answer broke off or never began.
+    /// Ending of a request whose answer was interrupted (`begun`) or never started.
     pub(super) fn of_refusal(refusal: &Refusal, begun: bool) -> Self {
         let outcome = if begun {
             OutcomeKind::Incomplete
@@ -84,7 +86,11 @@
 }
 
 impl RunningRequest {
-    /// Puts the beginning on record; without room for it the request must not run.
+    /// Records the start of an admitted request.
+    ///
+    /// # Errors
+    /// Refuses the request if the evidence buffer can't accept the record: the request must not run
+    /// without one.
     pub(super) fn begin(
         context: &Arc<EntryContext>,
         arrival: &RequestArrival,
@@ -130,37 +136,39 @@
         })
     }
 
-    /// Adds one attempt, the first of which ends the time in the queue.
-    pub(super) fn attempt(&mut self, trace: AttemptTrace) {
+    /// Adds the trace of one attempt to the end record.
+    pub(super) fn record_attempt(&mut self, trace: AttemptTrace) {
         self.attempts += 1;
         if let Some(open) = &mut self.open {
             open.update(|end| end.attempts.push(trace));
         }
     }
 
-    /// Waits until the beginning is stored.
-    pub(super) async fn wait_stored(&self) {
+    /// Waits until the start record is stored, or until [`STORE_TIMEOUT`].
+    pub(super) async fn wait_until_stored(&self) {
         let Some(open) = &self.open else {
             return;
         };
-        if tokio::time::timeout(STORE_PATIENCE, open.begun())
+        if tokio::time::timeout(STORE_TIMEOUT, open.begun())
             .await
             .is_err()
         {
-            log::warn!("a request goes on before its record is stored: no keeper takes it");
+            log::warn!(
+                "request continues before its start record is stored: no keeper stored it in time"
+            );
         }
     }
 
-    /// Waits until the beginning is stored, before the caller sees its first byte.
+    /// Waits until the start record is stored; called before the first byte is sent to the caller.
     pub(super) async fn record_first_byte(&mut self) {
         if self.first_at.is_some() {
             return;
         }
-        self.wait_stored().await;
+        self.wait_until_stored().await;
         self.first_at = Some(self.context.clock.now());
     }
 
-    /// Counts tokens that go to the caller.
+    /// Records the latency metrics of `count` tokens that are released to the caller.
     pub(super) fn record_tokens(&mut self, count: usize) {
         let now = self.context.clock.now();
         for _ in 0..count {
@@ -173,7 +181,7 @@
         }
     }
 
-    /// Puts the end on record and waits until it is stored, before the caller sees it.
+    /// Records the end and waits until it is stored; called before the end is sent to the caller.
     pub(super) async fn finish(mut self, ending: RequestEnding) {
         self.outcome = ending.outcome;
         let total = self.context.clock.now().since(self.arrived);
@@ -191,11 +199,11 @@
             end.timings.first_us = micros(first);
             end.timings.total_us = micros(total);
         });
-        if tokio::time::timeout(STORE_PATIENCE, open.finish())
+        if tokio::time::timeout(STORE_TIMEOUT, open.finish())
             .await
             .is_err()
         {
-            log::warn!("an answer ends before its record is stored: no keeper takes it");
+            log::warn!("request ends before its end record is stored: no keeper stored it in time");
         }
     }
 }
@@ -210,8 +218,9 @@
     }
 }
 
-/// Puts a refusal on record and waits until it is stored, unless it ended a request whose end is on
-/// record already.
+/// Records a refusal and waits until it is stored, or until [`REFUSAL_STORE_TIMEOUT`].
+///
+/// Does nothing if the refusal ended a request whose end is already recorded.
 pub(super) async fn record_refusal(
     context: &EntryContext,
     arrival: &RequestArrival,
@@ -234,8 +243,8 @@
         kind: refusal.kind.into(),
         reason: refusal.detail.as_str().into(),
     });
-    // While keepers are away the record stays in the buffer, and the refusal goes out.
-    let _ = tokio::time::timeout(REFUSAL_PATIENCE, stored).await;
+    // While the keepers are unavailable, the record stays in the buffer and the refusal is sent.
+    let _ = tokio::time::timeout(REFUSAL_STORE_TIMEOUT, stored).await;
 }
 
 fn outcome_kind(refusal: &Refusal) -> OutcomeKind {
--- a/crates/daemon/src/entry/refusal.rs
+++ b/crates/daemon/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: problem details (RFC 9457) that say whether the request ran.
+//! Refusals: problem details (RFC 9457) that state whether the request ran.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 
 use super::context::REQUEST_ID_HEADER;
 
-const RETRY_SOON: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals for conditions that may end soon.
+const SHORT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A refusal before it is bound to a request id.
+/// A refusal that is not yet bound to a request id.
 ///
-/// Invariant: `outcome` is `NotRun` only where no byte of the request went to a backend server, or
-/// the backend server itself said that it did not start.
+/// Invariant: `outcome` is `NotRun` only if no byte of the request was sent to a backend server, or
+/// if the backend server itself reported that it did not start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
@@ -25,16 +26,16 @@
     pub(crate) detail: String,
     pub(crate) outcome: ProblemReportOutcome,
     pub(crate) retry_after: Option<Duration>,
-    /// What the configuration decided, where it was asked.
+    /// Decision of the configuration, if it was evaluated.
     pub(crate) decision: Option<Box<DecisionTrace>>,
-    /// Revision by which it was decided.
+    /// Configuration revision that the decision is based on.
     pub(crate) revision: Option<Revision>,
-    /// Whether the evidence already tells this as the end of a request that was taken on.
+    /// Whether the evidence already contains this refusal as the end of an accepted request.
     pub(crate) recorded: bool,
 }
 
 impl Refusal {
-    /// A refusal whose request did not run.
+    /// Creates a refusal of a request that did not run.
     pub(crate) fn not_run(
         status: StatusCode,
         kind: &'static str,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A refusal whose request may have run.
+    /// Creates a refusal of a request that may have run.
     pub(crate) fn unknown(
         status: StatusCode,
         kind: &'static str,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The same refusal with a time after which a resend may help.
+    /// Sets the time after which the caller may resend the request.
     pub(crate) fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
@@ -109,7 +110,7 @@
             "Not ready",
             detail,
         )
-        .retry_after(RETRY_SOON)
+        .retry_after(SHORT_RETRY_AFTER)
     }
 
     pub(crate) fn bad_body(failure: &ReadFailure) -> Self {
@@ -130,10 +131,10 @@
             "No backend server can run this",
             detail,
         )
-        .retry_after(RETRY_SOON)
+        .retry_after(SHORT_RETRY_AFTER)
     }
 
-    /// No answer came after a byte had gone out.
+    /// No answer was received after a part of the call had been sent.
     pub(crate) fn lost_answer(server: &ServerName, error: &ClientError) -> Self {
         let detail = format!(
             "{server}: {error}; whether the call ran is not known, so ask the service before \
@@ -152,7 +153,7 @@
         Self::not_run(StatusCode::BAD_REQUEST, "key", "Key not accepted", detail)
     }
 
-    /// An earlier arrival of the key may be running.
+    /// An earlier call with the same key may still be running.
     pub(crate) fn in_progress(request: &RequestId) -> Self {
         let detail = format!("request {request} took this key and is in progress; ask again later");
         Self::unknown(
@@ -161,10 +162,10 @@
             "The call is in progress",
             detail,
         )
-        .retry_after(RETRY_SOON)
+        .retry_after(SHORT_RETRY_AFTER)
     }
 
-    /// The call under this key may have run, and nobody will ever know more.
+    /// The call with this key may have run, and its outcome can no longer be determined.
     pub(crate) fn may_have_run(request: &RequestId) -> Self {
         let detail = format!(
             "the call may have run as request {request}; it is not run again under this key, so \
@@ -178,7 +179,7 @@
         )
     }
 
-    /// The key stands for another call.
+    /// The key belongs to a different call.
     pub(crate) fn key_reused(request: &RequestId) -> Self {
         let detail = format!("this key stands for another call, request {request}; take a new key");
         Self::not_run(
@@ -189,7 +190,7 @@
         )
     }
 
-    /// The call ran, but its answer was too long to keep.
+    /// The call ran, but its answer was too long to store.
     pub(crate) fn answer_not_kept(status: u16) -> Self {
         let detail = format!(
             "the call ran and was answered with status {status}; the body was too long to keep"
@@ -202,7 +203,7 @@
         )
     }
 
-    /// Admission refused it.
+    /// Admission refused the request; the status depends on the reason.
     pub(crate) fn not_admitted(refusal: &RequestRefusal) -> Self {
         let status = match refusal.reason {
             RefusalReason::RateLimited => StatusCode::TOO_MANY_REQUESTS,
@@ -211,14 +212,14 @@
             | RefusalReason::DeadlineUnreachable
             | RefusalReason::TooManyCustomers => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let told = Self::not_run(status, "not-admitted", "Not admitted", refusal.to_string());
+        let base = Self::not_run(status, "not-admitted", "Not admitted", refusal.to_string());
         Self {
             retry_after: refusal.retry_after,
-            ..told
+            ..base
         }
     }
 
-    /// The same refusal, told as the end of a request that is on record.
+    /// Marks the refusal as already contained in the evidence as the end of its request.
     pub(crate) fn mark_recorded(mut self) -> Self {
         self.recorded = true;
         self
@@ -234,7 +235,7 @@
             .collect()
     }
 
-    /// The problem report for `id`.
+    /// Builds the problem report for request `id`.
     pub(crate) fn report(&self, id: &RequestId) -> ProblemReport {
         ProblemReport {
             type_: format!("urn:pollendrift:problem:{}", self.kind),
@@ -247,7 +248,7 @@
         }
     }
 
-    /// The response to `id`.
+    /// Builds the HTTP response to request `id`.
     pub(crate) fn response(&self, id: &RequestId) -> Response<ResponseBody> {
         let mut response = json_response(self.status, &self.report(id));
         let headers = response.headers_mut();
--- a/crates/daemon/src/entry/selection.rs
+++ b/crates/daemon/src/entry/selection.rs
@@ -1,4 +1,4 @@
-//! Which selector serves a request, and which backend servers it allows.
+//! Selection: chooses the selector for a request and filters the backend servers that it allows.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,14 +17,17 @@
 use crate::admission::{AdmissionTicket, GateRequest};
 use crate::fleet::ServerView;
 
-/// A request that a selector serves, in the configuration that decided.
+/// A request with its selector and the configuration that selected it.
 #[derive(Clone, Debug)]
 pub(super) struct ServedRequest {
     pub(super) configuration: Arc<Configuration>,
     pub(super) selected: SelectedRequest,
 }
 
-/// Acts on every request before it is routed; refuses it where no selector serves it.
+/// Selects the selector for a request; called for every request before it is routed.
+///
+/// # Errors
+/// Refuses the request if no selector serves it or this host's configuration may be stale.
 pub(super) fn select(
     context: &EntryContext,
     facts: &RequestFacts,
@@ -54,8 +57,10 @@
     }
 }
 
-/// Why no selector serves the request; where none names its target, that is said too, since such
-/// selectors are passed over without being considered one by one.
+/// Explains why no selector serves the request.
+///
+/// Selectors that do not name the target are skipped without being considered one by one, so the
+/// text states explicitly if no selector names the target.
 fn refusal_detail(
     configuration: &Configuration,
     facts: &RequestFacts,
@@ -96,7 +101,7 @@
 }
 
 impl ServedRequest {
-    /// Time by which a request that came in at `arrived` must have ended.
+    /// Deadline of a request that arrived at `arrived`.
     pub(super) fn deadline(&self, context: &EntryContext, arrived: MonotonicTime) -> CallDeadline {
         let time = self
             .selected
@@ -106,7 +111,10 @@
         CallDeadline::from_remaining(arrived, time)
     }
 
-    /// Waits for room for a request of `tokens` tokens; 0 for a call of a plain service.
+    /// Waits until the request is admitted; `tokens` is 0 for a call of a plain service.
+    ///
+    /// # Errors
+    /// Refuses the request if the gate does not admit it.
     pub(super) async fn admit(
         &self,
         context: &EntryContext,
@@ -128,7 +136,7 @@
         })
     }
 
-    /// What decided, for the evidence.
+    /// Selection decision, for the evidence.
     pub(super) fn decision(&self) -> DecisionTrace {
         DecisionTrace {
             selector: Some(self.selected.selector.clone()),
@@ -137,12 +145,12 @@
         }
     }
 
-    /// The selector that serves the request.
+    /// Selector that serves the request; `None` if the configuration does not contain it.
     pub(super) fn selector(&self) -> Option<&Selector> {
         self.configuration.selector(self.selected.key)
     }
 
-    /// The servers that may take work at `now` and that the selector allows.
+    /// Filters `servers` to those that the selector allows; none if the selector is missing.
     pub(super) fn allowed(&self, servers: Vec<Arc<ServerView>>) -> Vec<Arc<ServerView>> {
         let Some(selector) = self.selector() else {
             return Vec::new();
--- a/crates/daemon/src/entry/services.rs
+++ b/crates/daemon/src/entry/services.rs
@@ -1,7 +1,7 @@
-//! Any method under `/services/{service}/`: calls of plain services.
+//! Calls of plain services: requests of any method under `/services/{service}/`.
 //!
-//! A call is resent only where it is proved that it did not run, or where it is idempotent. A call
-//! that is not idempotent and carries a key runs under a claim, see [`claimed`].
+//! A call is resent only if it is proved that it did not run, or if it is idempotent. A
+//! non-idempotent call with a key runs under a claim, see [`claimed`].
 
 mod claimed;
 mod proxy;
@@ -29,11 +29,11 @@
 
 use proxy::BufferedAnswer;
 
-/// Header that names a call; a resend carries the same.
+/// Header that contains the idempotency key of a call; a resend contains the same key.
 const KEY_HEADER: &str = "idempotency-key";
 const MAX_KEY_BYTES: usize = 256;
 
-/// A call that is ready to be sent.
+/// An admitted call, ready to be sent.
 struct ServiceCall {
     context: Arc<EntryContext>,
     id: RequestId,
@@ -45,7 +45,10 @@
     deadline: CallDeadline,
 }
 
-/// Acts on a call of a plain service.
+/// Handles a call of a plain service.
+///
+/// # Errors
+/// Refuses the call if it is invalid or not admitted, or if no answer was received.
 pub(super) async fn call(
     context: &Arc<EntryContext>,
     arrival: &RequestArrival,
@@ -60,7 +63,7 @@
     let served = select(context, &facts)?;
     let key = call_key(&request)?;
     let (head, body) = request.into_parts();
-    // Read whole before anything is sent: a caller that breaks off here is truly not run.
+    // The complete body is read before anything is sent: a call that is aborted here did not run.
     let read = read_bounded(body, context.max_body_bytes);
     let body = read_within(context.body_timeout, read)
         .await
@@ -91,27 +94,28 @@
 impl ServiceCall {
     async fn run(&self, mut record: RunningRequest) -> Result<Response<ResponseBody>, Refusal> {
         if !self.is_idempotent() {
-            // Without a claim nothing else would tell of a call that ran when its entry dies now.
-            record.wait_stored().await;
+            // Without a claim, the start record is the only trace of the call if this entry crashes
+            // after sending it.
+            record.wait_until_stored().await;
         }
-        let result = self.attempts(&mut record).await;
+        let result = self.run_attempts(&mut record).await;
         let ending = match &result {
             Ok(answer) => answer.ending(),
             Err(refusal) => RequestEnding::of_refusal(refusal, false),
         };
-        // The end is stored after the beginning, and the whole answer goes out behind it.
+        // The end record is stored after the start record, and the answer is sent after both.
         record.finish(ending).await;
         result
             .map(|answer| proxy::response(answer, &self.id))
             .map_err(Refusal::mark_recorded)
     }
 
-    async fn attempts(&self, record: &mut RunningRequest) -> Result<BufferedAnswer, Refusal> {
-        let mut refusal = self.nobody_serves();
+    async fn run_attempts(&self, record: &mut RunningRequest) -> Result<BufferedAnswer, Refusal> {
+        let mut refusal = self.no_server_refusal();
         let mut lost = None;
-        for (turn, server) in self.servers().iter().enumerate() {
+        for (index, server) in self.servers().iter().enumerate() {
             let result = self.send(server).await;
-            record.attempt(self.trace(turn, server, &result));
+            record.record_attempt(self.trace(index, server, &result));
             let error = match result {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
@@ -120,18 +124,18 @@
                 ClientError::NotSent { reason } => {
                     refusal = Refusal::no_pipeline(format!("{}: {reason}", server.facts.name));
                 }
-                // From here on it may have run, whatever later attempts come to.
+                // The call may have run, whatever the results of later attempts are.
                 error => lost = Some(Refusal::lost_answer(&server.facts.name, error)),
             }
-            if !self.may_resend(turn, &error).await {
+            if !self.may_resend(index, &error).await {
                 break;
             }
         }
         Err(lost.unwrap_or(refusal))
     }
 
-    /// Waits before the next attempt; false if there is none.
-    async fn may_resend(&self, turn: usize, error: &ClientError) -> bool {
+    /// Waits for the back-off before the next attempt; returns false if no resend is allowed.
+    async fn may_resend(&self, index: usize, error: &ClientError) -> bool {
         let kind = if self.is_idempotent() {
             CallKind::Idempotent
         } else {
@@ -141,7 +145,7 @@
             customer: &self.customer,
             kind,
             outcome: send_outcome(error),
-            attempts: u32::try_from(turn).unwrap_or(u32::MAX).saturating_add(1),
+            attempts: u32::try_from(index).unwrap_or(u32::MAX).saturating_add(1),
             deadline: self.deadline,
         };
         match self.context.resends.next_delay(query) {
@@ -153,10 +157,10 @@
         }
     }
 
-    /// One attempt, for the evidence.
+    /// Builds the evidence record of one attempt; `index` counts from 0.
     fn trace(
         &self,
-        turn: usize,
+        index: usize,
         server: &ServerView,
         result: &Result<BufferedAnswer, ClientError>,
     ) -> AttemptTrace {
@@ -165,7 +169,7 @@
             Err(error) => error.to_string(),
         };
         AttemptTrace {
-            attempt: AttemptNumber(u32::try_from(turn).unwrap_or(u32::MAX).saturating_add(1)),
+            attempt: AttemptNumber(u32::try_from(index).unwrap_or(u32::MAX).saturating_add(1)),
             model: None,
             version: None,
             adapter: None,
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Servers that may take the call, the least loaded first.
+    /// Servers that may receive the call, the least loaded first.
     fn servers(&self) -> Vec<Arc<ServerView>> {
         let fleet = &self.context.fleet;
         let now = self.context.clock.now();
@@ -190,9 +194,9 @@
         servers
     }
 
-    /// Sends the call to one server, if it still may take work.
+    /// Sends the call to one server if its lease is still valid.
     async fn send(&self, server: &ServerView) -> Result<BufferedAnswer, ClientError> {
-        // Asked right before the send: between two servers time passes, and leases end.
+        // Checked immediately before the send: leases may expire while earlier servers are tried.
         if !self
             .context
             .fleet
@@ -207,18 +211,18 @@
         let deadline = self.deadline.remaining(self.context.clock.now());
         let answer =
             tokio::time::timeout(deadline, proxy::send(&self.context.client, request)).await;
-        let late = || ClientError::NoAnswer {
+        let timed_out = || ClientError::NoAnswer {
             reason: "no whole answer before the deadline".to_owned(),
         };
-        answer.unwrap_or_else(|_| Err(late()))
+        answer.unwrap_or_else(|_| Err(timed_out()))
     }
 
     fn is_idempotent(&self) -> bool {
-        let labelled = self.served.selected.settings.idempotent;
-        labelled.unwrap_or_else(|| self.head.method.is_idempotent())
+        let label = self.served.selected.settings.idempotent;
+        label.unwrap_or_else(|| self.head.method.is_idempotent())
     }
 
-    fn nobody_serves(&self) -> Refusal {
+    fn no_server_refusal(&self) -> Refusal {
         Refusal::no_pipeline(format!(
             "no backend server offers service {} now",
             self.service
--- a/crates/daemon/src/entry/services/claimed.rs
+++ b/crates/daemon/src/entry/services/claimed.rs
@@ -1,7 +1,7 @@
-//! A call that must run at most once: a claim in the replicated state stands before its first byte.
+//! Calls that must run at most once: the key is claimed in the replicated state before the send.
 //!
-//! The task goes on when its caller goes away: whoever resends the key later must find out what
-//! became of the run.
+//! The task continues when its caller disconnects, so that a later resend of the key receives the
+//! outcome of the run.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -24,32 +24,36 @@
 use crate::entry::record::{RequestEnding, RunningRequest};
 use crate::entry::refusal::Refusal;
 
-/// Pause between two tries to settle a claim while no keeper answers.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
-/// Tries to settle; after them the claim stays in progress until this process's life ends.
-const SETTLE_TRIES: u32 = 120;
-/// Headers of an answer that are kept for resends.
-const KEPT_HEADERS: [HeaderName; 4] = [
+/// Delay between two attempts to settle a claim while no keeper answers.
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Maximum attempts to settle a claim. After them the claim stays in progress until this process's
+/// incarnation ends.
+const MAX_SETTLE_ATTEMPTS: u32 = 120;
+/// Headers of an answer that are stored for resends.
+const STORED_HEADERS: [HeaderName; 4] = [
     header::CONTENT_TYPE,
     header::CONTENT_ENCODING,
     header::ETAG,
     header::LOCATION,
 ];
 
-/// Acts on a call that carries a key and is not idempotent.
+/// Runs a non-idempotent call with a key under a claim.
+///
+/// # Errors
+/// Refuses the call if this process has no incarnation, or if the claim yields no answer.
 pub(super) async fn run(
     call: ServiceCall,
     record: RunningRequest,
     key: String,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let Some(life) = call.context.agreed.incarnation() else {
+    let Some(incarnation) = call.context.agreed.incarnation() else {
         return Err(Refusal::not_ready(
             "the keepers have not yet given this process its life",
         ));
     };
     let ticket = ClaimTicket {
         host: call.context.host.clone(),
-        incarnation: life,
+        incarnation,
         sequence: SequenceNumber(call.context.next_ticket()),
     };
     let scope = ClaimScope {
@@ -63,17 +67,17 @@
         request: call.id.clone(),
         ticket,
     };
-    let (told, verdict) = oneshot::channel();
+    let (reply, result) = oneshot::channel();
     let id = call.id.clone();
     let context = Arc::clone(&call.context);
     let runner = ClaimRunner {
         call,
         record: Some(record),
         answer: None,
-        told: Some(told),
+        reply: Some(reply),
     };
     context.tasks.spawn(runner.run(take));
-    match verdict.await {
+    match result.await {
         Ok(Ok(answer)) => Ok(proxy::response(answer, &id)),
         Ok(Err(refusal)) => Err(refusal.mark_recorded()),
         Err(_) => Err(Refusal::unknown(
@@ -85,39 +89,39 @@
     }
 }
 
-/// The verdict, with the answer in full where this arrival's own run made it.
-struct ToldVerdict {
-    verdict: CallerResponse,
+/// The claim's response, with the complete answer if this call itself ran.
+struct ClaimReply {
+    response: CallerResponse,
     answer: Option<BufferedAnswer>,
 }
 
 struct ClaimRunner {
     call: ServiceCall,
-    /// Taken when the caller has been told.
+    /// `None` once the response has been recorded and sent to the caller.
     record: Option<RunningRequest>,
     answer: Option<BufferedAnswer>,
-    told: Option<oneshot::Sender<Result<BufferedAnswer, Refusal>>>,
+    reply: Option<oneshot::Sender<Result<BufferedAnswer, Refusal>>>,
 }
 
 impl ClaimRunner {
     async fn run(mut self, take: TakeClaim) {
         let (mut claimed, effects) = ClaimedCall::begin(take);
         let mut queue = VecDeque::from(effects);
-        let mut tries = 0;
+        let mut attempts = 0;
         while let Some(effect) = queue.pop_front() {
             let event = match effect {
                 CallEffect::Take(take) => Some(self.take(take).await),
                 CallEffect::Send => Some(self.send().await),
-                CallEffect::Settle(settle) if tries < SETTLE_TRIES => {
-                    tries += 1;
+                CallEffect::Settle(settle) if attempts < MAX_SETTLE_ATTEMPTS => {
+                    attempts += 1;
                     Some(self.settle(settle).await)
                 }
                 CallEffect::Settle(settle) => {
                     log::error!(claim:% = settle.scope; "claim not settled: no keeper answered");
                     None
                 }
-                CallEffect::Respond(verdict) => {
-                    self.tell(verdict).await;
+                CallEffect::Respond(response) => {
+                    self.respond(response).await;
                     None
                 }
             };
@@ -140,14 +144,14 @@
 
     async fn send(&mut self) -> CallEvent {
         if let Some(record) = &self.record {
-            // An entry that dies behind the send must leave evidence of what it began.
-            record.wait_stored().await;
+            // If this entry crashes after the send, the evidence must contain the call's start.
+            record.wait_until_stored().await;
         }
-        for (turn, server) in self.call.servers().into_iter().enumerate() {
+        for (index, server) in self.call.servers().into_iter().enumerate() {
             let result = self.call.send(&server).await;
-            let trace = self.call.trace(turn, &server, &result);
+            let trace = self.call.trace(index, &server, &result);
             if let Some(record) = &mut self.record {
-                record.attempt(trace);
+                record.record_attempt(trace);
             }
             match result {
                 Ok(answer) => {
@@ -155,14 +159,14 @@
                     self.answer = Some(answer);
                     return CallEvent::Answered(stored);
                 }
-                // Proved not to have run there, so the one run is still to be had elsewhere.
+                // The call is proved not to have run on this server, so another one may run it.
                 Err(error @ ClientError::NotSent { .. }) => {
-                    if !self.call.may_resend(turn, &error).await {
+                    if !self.call.may_resend(index, &error).await {
                         break;
                     }
                 }
                 Err(error) => {
-                    log::warn!(request:% = self.call.id, error:% = error; "answer lost");
+                    log::warn!(request:% = self.call.id, error:% = error; "answer lost; the call may have run");
                     return CallEvent::AnswerLost;
                 }
             }
@@ -180,40 +184,40 @@
         {
             Ok(CommandAnswer::Settled(_)) => CallEvent::SettleAnswered,
             _ => {
-                tokio::time::sleep(SETTLE_PAUSE).await;
+                tokio::time::sleep(SETTLE_RETRY_DELAY).await;
                 CallEvent::SettleUnanswered
             }
         }
     }
 
-    async fn tell(&mut self, verdict: CallerResponse) {
-        let reply = ToldVerdict {
-            verdict,
+    async fn respond(&mut self, response: CallerResponse) {
+        let result = ClaimReply {
+            response,
             answer: self.answer.take(),
         }
         .into_answer();
         if let Some(record) = self.record.take() {
-            let ending = match &reply {
+            let ending = match &result {
                 Ok(answer) => answer.ending(),
                 Err(refusal) => RequestEnding::of_refusal(refusal, false),
             };
             record.finish(ending).await;
         }
-        if let Some(told) = self.told.take() {
-            // A caller that went away reads the stored outcome when it resends its key.
-            let _ = told.send(reply);
+        if let Some(reply) = self.reply.take() {
+            // A caller that disconnected receives the stored outcome when it resends its key.
+            let _ = reply.send(result);
         }
     }
 }
 
-impl ToldVerdict {
+impl ClaimReply {
     fn into_answer(self) -> Result<BufferedAnswer, Refusal> {
-        match self.verdict {
+        match self.response {
             CallerResponse::Answer(stored) => match self.answer {
                 Some(answer) => Ok(answer),
-                None => kept_answer(stored),
+                None => restore_answer(stored),
             },
-            CallerResponse::StoredAnswer { answer, .. } => kept_answer(answer),
+            CallerResponse::StoredAnswer { answer, .. } => restore_answer(answer),
             CallerResponse::InProgress { request } => Err(Refusal::in_progress(&request)),
             CallerResponse::Unknown { request } => Err(Refusal::may_have_run(&request)),
             CallerResponse::BodyDiffers { request } => Err(Refusal::key_reused(&request)),
@@ -222,14 +226,14 @@
     }
 }
 
-fn kept_answer(stored: StoredAnswer) -> Result<BufferedAnswer, Refusal> {
+fn restore_answer(stored: StoredAnswer) -> Result<BufferedAnswer, Refusal> {
     let AnswerBody::Whole(body) = stored.body else {
         return Err(Refusal::answer_not_kept(stored.status));
     };
     let mut headers = http::HeaderMap::new();
-    for kept in &stored.headers {
-        let name = HeaderName::from_bytes(kept.name.as_bytes());
-        let value = HeaderValue::from_str(&kept.value);
+    for header in &stored.headers {
+        let name = HeaderName::from_bytes(header.name.as_bytes());
+        let value = HeaderValue::from_str(&header.value);
         if let (Ok(name), Ok(value)) = (name, value) {
             headers.append(name, value);
         }
@@ -243,7 +247,7 @@
 }
 
 fn stored_answer(answer: &BufferedAnswer) -> StoredAnswer {
-    let kept = KEPT_HEADERS.iter().filter_map(|name| {
+    let headers = STORED_HEADERS.iter().filter_map(|name| {
         let value = answer.headers.get(name)?.to_str().ok()?;
         Some(AnswerHeader {
             name: Arc::from(name.as_str()),
@@ -252,12 +256,12 @@
     });
     StoredAnswer {
         status: answer.status.as_u16(),
-        headers: kept.collect(),
+        headers: headers.collect(),
         body: AnswerBody::Whole(answer.body.to_vec()),
     }
 }
 
-/// Digest of everything that makes the call another call.
+/// Digest of the method, the target and the body, which together identify the call.
 fn call_digest(call: &ServiceCall) -> RequestDigest {
     let target = call
         .head
--- a/crates/daemon/src/entry/services/proxy.rs
+++ b/crates/daemon/src/entry/services/proxy.rs
@@ -1,4 +1,4 @@
-//! One call on the wire: what is passed on, and the whole answer that comes back.
+//! Conversion of one call to the upstream request, and of the complete answer to the response.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Request, Response, StatusCode, header, request};
@@ -11,8 +11,8 @@
 use crate::entry::context::REQUEST_ID_HEADER;
 use crate::entry::record::RequestEnding;
 
-/// Headers that belong to one connection and are not passed on.
-const HOP_HEADERS: [HeaderName; 7] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::HOST,
@@ -22,7 +22,7 @@
     header::UPGRADE,
 ];
 
-/// An answer whose whole body has come.
+/// An answer whose body was received completely.
 #[derive(Clone, Debug)]
 pub(super) struct BufferedAnswer {
     pub(super) status: StatusCode,
@@ -31,7 +31,7 @@
 }
 
 impl BufferedAnswer {
-    /// The end of a request that this answers.
+    /// Ending of the request that received this answer.
     pub(super) fn ending(&self) -> RequestEnding {
         RequestEnding {
             outcome: OutcomeKind::Complete,
@@ -42,7 +42,10 @@
     }
 }
 
-/// Sends a call and reads its whole answer: a body that ends early is no answer.
+/// Sends a call and reads its complete answer.
+///
+/// # Errors
+/// Fails if no answer was received or its body ended early.
 pub(super) async fn send(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
@@ -58,7 +61,7 @@
     })
 }
 
-/// The call as the backend server gets it.
+/// Builds the request to the backend server at `address`.
 pub(super) fn upstream_request(
     head: &request::Parts,
     service: &ServiceName,
@@ -79,12 +82,12 @@
             reason: error.to_string(),
         })?;
     copy_headers(&head.headers, request.headers_mut());
-    // The caller's credential is for this router alone.
+    // The caller's credential is meant for this router only.
     request.headers_mut().remove(header::AUTHORIZATION);
     Ok(request)
 }
 
-/// The answer as the caller gets it.
+/// Builds the response to the caller of request `id`.
 pub(super) fn response(answer: BufferedAnswer, id: &RequestId) -> Response<ResponseBody> {
     let mut response = Response::new(full_body(answer.body));
     *response.status_mut() = answer.status;
@@ -97,7 +100,7 @@
 
 fn copy_headers(from: &HeaderMap, into: &mut HeaderMap) {
     for (name, value) in from {
-        if !HOP_HEADERS.contains(name) {
+        if !HOP_BY_HOP_HEADERS.contains(name) {
             into.append(name.clone(), value.clone());
         }
     }
--- a/crates/daemon/src/entry/stream.rs
+++ b/crates/daemon/src/entry/stream.rs
@@ -1,4 +1,4 @@
-//! What the caller of a draft reads: events or one whole answer.
+//! Response formats of a draft: server-sent events or one buffered answer.
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -10,12 +10,12 @@
 
 use super::context::REQUEST_ID_HEADER;
 
-/// Shape of the reply.
+/// Response schema of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyFormat {
-    /// That of `/v1/completions`.
+    /// Schema of `/v1/completions`.
     Completion,
-    /// That of `/v1/chat/completions`.
+    /// Schema of `/v1/chat/completions`.
     Chat,
 }
 
@@ -54,7 +54,7 @@
     completion_tokens: usize,
 }
 
-/// Makes the events and answers of one draft.
+/// Writes the events and the buffered answer of one draft.
 #[derive(Clone, Debug)]
 pub(super) struct ReplyWriter {
     pub(super) id: RequestId,
@@ -63,13 +63,13 @@
 }
 
 impl ReplyWriter {
-    /// Sends one token; false once the caller has gone away.
-    pub(super) async fn token(&self, sender: &BodySender, token: &ReleasedToken) -> bool {
+    /// Sends one token; returns false once the caller has disconnected.
+    pub(super) async fn send_token(&self, sender: &BodySender, token: &ReleasedToken) -> bool {
         let reply = self.reply(Some(token.position.0), token.token.text.as_ref(), None);
         sender.send(event_line(token.position.0, &reply)).await
     }
 
-    /// Ends a whole answer: the reason, then the mark that says complete.
+    /// Ends a complete answer: sends the finish reason, then the `[DONE]` marker.
     pub(super) async fn finish(&self, sender: BodySender, count: u32, reason: &str) {
         let reply = self.reply(Some(count), "", Some(reason));
         sender.send(event_line(count, &reply)).await;
@@ -77,7 +77,7 @@
         sender.finish().await;
     }
 
-    /// Ends an answer that can't be completed, so that silence never looks like an end.
+    /// Ends an incomplete answer with an error event, so that it never looks like a complete one.
     pub(super) async fn fail(&self, sender: BodySender, report: &ProblemReport) {
         let body = serde_json::to_string(report).unwrap_or_default();
         sender
@@ -86,7 +86,7 @@
         sender.finish().await;
     }
 
-    /// The head of an event stream over `body`.
+    /// Builds the response that streams events from `body`.
     pub(super) fn stream_response(&self, body: ResponseBody) -> Response<ResponseBody> {
         let mut response = Response::new(body);
         let headers = response.headers_mut();
@@ -99,7 +99,7 @@
         response
     }
 
-    /// A whole answer in one body.
+    /// Builds the response that contains the complete answer in one body.
     pub(super) fn buffered_response(
         &self,
         tokens: &[GeneratedToken],
--- a/crates/daemon/src/resend.rs
+++ b/crates/daemon/src/resend.rs
@@ -1,4 +1,4 @@
-//! Resends at this entry: whether a failed attempt is followed by another, within the budgets.
+//! Resend policy of this entry: decides whether a failed attempt is retried within the budgets.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,29 +12,29 @@
 
 use crate::clock::TimeSource;
 
-/// A request that may be sent again.
+/// A failed request for which a resend is considered.
 #[derive(Clone, Copy, Debug)]
 pub struct ResendQuery<'query> {
-    /// Whose request it is.
+    /// Customer that sent the request.
     pub customer: &'query CustomerName,
-    /// What sending it twice would do.
+    /// Whether the request may safely run more than once.
     pub kind: CallKind,
-    /// How the last attempt ended.
+    /// Result of the last attempt.
     pub outcome: SendOutcome,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Time by which it must have ended.
+    /// Time by which the request must have ended.
     pub deadline: CallDeadline,
 }
 
-/// Decides on resends within the customers' budgets.
+/// Decides whether requests are resent, within each customer's retry budget.
 pub struct ResendPolicy {
     budgets: Mutex<BudgetTable>,
     clock: Arc<dyn TimeSource>,
 }
 
 impl ResendPolicy {
-    /// A desk with full budgets.
+    /// Creates a policy in which every customer has a full budget.
     pub fn new(settings: RetrySettings, clock: Arc<dyn TimeSource>) -> Self {
         Self {
             budgets: Mutex::new(BudgetTable::new(settings)),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes a first attempt, which earns a part of a retry.
+    /// Records a first attempt, which adds a fraction of a retry to the customer's budget.
     pub fn record_first_attempt(&self, customer: &CustomerName) {
         let now = self.clock.now();
         self.budgets
@@ -51,10 +51,10 @@
             .record_call(now, customer);
     }
 
-    /// The wait before the next attempt, or why there is none.
+    /// Returns the back-off before the next attempt and takes the retry from the budget.
     ///
     /// # Errors
-    /// The request is not sent again; the text says why.
+    /// Returns the reason if the request must not be resent.
     pub fn next_delay(&self, query: ResendQuery<'_>) -> Result<Duration, String> {
         let failed = FailedAttempt {
             customer: query.customer,
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a client's error says of an attempt.
+/// Converts an HTTP client error to the outcome of an attempt.
 pub fn send_outcome(error: &ClientError) -> SendOutcome {
     match error {
         ClientError::NotSent { .. } => SendOutcome::NotConnected,
