--- a/crates/daemon/src/entry/draft/progress.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -34,7 +34,7 @@
         resume.finish
     }
 
-    /// Replicates tokens to another host before they are sent to the caller.
+    /// Sends tokens to another host before they are sent to the caller; does not wait for receipt.
     pub(super) fn replicate_tokens(&mut self, tokens: &[ReleasedToken], finish: Option<String>) {
         let Some(ledger) = self.ledger.as_ref().filter(|_| self.job.stream) else {
             return;
--- a/crates/daemon/tests/hosts/bad_input.rs
+++ b/crates/daemon/tests/hosts/bad_input.rs
@@ -1,4 +1,4 @@
-//! What a stranger sends meets a clear refusal each time, and the host goes on serving.
+//! Tests that malformed input is refused with a clear answer and does not stop the host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,13 +9,14 @@
 
 use crate::support::HostGroup;
 
-/// Longest wait for an answer; only a failure waits so long.
-const GUARD: Duration = Duration::from_secs(20);
-/// Tight bounds, so that each is met quickly.
-const BOUNDS: &str = "entry: {max_header_count: 16, max_header_bytes: 8KiB, max_body_bytes: 1MiB, \
-                      head_timeout: 300ms, body_timeout: 300ms, max_connections_per_address: 24}\n";
+/// Longest wait for an answer; only a failing test waits that long.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Low limits, so that each input reaches its limit quickly.
+const LOW_LIMITS: &str = "entry: {max_header_count: 16, max_header_bytes: 8KiB, \
+                          max_body_bytes: 1MiB, head_timeout: 300ms, body_timeout: 300ms, \
+                          max_connections_per_address: 24}\n";
 
-/// One thing that a stranger sends.
+/// One malformed request of an untrusted client.
 struct BadInput {
     name: &'static str,
     bytes: Vec<u8>,
@@ -98,31 +99,33 @@
     ]
 }
 
-/// Status line and the kind of the problem; a closed connection says so.
+/// Sends `bytes` and returns the status with the start of the problem's detail, or `closed`.
 async fn answer(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let (mut read, mut write) = stream.split();
     let mut seen = Vec::new();
     let exchange = async {
-        // A host that refuses before the end closes while this still writes.
+        // A host that refuses early closes the connection while the request is still being written.
         let sending = async { drop(write.write_all(bytes).await) };
         let reading = async { drop(read.read_to_end(&mut seen).await) };
         tokio::join!(sending, reading);
     };
-    tokio::time::timeout(GUARD, exchange).await.unwrap();
+    tokio::time::timeout(TIMEOUT, exchange).await.unwrap();
     let text = String::from_utf8_lossy(&seen).into_owned();
     let status = text.split(' ').nth(1).unwrap_or("closed").to_owned();
     let body = text.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let problem: serde_json::Value = serde_json::from_str(body).unwrap_or_default();
     let detail = problem["detail"].as_str().unwrap_or(body).trim();
-    let words: String = detail.chars().take(90).collect();
-    format!("{status} {words}").trim().to_owned()
+    let excerpt: String = detail.chars().take(90).collect();
+    format!("{status} {excerpt}").trim().to_owned()
 }
 
+// Guards against malformed, oversized or incomplete input that gets an unclear answer or stops the
+// host. A valid call afterwards must still be handled.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_bad_input_gets_a_clear_answer() {
     let mut group = HostGroup::stopped(1, 1);
-    group.add_settings(0, BOUNDS);
+    group.add_settings(0, LOW_LIMITS);
     let group = group.start_all().await;
     let address = group.builder.hosts()[0].entry;
     let mut table = Vec::new();
@@ -158,12 +161,13 @@
     ");
 }
 
-// A stranger opens connections and sends nothing. Those beyond the bound are closed at once; the
-// others are closed when no head came in time, and the next caller is served.
+// Guards against idle connections that block other callers. An untrusted client opens connections
+// and sends nothing: those above the limit are closed immediately, the others after the head
+// timeout. The next caller is then served.
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_without_requests_are_bounded_in_number_and_time() {
+async fn idle_connections_are_limited_in_number_and_time() {
     let mut group = HostGroup::stopped(1, 1);
-    group.add_settings(0, BOUNDS);
+    group.add_settings(0, LOW_LIMITS);
     let group = group.start_all().await;
     let address = group.builder.hosts()[0].entry;
     let mut idle = Vec::new();
@@ -173,7 +177,7 @@
     let mut closed = 0;
     for mut stream in idle {
         let mut byte = [0];
-        let read = tokio::time::timeout(GUARD, stream.read(&mut byte)).await;
+        let read = tokio::time::timeout(TIMEOUT, stream.read(&mut byte)).await;
         closed += usize::from(read.is_ok_and(|read| !matches!(read, Ok(1..))));
     }
     assert_eq!(closed, 40);
--- a/crates/daemon/tests/hosts/claims.rs
+++ b/crates/daemon/tests/hosts/claims.rs
@@ -1,4 +1,4 @@
-//! Calls that must run at most once, resent through other entries and over failures.
+//! Tests that calls with an idempotency key run at most once when resent through other entries.
 
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, loopback};
 use pollendrift_standins::load::{CallOutcome, ServiceCaller};
@@ -6,7 +6,7 @@
 
 use crate::support::HostGroup;
 
-async fn portal(group: &HostGroup) -> PlainService {
+async fn start_portal(group: &HostGroup) -> PlainService {
     let mut service = PlainService::start("portal-1", "portal", loopback())
         .await
         .unwrap();
@@ -19,8 +19,8 @@
     ServiceCaller::new(&group.entry(index), CUSTOMER_TOKEN)
 }
 
-/// What a caller was told, without the words that differ between runs.
-fn told(outcome: &CallOutcome) -> &'static str {
+/// Kind of a call's outcome, without the details that differ between runs.
+fn outcome_kind(outcome: &CallOutcome) -> &'static str {
     match outcome {
         CallOutcome::Answered(_) => "answered",
         CallOutcome::NotRun(_) | CallOutcome::NotSent(_) => "not run",
@@ -28,20 +28,23 @@
     }
 }
 
-// The caller loses the answer and resends its key through another entry, as the balancer does. The
-// first arrival claimed the key before its first byte, so the second gets the stored answer. The
-// same key with another body is refused, and what was refused did not run.
+// Guards against a second run of a call that is resent through another entry, as the load balancer
+// does. The first call claims the key before it is sent, so resends get the stored answer. The same
+// key with another body is refused and does not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_runs_once_whatever_entry_it_comes_to() {
+async fn a_key_runs_once_through_any_entry() {
     let group = HostGroup::start(4, 3).await;
-    let service = portal(&group).await;
+    let service = start_portal(&group).await;
     let mut seen = Vec::new();
     let mut answers = Vec::new();
     for (entry, body) in [(0, "a"), (1, "a"), (3, "a"), (2, "other")] {
         let outcome = caller(&group, entry)
             .post("portal", "filings", "key-1", body)
             .await;
-        seen.push(format!("entry {entry}, body {body}: {}", told(&outcome)));
+        seen.push(format!(
+            "entry {entry}, body {body}: {}",
+            outcome_kind(&outcome)
+        ));
         if let CallOutcome::Answered(answer) = outcome {
             answers.push(answer);
         }
@@ -59,25 +62,26 @@
     "#);
 }
 
-// The caller is told `unknown`, and stays told so: the backend server ran the call and its link
-// broke before the answer. Nobody can know more, so no resend may run the call again.
+// Guards against a second run of a call whose answer was lost. The backend server runs the call and
+// the connection breaks before the answer. The outcome can't be determined later, so each resend
+// gets `unknown`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_unknown_and_never_run_again() {
+async fn a_call_with_a_lost_answer_stays_unknown_and_is_not_run_again() {
     let group = HostGroup::start(3, 3).await;
-    let service = portal(&group).await;
+    let service = start_portal(&group).await;
     service.cut_before_answer(true);
     let mut seen = Vec::new();
     for entry in [0, 1] {
         let outcome = caller(&group, entry)
             .post("portal", "filings", "key-2", "a")
             .await;
-        seen.push(format!("cut, entry {entry}: {}", told(&outcome)));
+        seen.push(format!("cut, entry {entry}: {}", outcome_kind(&outcome)));
     }
     service.cut_before_answer(false);
     let outcome = caller(&group, 2)
         .post("portal", "filings", "key-2", "a")
         .await;
-    seen.push(format!("healed, entry 2: {}", told(&outcome)));
+    seen.push(format!("healed, entry 2: {}", outcome_kind(&outcome)));
     seen.push(format!("runs: {:?}", service.runs()));
     insta::assert_snapshot!(seen.join("\n"), @r#"
     cut, entry 0: unknown
@@ -87,24 +91,27 @@
     "#);
 }
 
-// The entry dies between the send and the answer. Its caller sees a broken connection and resends
-// through another entry. The claim is in the replicated state, and when the dead host starts
-// again, its new life ends what the old one held: the resend is told `unknown`, not run again.
+// Guards against a second run of a call whose entry crashed between send and answer. The caller
+// resends through other entries. The claim is in the replicated state; when the host restarts, its
+// new incarnation ends the claims of the old one, and the resend gets `unknown`.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_dies_between_send_and_answer_leaves_its_claim() {
+async fn a_claim_survives_its_entry_that_crashes_between_send_and_answer() {
     let mut group = HostGroup::start(4, 3).await;
-    let service = portal(&group).await;
+    let service = start_portal(&group).await;
     service.set_delay(std::time::Duration::from_secs(3_600));
     let first = caller(&group, 3);
     let sent = tokio::spawn(async move { first.post("portal", "filings", "key-3", "a").await });
     crate::support::wait_until(|| service.runs().contains_key("key-3")).await;
     group.crash(3);
-    let mut seen = vec![format!("entry 3 dies: {}", told(&sent.await.unwrap()))];
+    let mut seen = vec![format!(
+        "entry 3 dies: {}",
+        outcome_kind(&sent.await.unwrap())
+    )];
     service.set_delay(std::time::Duration::ZERO);
     let outcome = caller(&group, 1)
         .post("portal", "filings", "key-3", "a")
         .await;
-    seen.push(format!("entry 1: {}", told(&outcome)));
+    seen.push(format!("entry 1: {}", outcome_kind(&outcome)));
     group.restart(3).await;
     group
         .wait_revision(3, pollendrift_coordination::base::Revision(1))
@@ -112,7 +119,10 @@
     let outcome = caller(&group, 2)
         .post("portal", "filings", "key-3", "a")
         .await;
-    seen.push(format!("entry 2 after the restart: {}", told(&outcome)));
+    seen.push(format!(
+        "entry 2 after the restart: {}",
+        outcome_kind(&outcome)
+    ));
     seen.push(format!("runs: {:?}", service.runs()));
     insta::assert_snapshot!(seen.join("\n"), @r#"
     entry 3 dies: unknown
@@ -122,12 +132,12 @@
     "#);
 }
 
-// The caller is told `not run`, and may resend: the keepers' quorum is gone before the claim, so
-// nothing was sent. With the quorum back, the same key runs, once.
+// Guards against a call that is sent without a claim. The keepers' quorum is lost before the claim,
+// so the call is refused as not run. Once the quorum is restored, the same key runs once.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_quorum_nothing_is_sent() {
+async fn a_call_is_not_sent_without_a_keeper_quorum() {
     let mut group = HostGroup::start(4, 3).await;
-    let service = portal(&group).await;
+    let service = start_portal(&group).await;
     group.crash(0);
     group.crash(1);
     let outcome = caller(&group, 3)
@@ -135,7 +145,7 @@
         .await;
     let mut seen = vec![format!(
         "quorum lost: {}, runs {:?}",
-        told(&outcome),
+        outcome_kind(&outcome),
         service.runs()
     )];
     group.restart(0).await;
@@ -150,7 +160,7 @@
         .await;
     seen.push(format!(
         "quorum back: {}, runs {:?}",
-        told(&outcome),
+        outcome_kind(&outcome),
         service.runs()
     ));
     insta::assert_snapshot!(seen.join("\n"), @r#"
--- a/crates/daemon/tests/hosts/configuration.rs
+++ b/crates/daemon/tests/hosts/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration stays in force, through losses, races and restarts.
+//! Tests that an accepted configuration survives conflicting changes, crashes and restarts.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     format!("{SELECTORS}---\nkind: selector\nname: {name}\nmodel: other-{name}\n")
 }
 
-fn told(answer: Option<&ChangeAnswer>) -> String {
+fn describe(answer: Option<&ChangeAnswer>) -> String {
     match answer {
         Some(ChangeAnswer::Accepted { revision, .. }) => format!("accepted as {revision}"),
         Some(ChangeAnswer::Conflict(conflict)) => {
@@ -31,26 +31,27 @@
     }
 }
 
-// Operators race with one number, each through another host, and resend. Exactly one wins, the
-// others are told which, and each resend gets its first answer, also after later changes, a crash
-// of all hosts and their restart.
+// Guards against two accepted changes on one revision, and against resends that get another answer
+// than the first. Twelve changes through four hosts are based on the same revision; those that lose
+// are answered with the id of the accepted one. Each is resent after a later change, a crash of all
+// hosts and their restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_equal_numbers_one_wins_and_resends_get_their_first_answer() {
+async fn one_of_many_conflicting_changes_is_accepted_and_resends_repeat_the_answer() {
     let mut group = HostGroup::start(4, 3).await;
     let mut first = Vec::new();
-    let racers = (0..12).map(|racer| {
+    let changes = (0..12).map(|change| {
         let group = &group;
         async move {
-            let text = selectors_with(&format!("racer-{racer}"));
-            told(
+            let text = selectors_with(&format!("racer-{change}"));
+            describe(
                 group
-                    .change(racer % 4, &format!("race-{racer}"), Revision(1), &text)
+                    .change(change % 4, &format!("race-{change}"), Revision(1), &text)
                     .await
                     .as_ref(),
             )
         }
     });
-    first.extend(futures_util::future::join_all(racers).await);
+    first.extend(futures_util::future::join_all(changes).await);
     let winners = first
         .iter()
         .filter(|answer| answer.starts_with("accepted"))
@@ -63,7 +64,7 @@
         .iter()
         .filter(|answer| **answer == format!("conflict with race-{winner}"))
         .count();
-    let later = told(
+    let later = describe(
         group
             .change(1, "later", Revision(2), SELECTORS)
             .await
@@ -77,12 +78,17 @@
     }
     group.wait_revision(3, Revision(3)).await;
     let mut same = 0;
-    for (racer, answer) in first.iter().enumerate() {
-        let text = selectors_with(&format!("racer-{racer}"));
-        let again = group
-            .change(3 - racer % 4, &format!("race-{racer}"), Revision(1), &text)
+    for (change, answer) in first.iter().enumerate() {
+        let text = selectors_with(&format!("racer-{change}"));
+        let resent = group
+            .change(
+                3 - change % 4,
+                &format!("race-{change}"),
+                Revision(1),
+                &text,
+            )
             .await;
-        same += usize::from(told(again.as_ref()) == *answer);
+        same += usize::from(describe(resent.as_ref()) == *answer);
     }
     insta::assert_snapshot!(
         format!("winners {winners}, told of the winner {losers}, later {later}, same after restart {same}"),
@@ -90,10 +96,11 @@
     );
 }
 
-// Operators lose the leader, and then a second keeper right after the first came back. Every
-// accepted change is in force at every host in the end, and none is lost.
+// Guards against the loss of accepted changes when keepers crash one after another. Each keeper,
+// the leader first, crashes, misses a change and restarts; the next one crashes as soon as the
+// restarted one has caught up. Every host must have every change in force in the end.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_second_loss_after_the_first_repair_loses_nothing() {
+async fn changes_survive_keepers_that_crash_one_after_another() {
     let mut group = HostGroup::start(4, 3).await;
     let mut revision = Revision(1);
     let mut seen = Vec::new();
@@ -102,7 +109,7 @@
         let id = format!("without-{lost}");
         let text = selectors_with(&id);
         let answer = group.change(3, &id, revision, &text).await;
-        seen.push(format!("host {lost} lost: {}", told(answer.as_ref())));
+        seen.push(format!("host {lost} lost: {}", describe(answer.as_ref())));
         revision = revision.next();
         group.restart(lost).await;
         group.wait_revision(lost, revision).await;
@@ -117,11 +124,11 @@
     ");
 }
 
-// The caller of a cut-off entry is refused, truly not run, rather than served by a configuration
-// that may be replaced by now; a caller whose stream runs gets its whole answer. The entry loses
-// every keeper at once; its lease counts from its last question that was answered.
+// Guards against an isolated entry that serves new requests by a configuration that may have been
+// replaced. All keepers crash, so the entry's lease expires, counted from its last answered query.
+// New drafts are refused as not run; a running stream completes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_entry_refuses_new_work_and_finishes_what_runs() {
+async fn an_isolated_entry_refuses_new_requests_and_completes_running_ones() {
     let shape = ModelShape::default();
     let weights = StandInWeights::new(&shape.model, &shape.version, None, shape.layers);
     let prompt = "clause note on anchors";
@@ -138,16 +145,16 @@
     }
     group.wait_servers(engines.len()).await;
     let caller = DraftCaller::new(&group.entry(3), CUSTOMER_TOKEN);
-    let begun = Arc::new(tokio::sync::Notify::new());
-    let seen = Arc::clone(&begun);
+    let started = Arc::new(tokio::sync::Notify::new());
+    let first_token = Arc::clone(&started);
     let streaming = caller.clone();
     let running = tokio::spawn(async move {
         streaming
-            .draft("draft", prompt, 200, |_| seen.notify_one())
+            .draft("draft", prompt, 200, |_| first_token.notify_one())
             .await
             .unwrap()
     });
-    begun.notified().await;
+    started.notified().await;
     for keeper in 0..3 {
         group.crash(keeper);
     }
@@ -158,12 +165,12 @@
         .unwrap()
         .refusal
         .unwrap();
-    let whole = running
+    let result = running
         .await
         .unwrap()
         .check(&expected_answer(&weights, prompt, 200));
     insta::assert_snapshot!(
-        format!("new: {} {}, running: {whole:?}", refusal.status, refusal.outcome),
+        format!("new: {} {}, running: {result:?}", refusal.status, refusal.outcome),
         @"new: 503 not-run, running: Ok(())"
     );
 }
--- a/crates/daemon/tests/hosts/drafts.rs
+++ b/crates/daemon/tests/hosts/drafts.rs
@@ -1,4 +1,4 @@
-//! Drafts stay whole through faulty, silent and dying engines.
+//! Tests that drafts are complete and correct when engines are faulty, stall or crash.
 
 use pollendrift_standins::caller::{DraftCaller, DraftReply};
 use pollendrift_standins::engine::{EngineServer, EngineSettings};
@@ -11,7 +11,7 @@
 const PROMPT: &str = "switching sequence for the feed pump";
 const TOKENS: u32 = 20;
 
-/// One host over engines that it has heard of.
+/// One host with engines that have announced themselves to it.
 struct OneHost {
     _group: HostGroup,
     engines: Vec<EngineServer>,
@@ -60,22 +60,22 @@
             .unwrap()
     }
 
-    /// What the caller saw, in one line.
-    async fn verdict(&self) -> String {
+    /// Runs a draft; returns `whole` if the answer is as expected, otherwise the difference.
+    async fn draft_result(&self) -> String {
         let reply = self.draft().await;
         match reply.check(&self.expected()) {
             Ok(()) => "whole".to_owned(),
-            Err(fault) => fault.to_string(),
+            Err(error) => error.to_string(),
         }
     }
 }
 
-// The caller sees one whole answer, whatever one engine does to its events. The engine is the
-// first stage of the pipeline, so all tokens pass through it. The ledger drops doubled tokens,
-// orders swapped ones, and starts another attempt where a stream is cut, falls silent or names a
-// chain that is not whole; the second pipeline goes on from the last token that was released.
+// Guards against engine faults that change the answer. The faulty engine is the first stage, so all
+// tokens pass through it. The ledger drops duplicates and reorders swapped tokens. A stream that is
+// cut, stalls or has an incomplete chain fails its attempt; the next pipeline continues after the
+// last released token.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_faulty_engine_never_shows_in_the_answer() {
+async fn a_faulty_engine_does_not_change_the_answer() {
     type Fault = fn(&EngineServer);
     let cases: [(&str, Fault); 5] = [
         ("doubled tokens", |engine| {
@@ -95,10 +95,14 @@
     let mut seen = Vec::new();
     for (name, fault) in cases {
         let host = OneHost::start(8).await;
-        // Either engine of the first span may be chosen; the other one serves the second attempt.
+        // The planner may choose either engine of the first span; the other one serves the second
+        // attempt.
         for chosen in [0, 4] {
             fault(&host.engines[chosen]);
-            seen.push(format!("{name}, engine {chosen}: {}", host.verdict().await));
+            seen.push(format!(
+                "{name}, engine {chosen}: {}",
+                host.draft_result().await
+            ));
             reset(&host.engines[chosen]);
         }
     }
@@ -124,58 +128,59 @@
     engine.faults().skip_layer(false);
 }
 
-// The caller sees a whole answer although a stage in the middle dies with its KV state. The stage
-// before it reports the failure, the entry excludes the dead stage, and the next attempt replays
-// the prefix on the spare engine while the other stages keep their KV.
+// Guards against a lost answer when a middle stage crashes with its KV state. The stage before it
+// reports the failure and the entry excludes the crashed stage. The next attempt replays the prefix
+// on the spare engine; the other stages keep their KV.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stage_that_dies_midway_is_replaced() {
+async fn a_stage_that_crashes_during_a_draft_is_replaced() {
     let mut host = OneHost::start(8).await;
     let mut seen = Vec::new();
-    // Both engines of span 1 in turn; the second time the host has learnt of the first's death.
+    // This engine of span 1 crashes during the first draft; at the second draft, the host knows of
+    // the crash.
     let engine = host.engines.remove(5);
     let expected = host.expected();
-    let mut victim = Some(engine);
-    let mut shown = 0;
+    let mut crashing = Some(engine);
+    let mut token_count = 0;
     let reply = host
         .caller
         .draft("draft", PROMPT, TOKENS, |_| {
-            shown += 1;
-            if shown == 5 {
-                drop(victim.take());
+            token_count += 1;
+            if token_count == 5 {
+                drop(crashing.take());
             }
         })
         .await
         .unwrap();
     seen.push(format!("{:?}", reply.check(&expected)));
-    seen.push(host.verdict().await);
+    seen.push(host.draft_result().await);
     insta::assert_snapshot!(seen.join("\n"), @r"
     Ok(())
     whole
     ");
 }
 
-// The caller is told `not-run`, and it is true: no engine holds the last layers, so nothing was
-// sent. After the first token the same loss must be told as an unknown outcome.
+// Guards against an `unknown` refusal of a draft that did not run. No engine serves the last
+// layers, so nothing is sent. After the first token the same failure must be reported as `unknown`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_missing_span_is_refused_as_not_run() {
+async fn a_draft_without_a_complete_pipeline_is_refused_as_not_run() {
     let host = OneHost::start(3).await;
     let refusal = host.draft().await.refusal.unwrap();
     insta::assert_snapshot!(format!("{} {} {}", refusal.status, refusal.outcome, refusal.detail), @"503 not-run no route: no engine holds layer 24 of version v1");
 }
 
-// The caller goes away in the middle of a stream. Every engine of the pipeline forgets the
-// sequence, so no slot computes for nobody.
+// Guards against engines that keep computing for a disconnected caller. The caller disconnects
+// during a stream, and every engine of the pipeline must close the sequence.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_goes_away_frees_its_engines() {
+async fn a_disconnected_caller_frees_its_engines() {
     let host = OneHost::start(4).await;
-    let first = tokio::sync::Notify::new();
+    let first_token = tokio::sync::Notify::new();
     {
         let draft = host
             .caller
-            .draft("draft", PROMPT, 2_000, |_| first.notify_one());
+            .draft("draft", PROMPT, 2_000, |_| first_token.notify_one());
         tokio::select! {
             reply = draft => panic!("ended early: {reply:?}"),
-            () = first.notified() => {}
+            () = first_token.notified() => {}
         }
     }
     let freed = async {
@@ -192,33 +197,34 @@
         .unwrap();
 }
 
-// The caller sees one whole answer although more stages die than attempts are allowed. Each attempt
-// brings some tokens before its first stage is cut, so the answer moves on; the bound on attempts
-// is there for answers that do not.
+// Guards against an attempt limit that ends drafts that still make progress. More first stages fail
+// than attempts are allowed, but each attempt produces some tokens before its stream is cut. The
+// limit applies only to attempts without progress.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_answer_outlives_more_stages_than_attempts_are_allowed() {
+async fn a_draft_with_progress_survives_more_failures_than_the_attempt_limit() {
     let host = OneHost::start(24).await;
     for engine in host.engines.iter().step_by(4) {
         engine.faults().cut_after_tokens(4);
     }
-    insta::assert_snapshot!(host.verdict().await, @"whole");
+    insta::assert_snapshot!(host.draft_result().await, @"whole");
 }
 
-// The caller is told `not-run`, and it is true: every engine of the first span refuses the work by
-// its own word before a layer runs, since it holds another version than it announced. Told
-// `unknown`, the caller would have to ask somebody what became of a draft that never began.
+// Guards against an `unknown` refusal of a draft that no engine started. Every engine of the first
+// span serves another version than it announced and refuses the work before a layer runs. After
+// `unknown`, the caller would have to find out whether the draft ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn engines_that_prove_that_nothing_started_make_a_true_not_run() {
+async fn a_draft_that_every_engine_refused_to_start_is_not_run() {
     let host = OneHost::start(4).await;
     host.engines[0].faults().refuse_work(true);
     let refusal = host.draft().await.refusal.unwrap();
     insta::assert_snapshot!(format!("{} {}", refusal.status, refusal.outcome), @"503 not-run");
 }
 
-// The caller misspells the model. No selector names it, so none is considered one by one; the
-// refusal must still say what was looked at, or the caller asks an operator what went wrong.
+// Guards against a refusal without a reason. The caller misspells the model; no selector names it,
+// so none is listed as considered. The refusal must still name the model and the number of
+// selectors, or the caller has to ask an operator.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_model_that_no_selector_names_is_refused_by_name() {
+async fn the_refusal_of_an_unknown_model_names_the_model() {
     let host = OneHost::start(1).await;
     let reply = host
         .caller
--- a/crates/daemon/tests/hosts/evidence.rs
+++ b/crates/daemon/tests/hosts/evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence tells of every request what its caller saw, also of those that a host refused early.
+//! Tests that evidence agrees with the responses that callers received, early refusals included.
 
 use std::time::Duration;
 
@@ -55,17 +55,17 @@
     String::from_utf8(body.to_vec()).unwrap()
 }
 
-/// Missing and false requests in the export of one host, made at once.
-async fn inspected(group: &HostGroup, sent: &[SentRequest], host: usize) -> (usize, usize) {
+/// Numbers of requests that are missing or wrong in one host's export, which is made immediately.
+async fn evidence_errors(group: &HostGroup, sent: &[SentRequest], host: usize) -> (usize, usize) {
     let report = inspect(sent, &export(group, host).await).unwrap();
     (report.missing.len(), report.untrue.len())
 }
 
-// Callers send to all entries while one of them, no keeper, dies without warning and comes back. It
-// refuses what comes before it has its life. Every request, refusals included, is in evidence as
-// its caller saw it, since a caller gets an end or a refusal only once keepers have the record.
+// Guards against responses that are missing from the evidence. One entry, not a keeper, crashes
+// under load and restarts; it refuses requests until it has an incarnation. A caller gets an end or
+// a refusal only after the keepers have stored its record.
 #[tokio::test(flavor = "multi_thread")]
-async fn evidence_agrees_with_callers_while_an_entry_dies() {
+async fn evidence_agrees_with_callers_when_an_entry_crashes() {
     let mut group = HostGroup::start(4, 3).await;
     let _engines = engines(&group).await;
     let mut service = PlainService::start("portal-1", "portal", loopback())
@@ -82,9 +82,16 @@
     let mut sent = first.await.unwrap().sent;
     group.restart(3).await;
     sent.extend(run_load(&plan(&group, "second")).await.sent);
-    let ended = sent.iter().filter(|request| request.received > 0).count();
-    assert!(ended > 20, "{ended} requests got an answer");
+    let answered = sent.iter().filter(|request| request.received > 0).count();
+    assert!(
+        answered > 20,
+        "{answered} requests got an answer, expected more than 20"
+    );
     for host in 0..4 {
-        assert_eq!(inspected(&group, &sent, host).await, (0, 0), "host {host}");
+        assert_eq!(
+            evidence_errors(&group, &sent, host).await,
+            (0, 0),
+            "host {host}"
+        );
     }
 }
--- a/crates/daemon/tests/hosts/main.rs
+++ b/crates/daemon/tests/hosts/main.rs
@@ -1,4 +1,4 @@
-//! Whole daemons under failure, over real loopback connections with stand-in backend servers.
+//! Daemons under failure, over loopback connections with stand-in backend servers.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 mod bad_input;
--- a/crates/daemon/tests/hosts/metrics.rs
+++ b/crates/daemon/tests/hosts/metrics.rs
@@ -1,4 +1,4 @@
-//! Every instrument of the metrics page is recorded by a host that has served.
+//! Tests that a host records every instrument of the metrics page after serving requests.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::support::HostGroup;
 
 const PAGE: &str = include_str!("../../../../docs/operators/metrics.md");
-/// Longest wait for the reading of the tables, which comes every second.
-const GUARD: Duration = Duration::from_secs(10);
+/// Longest wait for the gauges of the tables, which are updated every second.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 fn page_names() -> BTreeSet<String> {
     let rows = PAGE
@@ -43,14 +43,17 @@
         .collect()
 }
 
-/// Value of the one series that begins with `series`.
+/// Value of the first series that starts with `series`.
 fn value(text: &str, series: &str) -> f64 {
     let line = text.lines().find(|line| line.starts_with(series)).unwrap();
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
+// Guards against metrics that are documented but not recorded, or recorded but not documented. The
+// scraped names are compared to the names on the metrics page after one accepted and one refused
+// draft.
 #[tokio::test(flavor = "multi_thread")]
-async fn every_instrument_of_the_page_is_recorded() {
+async fn the_metrics_page_lists_exactly_the_recorded_instruments() {
     let group = HostGroup::start(1, 1).await;
     let mut engines = Vec::new();
     for (index, offer) in mixed_engines(&ModelShape::default(), 8)
@@ -72,15 +75,15 @@
     let complete = async {
         loop {
             let text = scrape(&group).await;
-            let read = scraped_names(&text).contains("pollendrift_backend_server_count");
-            if read && value(&text, "pollendrift_backend_server_count") > 7.0 {
+            let is_updated = scraped_names(&text).contains("pollendrift_backend_server_count");
+            if is_updated && value(&text, "pollendrift_backend_server_count") > 7.0 {
                 return text;
             }
         }
     };
-    let text = tokio::time::timeout(GUARD, complete).await.unwrap();
+    let text = tokio::time::timeout(TIMEOUT, complete).await.unwrap();
     assert_eq!(scraped_names(&text), page_names());
-    let shown = [
+    let checked_series = [
         "pollendrift_access_refusals_total{face=\"callers\",reason=\"token\"",
         "pollendrift_backend_server_count",
         "pollendrift_configuration_revision",
@@ -88,7 +91,7 @@
         "pollendrift_request_active",
         "pollendrift_token_count_total",
     ];
-    let lines = shown.map(|series| format!("{series} {}", value(&text, series)));
+    let lines = checked_series.map(|series| format!("{series} {}", value(&text, series)));
     insta::assert_snapshot!(lines.join("\n"), @r#"
     pollendrift_access_refusals_total{face="callers",reason="token" 1
     pollendrift_backend_server_count 8
--- a/crates/daemon/tests/hosts/placement.rs
+++ b/crates/daemon/tests/hosts/placement.rs
@@ -1,4 +1,4 @@
-//! Placement closes a gap that a dead engine leaves.
+//! Tests that placement replaces the layers of a crashed engine.
 
 use pollendrift_border::{LayerSpan, OrderReply, OrderRequest};
 use pollendrift_http::HttpClient;
@@ -28,7 +28,7 @@
     engine
 }
 
-fn held(engine: &EngineServer) -> String {
+fn served_span(engine: &EngineServer) -> String {
     let served = engine.served();
     format!(
         "{} {}..{}",
@@ -42,18 +42,17 @@
     let reply = caller.draft("draft", PROMPT, TOKENS, |_| {}).await.unwrap();
     match reply.check(&expected_answer(&weights, PROMPT, TOKENS)) {
         Ok(()) => "whole".to_owned(),
-        Err(fault) => fault.to_string(),
+        Err(error) => error.to_string(),
     }
 }
 
-// The caller's drafts fail for as long as the only engine of the first span is dead and nobody
-// holds its layers, and are whole again without anybody's help. A spare engine of an old version
-// was first ordered to help the slowest span; when the dead engine's lease ends, that span is held
-// twice, so one of its two engines can be spared: it is ordered to load the missing span, and drafts
-// run over it once it announces that. An order under an older number, such as a lost holder's, is refused, but
-// for an engine that ignores numbers.
+// Guards against drafts that keep failing after the only engine of a span crashed. A spare engine
+// of an old version first joins the slowest span, so two engines serve that span. Once the crashed
+// engine's lease expires, one of the two is ordered to load the missing span. An order with an
+// older fencing number, as from a former placement holder, is refused, except by an engine that
+// ignores it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_spared_engine_takes_over_the_span_of_a_dead_one() {
+async fn a_redundant_engine_replaces_the_span_of_a_crashed_one() {
     let mut group = HostGroup::stopped(1, 1);
     group.builder = group.builder.with(
         "placement: {settle: 0ms, lease: 2s}\nleases: {backend_server: 1s, heartbeat: 100ms}\n",
@@ -67,18 +66,23 @@
     group.wait_servers(4).await;
     let mut seen = vec![format!("four engines: {}", draft(&caller).await)];
     let spare = start_engine(&group, 4, "v0").await;
-    wait_until(|| held(&spare).starts_with("v1")).await;
-    seen.push(format!("spare helps: {}", held(&spare)));
+    wait_until(|| served_span(&spare).starts_with("v1")).await;
+    seen.push(format!("spare helps: {}", served_span(&spare)));
     drop(engines.remove(0));
     let fails = draft(&caller).await != "whole";
     seen.push(format!("engine 0 died, drafts fail: {fails}"));
     engines.push(spare);
-    wait_until(|| engines.iter().any(|engine| held(engine) == "v1 0..8")).await;
+    wait_until(|| {
+        engines
+            .iter()
+            .any(|engine| served_span(engine) == "v1 0..8")
+    })
+    .await;
     let mut last = draft(&caller).await;
     while last != "whole" {
         last = draft(&caller).await;
     }
-    let spans: Vec<String> = engines.iter().map(held).collect();
+    let spans: Vec<String> = engines.iter().map(served_span).collect();
     seen.push(format!("{}: {last}", spans.join(", ")));
     let old = OrderRequest {
         fencing: 0,
--- a/crates/daemon/tests/hosts/resumes.rs
+++ b/crates/daemon/tests/hosts/resumes.rs
@@ -1,4 +1,4 @@
-//! Streams go on at another entry.
+//! Tests that streams resume at another entry.
 
 use std::time::Duration;
 
@@ -32,12 +32,12 @@
     DraftCaller::new(&group.entry(index), CUSTOMER_TOKEN)
 }
 
-// The caller's entry dies while it streams. The caller reconnects at each other entry in turn with
-// its request's id and the last position that it holds. The entry had told one other host of each
-// token before the caller got it, so the answer goes on without a gap or a second word. A foreign
-// draft under the same id, and a position that nobody knows, are told that the stream can't go on.
+// Guards against gaps and duplicates in a stream whose entry crashes. The caller resumes it at each
+// other entry with its request id and last position. The entry sent each token to another host
+// before the caller received it. A different draft with the same id and an unknown position are
+// refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_goes_on_at_another_entry_when_its_entry_dies() {
+async fn a_stream_resumes_at_another_entry_when_its_entry_crashes() {
     let shape = ModelShape::default();
     let weights = StandInWeights::new(&shape.model, &shape.version, None, shape.layers);
     let expected = expected_answer(&weights, PROMPT, TOKENS);
@@ -53,14 +53,14 @@
             id: Some(&id),
             last: None,
         };
-        let mut shown = 0;
-        let dying = caller(&group, 3);
+        let mut token_count = 0;
+        let first_caller = caller(&group, 3);
         let first = {
             let group = &mut group;
-            dying
+            first_caller
                 .read(&ask, |_| {
-                    shown += 1;
-                    if shown == 9 {
+                    token_count += 1;
+                    if token_count == 9 {
                         group.crash(3);
                     }
                 })
@@ -76,9 +76,9 @@
         let cut = first.is_cut();
         let mut answer = first;
         answer.go_on_with(rest, Duration::ZERO);
-        let whole = answer.check(&expected);
+        let result = answer.check(&expected);
         seen.push(format!(
-            "entry {other}: cut {}, went on {}, {whole:?}",
+            "entry {other}: cut {}, went on {}, {result:?}",
             cut,
             resumed > 0
         ));
--- a/crates/daemon/tests/hosts/stops.rs
+++ b/crates/daemon/tests/hosts/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops interrupt nothing.
+//! Tests that planned stops do not interrupt running requests.
 
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, loopback};
 use pollendrift_standins::load::{CallOutcome, ServiceCaller};
@@ -6,8 +6,8 @@
 
 use crate::support::{HostGroup, wait_until};
 
-// The caller's booking is running at an entry that is told to stop. The entry refuses new work,
-// truly not run, and waits for the booking; the caller gets its answer.
+// Guards against a planned stop that interrupts a running call. The entry stops while a call runs:
+// it refuses new calls as not run, waits for the running one and forwards its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_lets_a_running_call_finish() {
     let mut group = HostGroup::start(4, 3).await;
@@ -21,7 +21,7 @@
     let running = caller.clone();
     let sent = tokio::spawn(async move { running.post("portal", "filings", "held", "a").await });
     wait_until(|| service.runs().contains_key("held")).await;
-    let stopping = group.take(3);
+    let stopping = group.take_host(3);
     let stopped = tokio::spawn(stopping.drain());
     let address = group.builder.hosts()[3].entry;
     while tokio::net::TcpStream::connect(address).await.is_ok() {
--- a/crates/daemon/tests/hosts/support.rs
+++ b/crates/daemon/tests/hosts/support.rs
@@ -1,4 +1,4 @@
-//! Hosts in one process, with the stand-ins that they serve.
+//! Test support: several hosts in one process.
 
 use std::future::Future;
 use std::path::PathBuf;
@@ -13,11 +13,11 @@
 use pollendrift_http::HttpClient;
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, HostBuilder, OPERATOR_TOKEN};
 
-/// Time between two looks at a condition; without it the waiting tests take the cores from the
-/// hosts that they wait for.
-const POLL: Duration = Duration::from_millis(2);
-/// Longest wait for something that must come to pass; only a failure ever waits so long.
-const GUARD: Duration = Duration::from_secs(30);
+/// Time between two checks of a condition; without it, waiting tests use the CPU time of the hosts
+/// that they wait for.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Longest wait for a condition; only a failing test waits that long.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) const SELECTORS: &str = "kind: selector
 name: drafts
@@ -28,11 +28,11 @@
 service: portal
 ";
 
-/// Hosts that know each other; the first ones are keepers.
+/// Hosts that are configured as one group; the first ones are keepers.
 pub(crate) struct HostGroup {
     pub(crate) builder: HostBuilder,
-    /// Added to the settings of each host.
-    more: Vec<String>,
+    /// Text that is appended to the settings, by host index.
+    extra_settings: Vec<String>,
     folders: Vec<tempfile::TempDir>,
     hosts: Vec<Option<RouterDaemon>>,
     client: HttpClient,
@@ -67,7 +67,7 @@
         self
     }
 
-    /// Hosts that are not running yet.
+    /// Creates a group of hosts that are not running yet.
     pub(crate) fn stopped(hosts: usize, keepers: usize) -> Self {
         let digest = |token: &str| TokenDigest::of(token.as_bytes()).to_hex();
         let builder = HostBuilder::new(
@@ -79,7 +79,7 @@
         .unwrap();
         Self {
             builder: builder.with("drain: {notice: 0ms}\n"),
-            more: vec![String::new(); hosts],
+            extra_settings: vec![String::new(); hosts],
             folders: (0..hosts).map(|_| tempfile::tempdir().unwrap()).collect(),
             hosts: (0..hosts).map(|_| None).collect(),
             client: HttpClient::new(1 << 22),
@@ -88,25 +88,27 @@
 
     /// Starts a host that is not running.
     pub(crate) async fn restart(&mut self, index: usize) {
-        let text = self.builder.settings(index, self.folders[index].path()) + &self.more[index];
+        let text =
+            self.builder.settings(index, self.folders[index].path()) + &self.extra_settings[index];
         let settings = DaemonSettings::parse(&"test".into(), PathBuf::new(), &text);
         let settings = settings.unwrap().settings;
-        // The folder's lock and the ports of a crashed host are free once its tasks have ended.
-        self.hosts[index] = Some(eventually(|| RouterDaemon::start(&settings, Vec::new())).await);
+        // A crashed host releases its folder lock and its ports once its tasks have ended.
+        self.hosts[index] =
+            Some(retry_until_ok(|| RouterDaemon::start(&settings, Vec::new())).await);
     }
 
-    /// Adds to the settings of a host that is not running yet.
+    /// Appends to the settings of a host that is not running yet.
     pub(crate) fn add_settings(&mut self, index: usize, more: &str) {
-        self.more[index].push_str(more);
+        self.extra_settings[index].push_str(more);
     }
 
-    /// Ends a host at once, as a crash does.
+    /// Stops a host without a planned stop, as a crash does.
     pub(crate) fn crash(&mut self, index: usize) {
         self.hosts[index] = None;
     }
 
-    /// Takes a running host out, for a planned stop.
-    pub(crate) fn take(&mut self, index: usize) -> RouterDaemon {
+    /// Removes a running host from the group, for a planned stop.
+    pub(crate) fn take_host(&mut self, index: usize) -> RouterDaemon {
         self.hosts[index].take().unwrap()
     }
 
@@ -126,8 +128,8 @@
             .collect()
     }
 
-    /// Proposes a change through one host, again under its id until it is answered, as an operator
-    /// does.
+    /// Proposes a change through one host and resends it with the same id until it is answered, as
+    /// an operator does.
     pub(crate) async fn change(
         &self,
         index: usize,
@@ -142,30 +144,33 @@
             text: text.into(),
         };
         let node = self.host(index).node();
-        let resent = async {
+        let resend = async {
             loop {
                 let command = ReplicatedCommand::ChangeConfiguration(change.clone());
                 match node.submit(command).await {
                     Ok(CommandAnswer::Change(answer)) => return Some(answer),
                     Ok(_) => return None,
-                    Err(_) => tokio::time::sleep(POLL).await,
+                    Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         };
-        tokio::time::timeout(GUARD, resent).await.unwrap()
+        tokio::time::timeout(TIMEOUT, resend).await.unwrap()
     }
 
     /// Waits until a host is ready and serves `revision`.
     pub(crate) async fn wait_revision(&self, index: usize, revision: Revision) {
         let host = self.host(index);
         wait_until(|| {
-            let held = host.node().configuration().map(|held| held.revision());
-            held == Ok(revision) && host.unready_reason().is_none()
+            let current = host
+                .node()
+                .configuration()
+                .map(|current| current.revision());
+            current == Ok(revision) && host.unready_reason().is_none()
         })
         .await;
     }
 
-    /// Waits until each running host's dump names `count` backend servers.
+    /// Waits until each running host's dump contains `count` backend servers.
     pub(crate) async fn wait_servers(&self, count: usize) {
         for (index, _) in self
             .hosts
@@ -174,12 +179,12 @@
             .filter(|(_, host)| host.is_some())
         {
             let platform = self.builder.hosts()[index].platform;
-            let guard = async {
+            let polling = async {
                 while self.dumped_servers(&platform.to_string()).await != count {
-                    tokio::time::sleep(POLL).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             };
-            tokio::time::timeout(GUARD, guard).await.unwrap();
+            tokio::time::timeout(TIMEOUT, polling).await.unwrap();
         }
     }
 
@@ -194,31 +199,31 @@
     }
 }
 
-/// Waits until `met` holds.
-pub(crate) async fn wait_until<F>(met: F)
+/// Waits until `condition` returns true.
+pub(crate) async fn wait_until<F>(condition: F)
 where
     F: Fn() -> bool,
 {
-    let guard = async {
-        while !met() {
-            tokio::time::sleep(POLL).await;
+    let polling = async {
+        while !condition() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, guard).await.unwrap();
+    tokio::time::timeout(TIMEOUT, polling).await.unwrap();
 }
 
-async fn eventually<F, R, T, E>(attempt: F) -> T
+async fn retry_until_ok<F, R, T, E>(attempt: F) -> T
 where
     F: Fn() -> R,
     R: Future<Output = Result<T, E>>,
 {
-    let guard = async {
+    let polling = async {
         loop {
             if let Ok(value) = attempt().await {
                 return value;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, guard).await.unwrap()
+    tokio::time::timeout(TIMEOUT, polling).await.unwrap()
 }
--- a/crates/daemon/tests/hosts/tls.rs
+++ b/crates/daemon/tests/hosts/tls.rs
@@ -1,4 +1,4 @@
-//! Whole hosts under TLS: who comes in, who does not, and new keys while everything runs.
+//! Tests of hosts with TLS: which credentials are accepted, and key replacement at run time.
 
 use std::path::{Path, PathBuf};
 
@@ -23,7 +23,7 @@
 const STATUS: &str = "/operator/v1/status";
 const PORTAL: &str = "/services/portal/dossiers/7";
 
-/// Three hosts whose faces speak TLS.
+/// Three hosts with TLS certificates, and the folder of their keys.
 struct SecureGroup {
     group: HostGroup,
     keys: tempfile::TempDir,
@@ -66,8 +66,8 @@
         Self { group, keys }
     }
 
-    /// Someone who shows the certificate of `files` and trusts its authority.
-    fn visitor(&self, files: KeyFiles) -> AccessControl {
+    /// A client that presents the certificate of `files` and trusts its authority.
+    fn client(&self, files: KeyFiles) -> AccessControl {
         let text = self.group.builder.settings(0, self.keys.path());
         let parsed = DaemonSettings::parse(&"visitor".into(), PathBuf::new(), &text);
         let mut settings = parsed.unwrap().settings;
@@ -75,17 +75,17 @@
         AccessControl::new(&settings).unwrap()
     }
 
-    /// What host 0 answers to `visitor` with a bearer token.
-    async fn ask(&self, visitor: &AccessControl, path: &str, token: &str) -> String {
-        match self.connect(visitor, "host-0").await {
+    /// Status of host 0's answer to `client` with a bearer token, or how the connection failed.
+    async fn get_status(&self, client: &AccessControl, path: &str, token: &str) -> String {
+        match self.connect(client, "host-0").await {
             Ok(stream) => exchange(stream, path, token).await,
             Err(_) => "no connection".to_owned(),
         }
     }
 
-    async fn connect(&self, visitor: &AccessControl, expected: &str) -> Result<FaceStream, String> {
+    async fn connect(&self, client: &AccessControl, expected: &str) -> Result<FaceStream, String> {
         let stream = TcpStream::connect(self.group.entry(0)).await.unwrap();
-        let connected = visitor.connect(&expected.into(), stream).await;
+        let connected = client.connect(&expected.into(), stream).await;
         connected.map_err(|error| error.to_string())
     }
 }
@@ -97,7 +97,7 @@
     };
     let request = format!("GET {path} HTTP/1.1\r\nhost: h\r\n{bearer}connection: close\r\n\r\n");
     let mut answer = Vec::new();
-    // A refused certificate shows as a write or a read that fails.
+    // After a refused certificate, a write or a read fails.
     let _ = stream.write_all(request.as_bytes()).await;
     let _ = stream.read_to_end(&mut answer).await;
     let answer = String::from_utf8_lossy(&answer).into_owned();
@@ -105,9 +105,9 @@
     status.map_or("closed without an answer".to_owned(), str::to_owned)
 }
 
-// Three hosts know each other by certificates only, and agree on a change: peers' links are up under
-// mutual TLS. Then everybody knocks at the first host with every kind of credential; nothing but
-// the right one gets an answer, and none of the wrong ones disturbs the hosts.
+// Guards against hosts that accept a wrong credential or are disturbed by one. The hosts identify
+// each other by certificates only and agree on a change over mutual TLS. Clients then send requests
+// to the first host with every kind of credential; only valid ones are accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_wrong_credential_is_refused_by_running_hosts() {
     let secure = SecureGroup::start().await;
@@ -118,7 +118,7 @@
         authority: operator.authority.clone(),
         ..operator_keys(foreign.path(), "nolwenn", GOOD)
     };
-    let visitors = [
+    let clients = [
         ("a certificate of the authority", operator),
         (
             "an expired certificate",
@@ -132,8 +132,8 @@
         ("a host's certificate", host_keys(own, "nolwenn", GOOD)),
     ];
     let mut table = Vec::new();
-    for (name, files) in visitors {
-        let visitor = secure.visitor(files);
+    for (name, files) in clients {
+        let client = secure.client(files);
         for (path, token) in [
             (PORTAL, CUSTOMER_TOKEN),
             (PORTAL, "wrong"),
@@ -142,13 +142,16 @@
             (STATUS, CUSTOMER_TOKEN),
             (STATUS, ""),
         ] {
-            let seen = secure.ask(&visitor, path, token).await;
+            let seen = secure.get_status(&client, path, token).await;
             table.push(format!("{name}, token `{token}`: GET {path}: {seen}"));
         }
     }
-    let visitor = secure.visitor(operator_keys(own, "again", GOOD));
-    let named = secure.connect(&visitor, "host-1").await;
-    table.push(format!("another host's name expected: {}", named.is_err()));
+    let client = secure.client(operator_keys(own, "again", GOOD));
+    let wrong_name = secure.connect(&client, "host-1").await;
+    table.push(format!(
+        "another host's name expected: {}",
+        wrong_name.is_err()
+    ));
     let plain = TcpStream::connect(secure.group.entry(0)).await.unwrap();
     let seen = exchange(FaceStream::Plain(plain), PORTAL, CUSTOMER_TOKEN).await;
     table.push(format!("plain text: {seen}"));
@@ -194,21 +197,22 @@
     ");
 }
 
-// The host's certificate is replaced on the disk while it serves. New connections meet the new one;
-// a connection that is open already goes on.
+// Guards against a key replacement that needs a restart or closes connections. The host's
+// certificate is replaced on disk while it serves: new connections get the new one, and an open
+// connection continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_are_replaced_without_a_restart() {
     let secure = SecureGroup::start().await;
-    let visitor = secure.visitor(operator_keys(secure.keys.path(), "visitor", GOOD));
-    let open = secure.connect(&visitor, "host-0").await.unwrap();
+    let client = secure.client(operator_keys(secure.keys.path(), "visitor", GOOD));
+    let open = secure.connect(&client, "host-0").await.unwrap();
     let before = open.certificate().unwrap();
-    let old = secure.keys.path();
-    std::fs::remove_file(old.join("host-0.key")).unwrap();
-    std::fs::remove_file(old.join("host-0.pem")).unwrap();
-    host_keys(old, "host-0", GOOD);
+    let folder = secure.keys.path();
+    std::fs::remove_file(folder.join("host-0.key")).unwrap();
+    std::fs::remove_file(folder.join("host-0.pem")).unwrap();
+    host_keys(folder, "host-0", GOOD);
     let access = secure.group.host(0).access();
     wait_until(|| access.refresh_keys().is_ok() && access.status().generation > 1).await;
-    let new = secure.connect(&visitor, "host-0").await.unwrap();
+    let new = secure.connect(&client, "host-0").await.unwrap();
     assert_ne!(new.certificate().unwrap(), before);
     assert_eq!(exchange(open, STATUS, OPERATOR_TOKEN).await, "200");
     assert_eq!(exchange(new, STATUS, OPERATOR_TOKEN).await, "200");
