--- a/crates/coordination/src/agreement/log/tests.rs
+++ b/crates/coordination/src/agreement/log/tests.rs
@@ -28,10 +28,10 @@
     log.base_index().0
 }
 
-// A keeper returns with an empty disk and is sent every large command since the group was founded,
-// although a snapshot contains them in a few hundred kilobytes: the leader runs at full load and
-// callers of all hosts wait. The entries before a snapshot may be as large as the snapshot, or
-// reach back to the previous snapshot, which a peer may still be receiving.
+// Guards against sending every large command since the group was founded to a keeper with an empty
+// disk, although a snapshot contains them in a few hundred kilobytes: the leader would run at full
+// load and callers of all hosts would wait. The entries before a snapshot may be as large as the
+// snapshot, or reach back to the previous snapshot, which a peer may still be receiving.
 #[test]
 fn entries_before_a_snapshot_are_limited_by_its_size() {
     let cases = [
--- a/crates/coordination/src/configuration/chunk.rs
+++ b/crates/coordination/src/configuration/chunk.rs
@@ -46,7 +46,7 @@
 mod tests {
     use super::split_documents;
 
-    /// Guards against findings on wrong lines: each chunk states its first line in the stream.
+    // Guards against findings on wrong lines: each chunk states its first line in the stream.
     #[test]
     fn chunks_state_their_first_line() {
         let cases: [(&str, &[(u32, &str)]); 6] = [
--- a/crates/coordination/src/configuration/facts.rs
+++ b/crates/coordination/src/configuration/facts.rs
@@ -15,7 +15,7 @@
 /// Model or service that a request names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RequestTarget {
-    /// A draft by a model.
+    /// A draft: a completion or chat request to a model.
     Model {
         /// Name of the model.
         model: ModelName,
--- a/crates/coordination/src/configuration/label.rs
+++ b/crates/coordination/src/configuration/label.rs
@@ -63,7 +63,7 @@
         &self.0
     }
 
-    /// The value as an integer, for the operators `Gt` and `Lt`; `None` if it is none.
+    /// The value as an integer, for the operators `Gt` and `Lt`; `None` if it is not an integer.
     pub fn as_number(&self) -> Option<i64> {
         self.0.parse().ok()
     }
@@ -213,7 +213,7 @@
 mod tests {
     use super::{LabelKey, NamePattern};
 
-    /// Guards against patterns that match only a part of a name or let two parts overlap.
+    // Guards against patterns that match only a part of a name or let two parts overlap.
     #[test]
     fn patterns_match_whole_names() {
         let cases = [
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Guards against keys with an empty part or an invalid character in any part.
+    // Guards against keys with an empty part or an invalid character in any part.
     #[test]
     fn keys_are_valid_only_if_each_part_is() {
         let cases = [
--- a/crates/coordination/src/configuration/label_settings.rs
+++ b/crates/coordination/src/configuration/label_settings.rs
@@ -131,7 +131,9 @@
 pub(super) fn check_label(subject: LabelSubject, key: &str, value: &str) -> Result<(), LabelError> {
     if let Some(prefix) = RESERVED_PREFIXES.iter().find(|p| key.starts_with(**p)) {
         return Err(LabelError {
-            message: format!("label {key} can't be set: {prefix} holds facts"),
+            message: format!(
+                "label {key} can't be set: labels with the prefix {prefix} are derived from facts"
+            ),
             expected: "a key without a reserved prefix".to_owned(),
         });
     }
--- a/crates/coordination/src/configuration/lint.rs
+++ b/crates/coordination/src/configuration/lint.rs
@@ -73,12 +73,14 @@
 /// Reason why the selector matches no request or allows no backend server; `None` if there is none.
 fn never_matches(selector: &Selector, serves: &MergedConstraint) -> Option<String> {
     if let Some(key) = serves.contradiction() {
-        return Some(format!("no request meets all that for says of {key}"));
+        return Some(format!(
+            "the requirements of `for` on {key} contradict each other"
+        ));
     }
     let allows = MergedConstraint::of(&selector.allows);
     if let Some(key) = allows.contradiction() {
         return Some(format!(
-            "no backend server meets all that allow says of {key}"
+            "the requirements of `allow` on {key} contradict each other"
         ));
     }
     let (announced, name) = match &selector.target {
@@ -87,11 +89,13 @@
     };
     let offered = allows.values(announced)?;
     let excluded = offered.iter().all(|value| value.as_str() != name);
-    excluded.then(|| format!("allow asks for another {announced} than {name}"))
+    excluded.then(|| format!("`allow` requires a different {announced}, not {name}"))
 }
 
-/// Compares each selector with the earlier ones that name no customer or the first of its
-/// customers: no other selector can serve all of its requests.
+/// Warns of each selector whose requests are all served by an earlier one.
+///
+/// Only a selector for all customers, or one that names every customer of `later`, can shadow it.
+/// The second kind is found under the first customer of `later`.
 fn warn_shadowed(selectors: &[LintedSelector<'_>], findings: &mut FindingList) {
     let mut general: Vec<&LintedSelector<'_>> = Vec::new();
     let mut by_customer: BTreeMap<&LabelValue, Vec<&LintedSelector<'_>>> = BTreeMap::new();
@@ -102,10 +106,10 @@
         let earlier = candidates.find(|earlier| shadows(earlier, later));
         if let Some(earlier) = earlier {
             let message = format!(
-                "selector {} is shadowed: {} stands before it and takes all of its requests",
+                "selector {} is never used: {} is tried first and serves all its requests",
                 later.selector.name, earlier.selector.name
             );
-            let expected = "a lower order, or a for that the earlier one does not take";
+            let expected = "a lower order, or a `for` that matches other requests";
             findings.warning(later.place.clone(), message, expected);
         }
         if customers.is_empty() {
--- a/crates/coordination/src/configuration/model.rs
+++ b/crates/coordination/src/configuration/model.rs
@@ -48,7 +48,8 @@
     Source,
 }
 
-/// A document in a platform's own format, stored exactly as operators sent it.
+/// The published source: a text in the format of the deployment that uses the library, stored
+/// exactly as operators sent it.
 ///
 /// It is part of the configuration like labels and selectors, so that it has a revision, a history
 /// and evidence records as well.
--- a/crates/coordination/src/evidence/buffer.rs
+++ b/crates/coordination/src/evidence/buffer.rs
@@ -223,8 +223,8 @@
 
     /// Records a refusal. While the buffer is full, refusals are only counted, and one record with
     /// their number follows when the buffer has free capacity. So a client that sends requests
-    /// faster than keepers store records does not exhaust memory, and the number of refusals is on
-    /// record.
+    /// faster than keepers store records does not exhaust memory, and the number of refusals is
+    /// recorded.
     ///
     /// # Errors
     ///
@@ -246,11 +246,10 @@
 
     /// Records an event that no caller causes; its record waits up to `note_delay` for a batch.
     ///
-    /// Each host records each revision that it puts in force. When each such record was its own
-    /// command to the keepers, a change cost as many commands as there are hosts, each of which is
-    /// synced, applied, and applied again at a restart. No caller waits for these records, so the
-    /// records of one `note_delay` (1 s by default) share a command, regardless of the number of
-    /// changes.
+    /// Each host records each revision that it puts in force. If each record were a command of its
+    /// own, one change would cost one command per host, and keepers sync and apply each command, and
+    /// apply it again at a restart. No caller waits for these records, so the records of one
+    /// `note_delay` (1 s by default) share a command, regardless of the number of changes.
     ///
     /// # Errors
     ///
@@ -278,8 +277,8 @@
     /// Makes all waiting records due at `now` and shortens the delay of later ones, for a host that
     /// shuts down.
     ///
-    /// When a planned shutdown sent waiting records only after all requests had ended, and the
-    /// keepers were slow to answer, the shutdown reached its time limit and the records were lost.
+    /// Otherwise a planned shutdown would send waiting records only after all requests have ended; if
+    /// keepers are slow to answer, it would reach its time limit and the records would be lost.
     pub fn flush_for_shutdown(&mut self, now: MonotonicTime) {
         self.settings.note_delay = self.settings.batch_delay;
         self.make_all_due(now);
--- a/crates/coordination/src/evidence/chain.rs
+++ b/crates/coordination/src/evidence/chain.rs
@@ -1,4 +1,5 @@
-//! Hash chain of records: each record contains the digest of the previous one.
+//! Evidence chain: a hash chain of records, in which each record contains the digest of the previous
+//! one. It is unrelated to the chains of engines that serve drafts.
 
 use std::fmt;
 use std::str::FromStr;
--- a/crates/coordination/src/evidence/heads.rs
+++ b/crates/coordination/src/evidence/heads.rs
@@ -100,8 +100,8 @@
     /// Checks `batch` against the stored records, without changing the table.
     ///
     /// A batch received before is accepted with no records to store. A batch after a gap is
-    /// accepted too: if it were refused, one keeper that is behind would stop the entry. The gap is
-    /// filled from the other keepers, see [`HeadTable::missing`].
+    /// accepted too: if it were refused, one keeper that lacks records would block the entry's new
+    /// requests. The gap is filled from the other keepers, see [`HeadTable::missing`].
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/evidence/report.rs
+++ b/crates/coordination/src/evidence/report.rs
@@ -129,7 +129,7 @@
     }
     let _ = write!(
         page,
-        "<tr><td>begun, no end on record</td><td class=\"n\">{}</td></tr></table>",
+        "<tr><td>started, end not recorded</td><td class=\"n\">{}</td></tr></table>",
         statistics.open.len()
     );
     let _ = write!(
--- a/crates/coordination/src/evidence/report/statistics.rs
+++ b/crates/coordination/src/evidence/report/statistics.rs
@@ -57,8 +57,8 @@
     /// Number of refusals without records of their own.
     pub(super) omitted: u64,
     buckets: BTreeMap<u64, ReportBucket>,
-    /// Number of times that pairs of buckets were merged; at most 53, since then all times that a
-    /// `u64` of milliseconds can hold fall into three buckets.
+    /// Number of times that pairs of buckets were merged; at most 53: then every `u64` time
+    /// falls into at most three buckets.
     merges: u32,
 }
 
--- a/crates/coordination/src/evidence/verify.rs
+++ b/crates/coordination/src/evidence/verify.rs
@@ -18,7 +18,7 @@
 /// Result of a verification.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VerifyReport {
-    /// Detected faults; an export without errors is complete and unmodified as far as it can be
+    /// Errors found; an export without errors is complete and unmodified as far as it can be
     /// verified.
     pub findings: FindingList,
     /// Chains of the export.
@@ -28,7 +28,7 @@
 /// One chain of an export.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChainSummary {
-    /// Last record; the inspector notes it for the next verification.
+    /// Last record; the auditor stores it for the next verification.
     pub head: ChainHead,
     /// Number of records in the export.
     pub records: u64,
@@ -37,13 +37,13 @@
 /// Verifies the lines of an export that was read from `file`.
 ///
 /// Digests alone do not reveal a chain that was rewritten from some record on, or whose last
-/// records were removed together with its head. Heads in `noted` do: the inspector noted them from
+/// records were removed together with its head. Heads in `known_heads` do: the auditor stored them from
 /// an earlier export or from `status`, and each must be in its chain.
-pub fn verify<'a, I>(file: &str, lines: I, noted: &[ChainHead]) -> VerifyReport
+pub fn verify<'a, I>(file: &str, lines: I, known_heads: &[ChainHead]) -> VerifyReport
 where
     I: IntoIterator<Item = &'a str>,
 {
-    let mut verifier = ExportVerifier::new(file, noted);
+    let mut verifier = ExportVerifier::new(file, known_heads);
     for line in lines {
         verifier.check_line(line);
     }
@@ -61,14 +61,14 @@
     place: Place,
 }
 
-/// A noted head, and whether it was found on its chain.
+/// A known head, and whether it was found on its chain.
 #[derive(Debug)]
-struct NotedHead {
+struct KnownHead {
     head: ChainHead,
     is_found: bool,
 }
 
-impl NotedHead {
+impl KnownHead {
     /// Whether retention dropped records up to this head or beyond, or of a later incarnation of
     /// the host; the head can then no longer be verified.
     fn is_dropped_by(&self, anchor: &ChainAnchor) -> bool {
@@ -96,16 +96,16 @@
     chains: BTreeMap<ChainWriter, ChainState>,
     anchors: Vec<(ChainAnchor, Place)>,
     retentions: Vec<ChainAnchor>,
-    noted: BTreeMap<ChainWriter, Vec<NotedHead>>,
+    known_heads: BTreeMap<ChainWriter, Vec<KnownHead>>,
     has_ended: bool,
 }
 
 impl ExportVerifier {
-    fn new(file: &str, noted: &[ChainHead]) -> Self {
+    fn new(file: &str, known_heads: &[ChainHead]) -> Self {
         let mut by_chain: BTreeMap<_, Vec<_>> = BTreeMap::new();
-        for head in noted {
+        for head in known_heads {
             let heads = by_chain.entry(head.writer.clone()).or_default();
-            heads.push(NotedHead {
+            heads.push(KnownHead {
                 head: head.clone(),
                 is_found: false,
             });
@@ -117,7 +117,7 @@
             chains: BTreeMap::new(),
             anchors: Vec::new(),
             retentions: Vec::new(),
-            noted: by_chain,
+            known_heads: by_chain,
             has_ended: false,
         }
     }
@@ -158,7 +158,7 @@
         if let Some(error) = &inspected.error {
             self.report_line_error(error);
         } else {
-            self.match_noted(&inspected.sealed.head());
+            self.match_known_heads(&inspected.sealed.head());
         }
         self.check_record(&inspected.sealed);
     }
@@ -204,7 +204,7 @@
 
     fn check_anchor(&mut self, anchor: ChainAnchor) {
         let place = self.place();
-        self.match_noted(&ChainHead {
+        self.match_known_heads(&ChainHead {
             writer: anchor.writer.clone(),
             sequence: anchor.through,
             digest: anchor.digest,
@@ -259,7 +259,7 @@
         }
         self.report_chains();
         self.report_anchors();
-        self.report_noted();
+        self.report_missing_heads();
         let chains = self.chains.into_iter().map(|(writer, chain)| ChainSummary {
             head: ChainHead {
                 writer,
@@ -309,26 +309,26 @@
         }
     }
 
-    fn report_noted(&mut self) {
-        for noted in self.noted.values().flatten() {
-            if noted.is_found
+    fn report_missing_heads(&mut self) {
+        for known in self.known_heads.values().flatten() {
+            if known.is_found
                 || self
                     .retentions
                     .iter()
-                    .any(|anchor| noted.is_dropped_by(anchor))
+                    .any(|anchor| known.is_dropped_by(anchor))
             {
                 continue;
             }
-            let message = format!("the noted head {} is not in the export", noted.head);
-            let expected = "every record that existed when the head was noted";
+            let message = format!("the known head {} is not in the export", known.head);
+            let expected = "every record that existed when the head was stored";
             let place = whole_file(&self.file);
             self.findings.error(place, message, expected);
         }
     }
 
-    fn match_noted(&mut self, head: &ChainHead) {
-        for noted in self.noted.get_mut(&head.writer).into_iter().flatten() {
-            noted.is_found |= noted.head == *head;
+    fn match_known_heads(&mut self, head: &ChainHead) {
+        for known in self.known_heads.get_mut(&head.writer).into_iter().flatten() {
+            known.is_found |= known.head == *head;
         }
     }
 
--- a/crates/coordination/src/leases/subset.rs
+++ b/crates/coordination/src/leases/subset.rs
@@ -118,8 +118,9 @@
         (format!("engine-{index}").into(), region)
     }
 
-    // A server whose entries are all in one data centre is lost with it, and uneven hashing would
-    // overload some entries. Checks the spread over data centres and entries.
+    // Guards against servers whose entries are all in one data centre and are lost with it, and
+    // uneven hashing, which overloads some entries. Checks the spread over data centres and
+    // entries.
     #[test]
     fn servers_spread_evenly_over_data_centres_of_their_region() {
         let settings = SubsetSettings::default();
@@ -149,8 +150,9 @@
         insta::assert_snapshot!(format!("{} hosts, {span:?}", shares.len()), @"400 hosts, (Some(9), Some(35))");
     }
 
-    // If the loss of an entry moved servers of other entries, callers would lose many engines at
-    // once. Two of 400 entries are lost; only the servers assigned to them get new entries.
+    // Guards against the loss of an entry that moves servers of other entries: callers would lose
+    // many engines at once. Two of 400 entries are lost; only the servers assigned to them get new
+    // entries.
     #[test]
     fn losing_an_entry_moves_only_its_own_servers() {
         let settings = SubsetSettings::default();
--- a/crates/coordination/src/leases/tests.rs
+++ b/crates/coordination/src/leases/tests.rs
@@ -47,9 +47,10 @@
     MonotonicTime::from_millis(millis)
 }
 
-// Announcements of one server can reach an entry through several others, late, twice or swapped. If
-// the order of arrival decided, requests would go to a server that has left and fail. Only
-// (incarnation, sequence) orders announcements, and a leave is final for its incarnation.
+// Guards against requests to a server that has left, because the order of arrival decides.
+// Announcements of one server can reach an entry through several others, late, twice or swapped.
+// Only (incarnation, sequence) orders announcements, and a leaving announcement is final for its
+// incarnation.
 #[test]
 fn announcements_are_ordered_by_incarnation_and_sequence() {
     let cases = [
@@ -113,8 +114,9 @@
     }
 }
 
-// A server dies without a leave, and callers would wait for it. Each entry ends the lease by its
-// own clock, also when the last announcement reached it through another entry.
+// Guards against callers that wait for a server that crashed without a leaving announcement. Each
+// entry ends the lease by its own clock, also when the last announcement reached it through another
+// entry.
 #[test]
 fn a_server_gets_no_work_after_its_lease_expires() {
     let server = ServerName::from("engine-1");
@@ -148,8 +150,8 @@
     assert!(first.may_take_work(at(3_002), &server));
 }
 
-// After a partition an entry replays old deltas. Their age exceeds the lease, so they must not
-// renew the lease of a server that died in the meantime.
+// Guards against old deltas that renew the lease of a server that crashed in the meantime. After a
+// partition an entry replays deltas whose age exceeds the lease.
 #[test]
 fn a_delta_older_than_the_lease_renews_nothing() {
     let mut table = table();
@@ -165,8 +167,9 @@
     assert!(!table.may_take_work(at(9_000), &ServerName::from("engine-1")));
 }
 
-// The receiver has just restarted, so the delta is older than its process. The lease must end by
-// the age of the delta and not a full lease duration after the restart.
+// Guards against a lease that lasts a full duration after a restart of the receiver, which makes
+// the delta older than the process. The lease must end by the age of the delta and not a full lease
+// duration after the restart.
 #[test]
 fn a_delta_older_than_the_receiver_grants_only_the_remaining_lease() {
     let mut table = table();
@@ -183,7 +186,7 @@
     assert!(!table.may_take_work(at(200), &server));
 }
 
-// A flood of new server names must not end the leases of known servers.
+// Guards against a flood of new server names that ends the leases of known servers.
 #[test]
 fn a_full_table_refuses_new_servers_and_renews_known_ones() {
     let mut table = LeaseTable::new(BackendLeaseSettings {
@@ -216,9 +219,10 @@
     verdicts.collect::<Vec<_>>().join(", ")
 }
 
-// A host gets renewals of an announcement that it never got in full, because its process or the
-// sender's link restarted or a frame was lost. Callers would find no server or an outdated offer.
-// The host must request the content, store nothing until then, and end up with the current content.
+// Guards against callers that find no server or an outdated offer. A host gets renewals of an
+// announcement that it never got in full, because its process or the sender's link restarted or a
+// frame was lost. The host must request the content, store nothing until then, and end up with the
+// current content.
 #[test]
 fn a_renewal_of_unknown_content_makes_the_receiver_request_it() {
     let server = ServerName::from("engine-1");
@@ -269,9 +273,9 @@
     ");
 }
 
-// One entry receives the leave of a server while another entry still sends renewals of the same
-// incarnation with higher sequence numbers, or the old process still runs. Callers would be sent to
-// a server that has left.
+// Guards against callers that are sent to a server that has left. One entry receives its leaving
+// announcement while another entry still sends renewals of the same incarnation with higher
+// sequence numbers, or the old process still runs.
 #[test]
 fn no_renewal_revives_a_server_that_left() {
     let server = ServerName::from("engine-1");
@@ -325,9 +329,10 @@
     ");
 }
 
-// Two entries receive consecutive heartbeats before either gets the other's, so the later renewal
-// carries no load and a third entry keeps a wrong load: callers would wait at a busy server or miss
-// an idle one. The next heartbeat that always includes its load corrects the value.
+// Guards against callers that wait at a busy server or miss an idle one. Two entries receive
+// consecutive heartbeats before either gets the other's, so the later renewal carries no load and a
+// third entry keeps a wrong load. The next heartbeat that always includes its load corrects the
+// value.
 #[test]
 fn a_wrong_load_is_corrected_within_eight_heartbeats() {
     let mut entries = [table(), table()];
@@ -354,9 +359,10 @@
     ");
 }
 
-// The leases for a host that has just started take several frames, and leases of a later frame may
-// have changed before those of an earlier one. Sent as renewals, they would be unknown to the host
-// and callers would find no server. Every lease must be sent in full, and only once.
+// Guards against callers that find no server on a host that has just started. The leases for it
+// take several frames, and leases of a later frame may have changed before those of an earlier one.
+// Sent as renewals, they would be unknown to the host. Every lease must be sent in full, and only
+// once.
 #[test]
 fn a_new_receiver_gets_every_lease_in_full_over_several_frames() {
     let mut own = table();
--- a/crates/coordination/src/revision_follower/tests.rs
+++ b/crates/coordination/src/revision_follower/tests.rs
@@ -18,9 +18,9 @@
     RevisionFollower::new(FollowSettings::default(), keepers, 0)
 }
 
-// A partitioned host must refuse requests instead of serving an old configuration. The partition
-// starts at 1 s and the latest answered question is of 0.7 s, so the host serves until 3.7 s. It
-// serves again as soon as a keeper answers.
+// Guards against a partitioned host that serves an old configuration instead of refusing requests.
+// The partition starts at 1 s and the latest answered question is of 0.7 s, so the host serves
+// until 3.7 s. It serves again as soon as a keeper answers.
 #[test]
 fn a_partitioned_host_stops_serving_when_its_lease_expires() {
     let mut follower = follower();
@@ -44,8 +44,8 @@
     ");
 }
 
-// A lease that counted from the arrival of a late answer would hide a change accepted while the
-// answer was on the way for longer than a lease.
+// Guards against a lease that counts from the arrival of a late answer: it would hide, for longer
+// than a lease, a change accepted while the answer was on the way.
 #[test]
 fn a_late_answer_renews_from_the_time_of_its_question() {
     let mut follower = follower();
@@ -60,8 +60,8 @@
     );
 }
 
-// Answers of two keepers can arrive out of order. A host that took the older one would revert a
-// change that it already serves.
+// Guards against a host that reverts a change it already serves, because answers of two keepers
+// arrive out of order.
 #[test]
 fn answers_out_of_order_never_lower_the_revision() {
     let cases = [
@@ -88,8 +88,8 @@
     }
 }
 
-// A host that repeats its question to a keeper that hangs would lose its lease. Each unanswered
-// question must be followed by a question to the next keeper.
+// Guards against a host that loses its lease because it repeats its question to a keeper that
+// hangs. Each unanswered question must be followed by a question to the next keeper.
 #[test]
 fn a_keeper_that_hangs_costs_one_period() {
     let mut follower = follower();
@@ -100,8 +100,8 @@
     insta::assert_snapshot!(asked.join(" "), @"k1 k2 k3 k1 k2 k3");
 }
 
-// Hundreds of hosts fetch each change, and questions across data centres saturated the links
-// between them. A host asks far keepers only while no near keeper answers, and then returns to a
+// Guards against questions that saturate the links between data centres: hundreds of hosts fetch
+// each change. A host asks far keepers only while no near keeper answers, and then returns to a
 // near one.
 #[test]
 fn a_host_prefers_near_keepers_and_returns_to_them() {
@@ -121,9 +121,9 @@
     insta::assert_snapshot!(asked.join(" "), @"n2 n1 f3 f3 f3 f3 f3 f3 f3 f3 n2 n2 n2 n2 n2 n2");
 }
 
-// Operators change routes every 60 ms for 1.5 s, and applying each change of thousands of routes
-// takes a small host half of that interval. Fetched separately, the changes stopped its streams. A
-// few questions must fetch all of them, and the host must get the last change soon after it.
+// Guards against changes that stop the streams of a small host. Operators change routes every 60 ms
+// for 1.5 s, and applying each change of thousands of routes takes the host half of that interval.
+// A few questions must fetch all of them, and the host must get the last change soon after it.
 #[test]
 fn changes_in_quick_succession_are_fetched_together() {
     let mut follower = follower();
@@ -144,8 +144,8 @@
     );
 }
 
-// A keeper forwards messages for all hosts to its followers. It must stop sending to a host that
-// follows another keeper or is down.
+// Guards against a keeper that keeps sending to a host that follows another keeper or is down. A
+// keeper forwards messages for all hosts to its followers.
 #[test]
 fn a_host_stops_being_a_follower_after_two_missed_questions() {
     let mut table = FollowerTable::default();
@@ -194,8 +194,8 @@
     }
 }
 
-// Lost, late and reordered answers must not make a host revert, or serve a revision that was
-// replaced more than one lease ago. The seeds are fixed; each run simulates 60 s in steps of 10 ms.
+// Guards against a host that reverts, or serves a revision replaced more than one lease ago, after
+// lost, late or reordered answers. The seeds are fixed; each run simulates 60 s in steps of 10 ms.
 #[test]
 fn no_host_serves_a_revision_replaced_more_than_a_lease_ago() {
     for seed in 0..20 {
@@ -233,9 +233,9 @@
     }
 }
 
-// Twenty peers report a change within 200 ms. A question for each report would overload the
-// keepers, and callers would get answers by the old configuration. The first report triggers a
-// question; the next keeper gets one only after the answer timeout.
+// Guards against a question for each report of a change, which would overload the keepers while
+// callers get answers by the old configuration. Twenty peers report a change within 200 ms. The
+// first report triggers a question; the next keeper gets one only after the answer timeout.
 #[test]
 fn reports_of_many_peers_trigger_one_question_at_a_time() {
     let mut follower = follower();
--- a/crates/coordination/src/routes.rs
+++ b/crates/coordination/src/routes.rs
@@ -1,6 +1,6 @@
 //! Routes of callers' requests to services, limits on callers, and customers' keys.
 //!
-//! Operators of a platform publish all routes as one versioned [`RouteDocument`]. [`RouteTable`] is
+//! Operators of a platform (a deployment that uses this library) publish all routes as one versioned [`RouteDocument`]. [`RouteTable`] is
 //! the document indexed for lookups.
 
 mod document;
--- a/crates/coordination/src/routes/document.rs
+++ b/crates/coordination/src/routes/document.rs
@@ -60,9 +60,10 @@
     pub kind: RouteKind,
     /// Maximum time that a caller waits.
     pub timeout: Duration,
-    /// Target time of an answer; a later answer is worth less to the caller.
+    /// Target time of an answer. Nothing enforces it; `timeout` is the limit.
     pub target: Duration,
-    /// Target for the longest pause within a stream; a longer pause makes it worth less.
+    /// Target for the longest pause within a stream; a stream with a longer one counts as
+    /// late, and a share of this target is the time without events after which a chain is diagnosed.
     pub pause_target: Option<Duration>,
     /// Priority; 0 is the highest.
     pub priority: u8,
--- a/crates/coordination/src/routes/generations.rs
+++ b/crates/coordination/src/routes/generations.rs
@@ -14,8 +14,8 @@
 
 /// Generations of the specifications in force.
 ///
-/// Most changes of a document affect a few routes and no specification. When each change updated
-/// all engines, a host planned all its pipelines again, and its streams paused.
+/// Most changes of a document affect a few routes and no specification. If each change updated all
+/// engines, hosts would plan all their pipelines again, and their streams would pause.
 #[derive(Clone, Debug, Default)]
 pub struct SpecGenerations {
     version: Option<SourceVersion>,
--- a/crates/coordination/src/streams/tests.rs
+++ b/crates/coordination/src/streams/tests.rs
@@ -36,8 +36,9 @@
     }
 }
 
-// Updates can arrive late or twice, overlap, or get lost on a broken link. A resumed answer must
-// not miss or repeat a token, so a gap removes the stream, and a resume then fails with an error.
+// Guards against a resumed answer that misses or repeats a token. Updates can arrive late or twice,
+// overlap, or get lost on a broken link, so a gap removes the stream, and a resume then fails with
+// an error.
 #[test]
 fn a_stream_with_a_gap_is_removed() {
     let cases: [(&str, &[(u32, u32)]); 5] = [
@@ -64,8 +65,8 @@
     ");
 }
 
-// Streams of callers that never resume must not fill the memory of the host. They are removed after
-// the retention, and above the byte limit the oldest ones are removed first.
+// Guards against streams of callers that never resume, which fill the memory of the host. They are
+// removed after the retention, and above the byte limit the oldest ones are removed first.
 #[test]
 fn streams_are_removed_by_age_and_by_bytes() {
     let mut table = StreamTable::new(StreamSettings::default());
@@ -91,8 +92,8 @@
     assert!(small.look_up(&"49".into()).is_some());
 }
 
-// A request id can be used again by another customer or for another draft. That request must not
-// read the tokens of the earlier answer.
+// Guards against a request that reads the tokens of another answer: a request id can be used again
+// by another customer or for another draft.
 #[test]
 fn an_update_of_another_request_replaces_the_stream() {
     let mut table = StreamTable::new(StreamSettings::default());
@@ -103,8 +104,8 @@
     assert_eq!(stored_tokens(&table), "0");
 }
 
-// A lookup on a host that ranks differently would not find the stream, and an uneven ranking would
-// store most streams on few hosts.
+// Guards against hosts that rank differently, so that a lookup does not find the stream, and an
+// uneven ranking, which stores most streams on few hosts.
 #[test]
 fn every_host_computes_the_same_ranking_and_requests_spread() {
     let hosts: Vec<HostName> = (0..9)
--- a/crates/coordination/tests/configuration_change.rs
+++ b/crates/coordination/tests/configuration_change.rs
@@ -1,5 +1,5 @@
 //! Concurrent changes, resends, history and deltas of the configuration.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -50,28 +50,31 @@
     ciborium::from_reader(bytes.as_slice()).unwrap()
 }
 
-/// Guards against a resend that takes effect twice or gets another answer than the first call.
-/// Operators resend after a lost answer, also after later changes and after a restart of the
-/// keeper. Each line of the snapshot is one call and its answer, in order.
+// Guards against a resend that takes effect twice or gets another answer than the first call.
+// Operators resend after a lost answer, also after later changes and after a restart of the
+// keeper. Each line of the snapshot is one call and its answer, in order.
 #[test]
 fn one_concurrent_change_wins_and_resends_repeat_the_first_answer() {
     let a = weight("a", 1);
     let b = weight("b", 2);
     let calls = [
         ("first", change("c1", 0, "anna", &a)),
-        ("equal number loses", change("c2", 0, "bert", &b)),
-        ("on top", change("c3", 1, "bert", &format!("{a}---\n{b}"))),
+        ("same base revision loses", change("c2", 0, "bert", &b)),
+        (
+            "based on the first change",
+            change("c3", 1, "bert", &format!("{a}---\n{b}")),
+        ),
         (
             "resend of the first after later changes",
             change("c1", 0, "anna", &a),
         ),
-        ("resend of the loser", change("c2", 0, "bert", &b)),
+        ("resend of the refused change", change("c2", 0, "bert", &b)),
         (
             "resend with a comment only",
             change("c1", 0, "anna", &format!("# again\n{a}")),
         ),
         ("same id, other content", change("c1", 0, "anna", &b)),
-        ("same id, other number", change("c1", 2, "anna", &a)),
+        ("same id, other base revision", change("c1", 2, "anna", &a)),
         ("same id, other operator", change("c1", 0, "bert", &a)),
         ("bad text", change("c4", 2, "anna", "kind: label\n")),
         (
@@ -79,7 +82,7 @@
             change("c4", 2, "anna", "kind: label\n"),
         ),
         ("corrected under the same id", change("c4", 2, "anna", &a)),
-        ("a number not yet given", change("c5", 9, "anna", &a)),
+        ("unknown base revision", change("c5", 9, "anna", &a)),
     ];
     let mut log = ChangeLog::new(ChangeRetention::default());
     let mut report = String::new();
@@ -91,23 +94,23 @@
     }
     insta::assert_snapshot!(report, @r#"
     first -> accepted as 1, 0 warnings
-    equal number loses -> conflict: based on revision 0, but 1 is in force; change c1 by anna made revision 1; yours against it: + labels on customer b, - labels on customer a
-    on top -> accepted as 2, 0 warnings
+    same base revision loses -> conflict: based on revision 0, but 1 is in force; change c1 by anna made revision 1; yours against it: + labels on customer b, - labels on customer a
+    based on the first change -> accepted as 2, 0 warnings
     resend of the first after later changes -> accepted as 1, 0 warnings
-    resend of the loser -> conflict: based on revision 0, but 1 is in force; change c1 by anna made revision 1; yours against it: + labels on customer b, - labels on customer a
+    resend of the refused change -> conflict: based on revision 0, but 1 is in force; change c1 by anna made revision 1; yours against it: + labels on customer b, - labels on customer a
     resend with a comment only -> accepted as 1, 0 warnings
     same id, other content -> change id reused
-    same id, other number -> change id reused
+    same id, other base revision -> change id reused
     same id, other operator -> change id reused
     bad text -> refused: c4:1:7: error: there is no kind label (accepted: kind: labels, kind: selector or kind: source)
     resend of the bad text -> refused: c4:1:7: error: there is no kind label (accepted: kind: labels, kind: selector or kind: source)
     corrected under the same id -> change id reused
-    a number not yet given -> conflict: based on revision 9, but 2 is in force; yours against it: - labels on customer b
+    unknown base revision -> conflict: based on revision 9, but 2 is in force; yours against it: - labels on customer b
     "#);
 }
 
-/// Guards against a wrong or unmarked answer on the revision in force at a time. The clock of a
-/// proposer can jump, so that times and revisions are in different order.
+// Guards against a wrong or unmarked answer on the revision in force at a time. The clock of a
+// proposer can jump, so that times and revisions are in different order.
 #[test]
 fn history_finds_the_revision_in_force_and_reports_clock_jumps() {
     let mut log = ChangeLog::new(ChangeRetention::default());
@@ -145,8 +148,8 @@
     "#);
 }
 
-/// Guards against unbounded answers and history, and against a change that takes effect twice: a
-/// resend can arrive after its answer has expired.
+// Guards against unbounded answers and history, and against a change that takes effect twice: a
+// resend can arrive after its answer has expired.
 #[test]
 fn retention_limits_answers_and_history_by_count_and_age() {
     let retention = ChangeRetention {
@@ -180,9 +183,9 @@
     assert_eq!(log.answer_count(), 1);
 }
 
-/// Guards against followers with different content at the same revision. A follower applies each
-/// delta, skips some or fetches the complete text; a delta that is repeated, starts from another
-/// revision or was altered in transit must not change its copy.
+// Guards against followers with different content at the same revision. A follower applies each
+// delta, skips some or fetches the complete text; a delta that is repeated, starts from another
+// revision or was altered in transit must not change its copy.
 #[test]
 fn deltas_and_complete_texts_lead_to_the_same_content() {
     let mut log = ChangeLog::new(ChangeRetention::default());
@@ -247,9 +250,9 @@
     assert!(log.delta_since(Revision(5)).is_none());
 }
 
-/// Guards against a keeper that loses or changes the accepted configuration after an upgrade. A new
-/// version of this software can refuse the operator's text or read other content from it, so that
-/// the keeper has to fall back to the canonical text.
+// Guards against a keeper that loses or changes the accepted configuration after an upgrade. A new
+// version of this software can refuse the operator's text or read other content from it, so that
+// the keeper has to fall back to the canonical text.
 #[test]
 fn a_restart_builds_the_accepted_content_from_the_canonical_text() {
     let mut log = ChangeLog::new(ChangeRetention::default());
@@ -277,9 +280,9 @@
         ..Config::default()
     })]
 
-    /// Guards against two changes that create the same revision, and against a change id whose
-    /// answer changes. Fifty operators send changes based on recent revisions and resend them while
-    /// the log is restored.
+    // Guards against two changes that create the same revision, and against a change id whose
+    // answer changes. Fifty operators send changes based on recent revisions and resend them while
+    // the log is restored.
     #[test]
     fn each_revision_has_one_change_and_each_change_id_one_answer(
         calls in proptest::collection::vec((0..50_u8, any::<bool>()), 1..200),
@@ -313,9 +316,9 @@
     }
 }
 
-/// Guards against deltas that carry the complete source of 1,400 routes when one route is added,
-/// removed or moved; such deltas added up to 2 GB between hosts in a busy minute. The follower has
-/// to get exactly the published text.
+// Guards against deltas that carry the complete source of 1,400 routes when one route is added,
+// removed or moved; such deltas added up to 2 GB between hosts in a busy minute. The follower has
+// to get exactly the published text.
 #[test]
 fn a_delta_for_one_route_of_many_is_small() {
     let source = |version: u64, routes: &[u64]| {
@@ -400,23 +403,23 @@
     }
 }
 
-/// Guards against an edit that is decided differently from the complete text that it produces. The
-/// calls include resends, a concurrent change and an edit whose digest does not match its content.
+// Guards against an edit that is decided differently from the complete text that it produces. The
+// calls include resends, a concurrent change and an edit whose digest does not match its content.
 #[test]
-fn an_edit_is_decided_as_its_whole_text() {
+fn an_edit_is_decided_as_its_complete_text() {
     let mut log = ChangeLog::new(ChangeRetention::default());
     log.decide(&change("w", 0, "anna", &weight("a", 1)), WallTime(0), NOW);
     let first = edit("e1", &log, &routes(1, &[1, 2, 3]));
-    let rival = edit("e2", &log, &routes(2, &[4]));
+    let concurrent = edit("e2", &log, &routes(2, &[4]));
     let mut forged = edit("e3", &log, &routes(3, &[5]));
     forged.digest = first.digest;
     let mut report = String::new();
     let calls = [
         ("wrong digest", &forged),
         ("first", &first),
-        ("rival", &rival),
+        ("concurrent", &concurrent),
         ("first again", &first),
-        ("rival again", &rival),
+        ("concurrent again", &concurrent),
         ("wrong digest again", &forged),
     ];
     for (name, request) in calls {
@@ -424,18 +427,18 @@
         let _ = writeln!(report, "{name} -> {}", describe(&answer));
         log = restore(&log);
     }
-    let whole = log.canonical().text();
-    let resent = change("e1", first.based_on.0, "anna", &whole);
+    let complete = log.canonical().text();
+    let resent = change("e1", first.based_on.0, "anna", &complete);
     let answer = log.decide(&resent, WallTime(0), NOW);
-    let _ = writeln!(report, "first as a whole -> {}", describe(&answer));
+    let _ = writeln!(report, "first as a complete text -> {}", describe(&answer));
     insta::assert_snapshot!(report, @r"
-    wrong digest -> refused: e3:0:0: error: the edit leads to another content than it names (accepted: the digest of its content)
+    wrong digest -> refused: e3:0:0: error: the result of the edit does not match its digest (accepted: the digest of its content)
     first -> accepted as 2, 0 warnings
-    rival -> conflict: based on revision 1, but 2 is in force; change e1 by anna made revision 2; yours against it: ~ source
+    concurrent -> conflict: based on revision 1, but 2 is in force; change e1 by anna made revision 2; yours against it: ~ source
     first again -> accepted as 2, 0 warnings
-    rival again -> conflict: based on revision 1, but 2 is in force; change e1 by anna made revision 2; yours against it: ~ source
-    wrong digest again -> refused: e3:0:0: error: the edit leads to another content than it names (accepted: the digest of its content)
-    first as a whole -> accepted as 2, 0 warnings
+    concurrent again -> conflict: based on revision 1, but 2 is in force; change e1 by anna made revision 2; yours against it: ~ source
+    wrong digest again -> refused: e3:0:0: error: the result of the edit does not match its digest (accepted: the digest of its content)
+    first as a complete text -> accepted as 2, 0 warnings
     ");
 }
 
@@ -447,14 +450,14 @@
         ..Config::default()
     })]
 
-    /// Guards against keepers whose log differs between edits and complete texts: both have to lead
-    /// to the same text, history and deltas for any added, removed and moved routes.
+    // Guards against keepers whose log differs between edits and complete texts: both have to lead
+    // to the same text, history and deltas for any added, removed and moved routes.
     #[test]
-    fn edits_and_whole_texts_lead_to_the_same_log(
+    fn edits_and_complete_texts_lead_to_the_same_log(
         steps in proptest::collection::vec(proptest::collection::vec(0_u64..60, 0..40), 1..8)
     ) {
         let mut edited = ChangeLog::new(ChangeRetention::default());
-        let mut whole = ChangeLog::new(ChangeRetention::default());
+        let mut complete = ChangeLog::new(ChangeRetention::default());
         for (index, names) in steps.iter().enumerate() {
             let number = index as u64;
             let source = routes(number, names);
@@ -462,12 +465,12 @@
             let decision = edited.decide_edit(&request, WallTime(1), NOW);
             assert!(decision.configuration.is_some(), "{names:?}");
             let text = source_document(&source);
-            whole.decide(&change(&format!("c{number}"), number, "anna", &text), WallTime(1), NOW);
-            assert_eq!(edited.canonical(), whole.canonical());
+            complete.decide(&change(&format!("c{number}"), number, "anna", &text), WallTime(1), NOW);
+            assert_eq!(edited.canonical(), complete.canonical());
         }
         for revision in 0..=edited.revision().0 {
             let revision = Revision(revision);
-            let texts = [&edited, &whole].map(|log| log.canonical_at(revision).map(|c| c.text()));
+            let texts = [&edited, &complete].map(|log| log.canonical_at(revision).map(|c| c.text()));
             assert_eq!(texts[0], texts[1], "revision {revision}");
             let mut follower = FollowedConfiguration::default();
             if let (Some(text), Some(delta)) = (&texts[0], edited.delta_since(revision)) {
@@ -479,8 +482,8 @@
     }
 }
 
-/// Guards against quadratic time to compare two texts when thousands of routes are added at once.
-/// Keepers blocked for seconds, hosts lost their leases, and half of all requests were refused.
+// Guards against quadratic time to compare two texts when thousands of routes are added at once.
+// Keepers blocked for seconds, hosts lost their leases, and half of all requests were refused.
 #[test]
 fn many_new_routes_in_a_row_cost_linear_time() {
     let before = CanonicalText::default().with_source(&routes(1, &[1]));
--- a/crates/coordination/tests/evidence_report.rs
+++ b/crates/coordination/tests/evidence_report.rs
@@ -1,6 +1,6 @@
 //! Report page: its counts, its plots, and the escaping of untrusted text.
 #![cfg(feature = "report")]
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use pollendrift_coordination::base::WallTime;
 use pollendrift_coordination::evidence::{
@@ -78,7 +78,7 @@
     assert!(ends.contains("\n1.2\n"));
     let start = page.find("<h2>Outcomes").unwrap();
     let end = page.find("<h2>Requests").unwrap();
-    insta::assert_snapshot!(&page[start..end], @r#"<h2>Outcomes</h2><table><tr><th>Outcome</th><th>Requests</th></tr><tr><td>complete</td><td class="n">342</td></tr><tr><td>not-run</td><td class="n">58</td></tr><tr><td>begun, no end on record</td><td class="n">2</td></tr></table><p>0 configuration changes accepted, 0 refused; 0 refusals counted without a record of their own.</p>"#);
+    insta::assert_snapshot!(&page[start..end], @r#"<h2>Outcomes</h2><table><tr><th>Outcome</th><th>Requests</th></tr><tr><td>complete</td><td class="n">342</td></tr><tr><td>not-run</td><td class="n">58</td></tr><tr><td>started, end not recorded</td><td class="n">2</td></tr></table><p>0 configuration changes accepted, 0 refused; 0 refusals counted without a record of their own.</p>"#);
 }
 
 // Guards against a report that hides findings, or that shows a file without records.
--- a/crates/coordination/tests/evidence_verify.rs
+++ b/crates/coordination/tests/evidence_verify.rs
@@ -1,5 +1,5 @@
-//! Offline verification of exports: tampering, noted heads, retention and malformed input.
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+//! Offline verification of exports: tampering, known heads, retention and malformed input.
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use pollendrift_coordination::evidence::{
     ChainHead, EvidenceBatch, HeadTable, OutcomeKind, SealedRecord, VerifyReport, verify,
@@ -12,8 +12,8 @@
     anchor, begun, busy_chain, chain, export, export_after, finished, retention,
 };
 
-fn verify_lines(lines: &[String], noted: &[ChainHead]) -> VerifyReport {
-    verify("export.jsonl", lines.iter().map(String::as_str), noted)
+fn verify_lines(lines: &[String], known: &[ChainHead]) -> VerifyReport {
+    verify("export.jsonl", lines.iter().map(String::as_str), known)
 }
 
 /// Two chains of three requests each: records 1..=6 of brest-1 on lines 1 to 6, of brest-2 on 7
@@ -37,7 +37,7 @@
     lines
 }
 
-// Guards against findings in an unmodified export with a noted head.
+// Guards against findings in an unmodified export with a known head.
 #[test]
 fn a_complete_export_has_no_findings() {
     let report = verify_lines(&sample(), &[head_of(&busy_chain("brest-1", 2))]);
@@ -159,9 +159,9 @@
 
 // Guards against an undetected rewrite of a chain. The forger changes an old outcome and seals all
 // later records and the head again, or removes the newest records and adapts the head. Such an
-// export is consistent; only a head that was noted earlier outside the system reveals the change.
+// export is consistent; only a head that was known earlier outside the system reveals the change.
 #[test]
-fn a_noted_head_reveals_a_chain_rewritten_with_new_digests() {
+fn a_known_head_reveals_a_chain_rewritten_with_new_digests() {
     let honest = busy_chain("brest-1", 3);
     let mut events: Vec<_> = honest
         .iter()
@@ -170,36 +170,36 @@
     events[1] = finished("brest-1-r0", OutcomeKind::NotRun);
     let rewritten = export(&[chain("brest-1", events)]);
     let shortened = export(&[busy_chain("brest-1", 2)]);
-    let noted = [head_of(&honest)];
+    let known = [head_of(&honest)];
     let table = [rewritten, shortened, export(&[honest])];
     let lines = table.map(|lines| {
         let alone = verify_lines(&lines, &[]).findings.has_errors();
-        let with_head = verify_lines(&lines, &noted).findings;
+        let with_head = verify_lines(&lines, &known).findings;
         format!("alone: {alone}, with the head: {with_head}")
     });
     insta::assert_snapshot!(lines.join("\n"), @"
-    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was noted)
+    alone: false, with the head: export.jsonl:0:0: error: the known head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was stored)
 
-    alone: false, with the head: export.jsonl:0:0: error: the noted head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was noted)
+    alone: false, with the head: export.jsonl:0:0: error: the known head brest-1/7/6/9b21a58d70c9f9d87e1d4929ea85c53d7c9dbd5fef6326a36d5ed7a7ac131201 is not in the export (accepted: every record that existed when the head was stored)
 
     alone: false, with the head:
     ");
 }
 
-// Guards against findings for records that retention dropped, with noted heads before, at and after
+// Guards against findings for records that retention dropped, with known heads before, at and after
 // the anchor.
 #[test]
 fn an_export_after_retention_has_no_findings() {
     let records = busy_chain("brest-1", 3);
     let dropped = records[3].clone();
     let keeper = chain("brest-2", vec![retention("brest-2", &dropped)]);
-    let noted = [records[1].head(), dropped.head(), head_of(&records)];
-    let left = records[4..].to_vec();
-    let lines = export_after(Some(anchor(&dropped)), &[left, keeper]);
-    assert_eq!(verify_lines(&lines, &noted).findings.to_string(), "");
+    let known = [records[1].head(), dropped.head(), head_of(&records)];
+    let remaining = records[4..].to_vec();
+    let lines = export_after(Some(anchor(&dropped)), &[remaining, keeper]);
+    assert_eq!(verify_lines(&lines, &known).findings.to_string(), "");
 }
 
-// Guards against a head whose text an inspector notes and the parser then rejects, and against
+// Guards against a head whose text an auditor stores and the parser then rejects, and against
 // malformed heads that it accepts.
 #[test]
 fn a_head_parses_from_its_text_and_a_malformed_one_is_rejected() {
@@ -213,7 +213,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against a change of any single byte of an export that verification misses.
+    // Guards against a change of any single byte of an export that verification misses.
     #[test]
     fn every_changed_byte_is_detected(position in any::<prop::sample::Index>(), byte in b' '..=b'~') {
         let text = sample().join("\n");
@@ -228,7 +228,7 @@
         prop_assert!(!covered || verify_lines(&lines, &[]).findings.has_errors());
     }
 
-    /// Guards against untrusted input that a keeper stores as a batch without a valid chain.
+    // Guards against untrusted input that a keeper stores as a batch without a valid chain.
     #[test]
     fn arbitrary_batches_are_refused(lines in prop::collection::vec("[{}\\[\\]\",:a-z0-9]{0,64}", 0..4), bytes in any::<Vec<u8>>()) {
         let batch = EvidenceBatch {
@@ -241,7 +241,7 @@
         prop_assert!(decoded.is_err());
     }
 
-    /// Guards against untrusted text that makes verification panic or passes without a finding.
+    // Guards against untrusted text that makes verification panic or passes without a finding.
     #[test]
     fn arbitrary_text_has_findings(text in any::<String>(), tail in "[{}\\[\\]\",:a-z0-9]{0,64}") {
         let lines = [text, format!("{{\"record\":{tail}"), format!("{{\"head\":{tail}")];
