--- a/crates/coordination/tests/agreement_contract/messages.rs
+++ b/crates/coordination/tests/agreement_contract/messages.rs
@@ -12,8 +12,8 @@
 
 use super::support::{append, follower, from_b, from_keeper, grant, keeper, membership, outcomes};
 
-/// A follower that answers before its sync and then crashes makes the leader lose an acknowledged
-/// entry.
+// Guards against a reply before the sync: if the follower then crashes, the leader loses an
+// acknowledged entry.
 #[test]
 fn follower_replies_to_an_append_only_after_the_sync() {
     let mut node = follower();
@@ -33,8 +33,8 @@
     "#);
 }
 
-/// Two leaders can be elected if votes count from keepers outside the membership: a disk that
-/// returned empty under a new incarnation, or a host that no membership contains.
+// Guards against two elected leaders. Votes must not count from keepers outside the membership: a
+// disk that returned empty under a new incarnation, or a host that no membership contains.
 #[test]
 fn only_votes_of_voters_are_counted() {
     let mut node = follower();
@@ -66,8 +66,9 @@
     "#);
 }
 
-/// A follower with entries of a lost leader delivers them as committed if it applies the new
-/// leader's commit index to its complete log. Only entries that the new leader compared count.
+// Guards against a follower that delivers entries of a lost leader as committed, because it applies
+// the new leader's commit index to its complete log. Only entries that the new leader compared
+// count.
 #[test]
 fn follower_commits_only_compared_entries() {
     let mut node = follower();
@@ -84,8 +85,8 @@
     );
 }
 
-/// A message from or to a wrong incarnation, or with contradictory content, would change the term
-/// or the log. The node must drop it with the reason and stay unchanged.
+// Guards against a message from or to a wrong incarnation, or with contradictory content, that
+// changes the term or the log. The node must drop it with the reason and stay unchanged.
 #[test]
 fn invalid_messages_are_dropped() {
     let heartbeat = |term| {
@@ -99,7 +100,7 @@
     let a = || keeper("a", 2);
     let cases = [
         (
-            "former receiver",
+            "addressed to a former incarnation",
             keeper("b", 2),
             keeper("a", 1),
             heartbeat(2),
@@ -109,7 +110,7 @@
         ("term far ahead", keeper("b", 2), a(), heartbeat(u64::MAX)),
         ("gap in entries", keeper("b", 2), a(), append(1, &[(3, 2)])),
         (
-            "falling terms",
+            "decreasing terms",
             keeper("b", 2),
             a(),
             append(1, &[(2, 2), (3, 1)]),
@@ -121,7 +122,7 @@
             append(1, &[(2, 3)]),
         ),
         (
-            "against what is committed",
+            "conflicts with a committed entry",
             keeper("b", 2),
             a(),
             append(0, &[(1, 2)]),
@@ -149,14 +150,14 @@
         report.push_str(&format!("{name}: {}\n", outcomes(&effects).join(", ")));
     }
     insta::assert_snapshot!(report, @"
-    former receiver: not addressed to this incarnation
+    addressed to a former incarnation: not addressed to this incarnation
     own identity: sent under this keeper's own identity
     former sender: sent by a former incarnation
     term far ahead: content is malformed
     gap in entries: content is malformed
-    falling terms: content is malformed
+    decreasing terms: content is malformed
     term above its leader's: content is malformed
-    against what is committed: content is malformed
+    conflicts with a committed entry: content is malformed
     ");
 }
 
@@ -209,7 +210,7 @@
 }
 
 proptest! {
-    /// Arbitrary messages of a peer must not cause a panic or decrease the term or commit index.
+    // Guards against messages of a peer that cause a panic or decrease the term or commit index.
     #[test]
     fn any_messages_keep_the_invariants(messages in proptest::collection::vec(any_message(), 1..40)) {
         let mut node = follower();
--- a/crates/coordination/tests/agreement_contract/requests.rs
+++ b/crates/coordination/tests/agreement_contract/requests.rs
@@ -10,9 +10,9 @@
 
 use super::support::{from_b, keeper, leader, membership, outcomes, propose, settings};
 
-/// An isolated leader that kept claiming leadership would let callers wait. At the election timeout
-/// it steps down before it processes inputs: pending proposals become `Unknown`, and requests
-/// that arrive in the same tick are refused.
+// Guards against an isolated leader that keeps claiming leadership and lets callers wait. At the
+// election timeout it steps down before it processes inputs: pending proposals become `Unknown`,
+// and requests that arrive in the same tick are refused.
 #[test]
 fn isolated_leader_steps_down_after_the_election_timeout() {
     let (mut node, now) = leader();
@@ -32,9 +32,10 @@
     assert_eq!(node.leads_until(end), None);
 }
 
-/// An accepted entry disappears if a leader commits an earlier term's entry because a majority has
-/// it: a third keeper with an entry of a later term can still be elected and replace it. Such an
-/// entry must be committed only together with the first entry of the leader's own term.
+// Guards against an accepted entry that disappears because a leader commits an earlier term's entry
+// as soon as a majority has it: a third keeper with an entry of a later term can still be elected
+// and replace it. Such an entry must be committed only together with the first entry of the
+// leader's own term.
 #[test]
 fn leader_does_not_commit_earlier_terms_by_counting() {
     let (mut node, now) = leader();
@@ -53,9 +54,9 @@
     assert_eq!(commits, [0, 0, 2]);
 }
 
-/// Unbounded queues would exhaust memory, and one sync per proposal would limit the rate. Requests
-/// above a limit are refused at once; proposals of a tick, and those during a sync, share one
-/// persist request.
+// Guards against unbounded queues, which exhaust memory, and one sync per proposal, which limits
+// the rate. Requests above a limit are refused at once; proposals of a tick, and those during a
+// sync, share one persist request.
 #[test]
 fn requests_above_limits_are_refused_and_proposals_share_a_sync() {
     let (mut node, now) = leader();
@@ -82,8 +83,8 @@
     "#);
 }
 
-/// A learner that lacks entries and is promoted would turn the loss of one more host into an
-/// outage. Harmful membership changes are refused with a reason for the operator.
+// Guards against the promotion of a learner that lacks entries: the loss of one more host would
+// become an outage. Harmful membership changes are refused with a reason for the operator.
 #[test]
 fn harmful_membership_changes_are_refused() {
     let (mut node, now) = leader();
@@ -125,8 +126,9 @@
     "#);
 }
 
-/// A keeper with an empty disk or with a gap in its log may lack acknowledged entries. It must
-/// never start an election: the former waits to be added, the latter is retired.
+// Guards against the election of a keeper that lacks acknowledged entries, because its disk is
+// empty or its log has a gap. It must never start an election: the former waits to be added, the
+// latter is retired.
 #[test]
 fn empty_and_broken_disks_never_start_an_election() {
     let mut broken = RestoredState::founding(membership());
@@ -148,8 +150,8 @@
     "#);
 }
 
-/// A group of one gets no replies that could advance the commit. It must elect itself, and accept a
-/// command after its own sync.
+// Guards against a group of one that never commits, because it gets no replies. It must elect
+// itself, and accept a command after its own sync.
 #[test]
 fn single_keeper_accepts_after_its_own_sync() {
     let mut alone = membership();
@@ -178,8 +180,8 @@
     "#);
 }
 
-/// Keepers with the same seed and incarnation that drew the same timeouts would split their votes
-/// forever.
+// Guards against keepers with the same seed and incarnation that draw the same timeouts and split
+// their votes forever.
 #[test]
 fn keepers_with_the_same_seed_draw_different_timeouts() {
     let due = ["a", "b", "c"].map(|host| {
--- a/crates/coordination/tests/agreement_faults/callers.rs
+++ b/crates/coordination/tests/agreement_faults/callers.rs
@@ -56,13 +56,13 @@
             }
             self.run_for(100 * MILLISECOND);
             let membership = self.leader().and_then(|leader| self.node(leader));
-            let is_done = membership.is_some_and(|node| is_in_force(node, change));
+            let is_done = membership.is_some_and(|node| is_in_effect(node, change));
             if is_done {
                 return true;
             }
         }
         self.check
-            .record_violation(format!("{change:?} not in force after 20 s"));
+            .record_violation(format!("{change:?} not in effect after 20 s"));
         false
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-fn is_in_force(node: &AgreementNode, change: &MembershipChange) -> bool {
+fn is_in_effect(node: &AgreementNode, change: &MembershipChange) -> bool {
     let membership = node.membership();
     let is_former = |keeper: &KeeperId, other: &KeeperId| {
         keeper.host == other.host && keeper.incarnation < other.incarnation
--- a/crates/coordination/tests/agreement_faults/cases.rs
+++ b/crates/coordination/tests/agreement_faults/cases.rs
@@ -50,7 +50,7 @@
     case("only one keeper reaches all", 5, one_reaches_all),
     case("unreliable network", 5, unreliable_network),
     case("disks stall", 3, disks_stall),
-    case("paused leader wakes", 3, paused_leader),
+    case("paused leader resumes", 3, paused_leader),
     case("disk emptied", 3, disk_emptied),
     case("disk restored from an old copy", 3, old_disk),
     case("second loss after a repair", 3, second_loss),
@@ -185,15 +185,15 @@
 /// Callers wait for several elections. All links except those of one follower are cut, so no other
 /// keeper can lead: the leader steps down, and the keeper that reaches all is eventually elected.
 fn one_reaches_all(cluster: &mut Cluster) {
-    let centre = (cluster.await_leader() + 1) % 5;
-    for left in (0..5).filter(|host| *host != centre) {
-        for right in (0..5).filter(|host| *host != centre && *host != left) {
+    let connected_keeper = (cluster.await_leader() + 1) % 5;
+    for left in (0..5).filter(|host| *host != connected_keeper) {
+        for right in (0..5).filter(|host| *host != connected_keeper && *host != left) {
             cluster.cut_one_way(left, right);
         }
     }
     cluster.run_for(15 * SECOND);
     cluster.expect(
-        cluster.leader() == Some(centre),
+        cluster.leader() == Some(connected_keeper),
         "the keeper that reaches all doesn't lead",
     );
     cluster.expect_accepting("the keeper that reaches all accepts no command");
@@ -274,7 +274,7 @@
     cluster.run_for(100 * MILLISECOND);
     cluster.crash(host, false);
     cluster.run_for_random(SECOND);
-    cluster.put_disk_back(host, copy);
+    cluster.restore_disk_copy(host, copy);
     cluster.start(host);
     if cluster.random.random_range(0..2) == 0 {
         let leader = cluster.await_leader();
@@ -364,7 +364,7 @@
     );
 }
 
-/// Callers may see any of the above. Crashes, pauses, partitions and message faults occur at random
+/// Callers may wait, be refused or get `Unknown`. Crashes, pauses, partitions and message faults occur at random
 /// and overlap, with at most two of five keepers down or paused.
 fn random_faults(cluster: &mut Cluster) {
     for _ in 0..12 {
--- a/crates/coordination/tests/agreement_faults/cluster.rs
+++ b/crates/coordination/tests/agreement_faults/cluster.rs
@@ -63,7 +63,7 @@
     pub(crate) tally: CallerTally,
     pub(crate) last_accepted_at: Micros,
     /// Whether no disk fault occurred; otherwise a majority of disks may lack committed entries.
-    pub(crate) disks_are_kept: bool,
+    pub(crate) has_no_disk_fault: bool,
     pub(crate) changes: BTreeMap<RequestToken, ProposalOutcome>,
     pub(crate) hand_overs: Vec<HandOverOutcome>,
     pub(crate) settings: AgreementSettings,
@@ -92,7 +92,7 @@
             faults: NetworkFaults::NONE,
             tally: CallerTally::default(),
             last_accepted_at: 0,
-            disks_are_kept: true,
+            has_no_disk_fault: true,
             changes: BTreeMap::new(),
             hand_overs: Vec::new(),
             settings,
@@ -346,7 +346,7 @@
         }
         host.applied = entry.index;
         host.state = fold_state(host.state, entry);
-        if self.check.check_delivery(&id, entry) && self.disks_are_kept {
+        if self.check.check_delivery(&id, entry) && self.has_no_disk_fault {
             self.check_synced(index, entry);
         }
     }
--- a/crates/coordination/tests/agreement_faults/faults.rs
+++ b/crates/coordination/tests/agreement_faults/faults.rs
@@ -66,7 +66,7 @@
 
     /// Empties the disk of a stopped host and gives the host a new incarnation.
     pub(crate) fn empty_disk(&mut self, host: usize) {
-        self.disks_are_kept = false;
+        self.has_no_disk_fault = false;
         self.hosts[host].disk = FakeDisk::default();
         self.hosts[host].incarnation += 1;
         self.lost_identity.remove(&host);
@@ -77,8 +77,8 @@
     }
 
     /// Restores an old copy of the disk, with its old identity.
-    pub(crate) fn put_disk_back(&mut self, host: usize, disk: FakeDisk) {
-        self.disks_are_kept = false;
+    pub(crate) fn restore_disk_copy(&mut self, host: usize, disk: FakeDisk) {
+        self.has_no_disk_fault = false;
         self.hosts[host].disk = disk;
     }
 
--- a/crates/coordination/tests/agreement_faults/lost_voters.rs
+++ b/crates/coordination/tests/agreement_faults/lost_voters.rs
@@ -12,21 +12,21 @@
 /// Time without an answer after which the group removes a voter.
 const LOST_VOTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-fn retiring_settings() -> AgreementSettings {
+fn removal_settings() -> AgreementSettings {
     AgreementSettings {
         lost_voter_timeout: Some(LOST_VOTER_TIMEOUT),
         ..small_settings()
     }
 }
 
-/// If lost voters stayed in the membership, the third loss in a group of five would leave two
-/// voters and no quorum ever again. Each loss must shrink the group before the next one, so that
-/// the two remaining keepers of the original five still accept commands and lose none.
+// Guards against lost voters that stay in the membership: the third loss in a group of five would
+// leave two voters and no quorum ever again. Each loss must shrink the group before the next one,
+// so that the two remaining keepers of the original five still accept commands and lose none.
 #[test]
 fn group_survives_successive_losses_of_voters() {
     let mut findings = String::new();
     for seed in 0..seed_count() {
-        let mut cluster = Cluster::new(seed, 5, retiring_settings());
+        let mut cluster = Cluster::new(seed, 5, removal_settings());
         cluster.await_leader();
         for (loss, voters) in [4, 3, 3].into_iter().enumerate() {
             // The first loss is the leader.
@@ -53,14 +53,14 @@
     insta::assert_snapshot!(findings, @"");
 }
 
-/// A partition lasts longer than the timeout for lost voters. If the side without a quorum removed
-/// voters, there would be two groups after the partition heals. Its callers get no answer; those
-/// of the other side are served.
+// Guards against two groups after a partition that lasts longer than the timeout for lost voters,
+// because the side without a quorum removed voters. Its callers get no answer; those of the other
+// side are served.
 #[test]
 fn side_without_a_quorum_removes_no_voter() {
     let mut findings = String::new();
     for seed in 0..seed_count() {
-        let mut cluster = Cluster::new(seed, 5, retiring_settings());
+        let mut cluster = Cluster::new(seed, 5, removal_settings());
         let leader = cluster.await_leader();
         let other = (leader + 1) % 5;
         cluster.partition(&[leader, other]);
--- a/crates/coordination/tests/agreement_faults/main.rs
+++ b/crates/coordination/tests/agreement_faults/main.rs
@@ -33,9 +33,8 @@
         .unwrap_or(FIXED_SEEDS)
 }
 
-/// A fault would violate an invariant of agreement, such as two leaders in one term or a lost
-/// accepted command. Prints one line per case and reports the first violation of each seed.
-/// Regressions of faults that were found with these seeds.
+// Guards against faults that violate an invariant of agreement, such as two leaders in one term or a
+// lost accepted command. Prints one line per case and reports the first violation of each seed.
 #[test]
 fn all_invariants_hold_under_every_fault() {
     let mut findings = String::new();
@@ -47,6 +46,7 @@
     insta::assert_snapshot!(findings, @"");
 }
 
+// Guards against the return of faults that were found with these seeds.
 #[test]
 fn found_seeds_keep_all_invariants() {
     let mut findings = String::new();
@@ -57,8 +57,9 @@
     insta::assert_snapshot!(findings, @"");
 }
 
-/// Callers wait for one election when the leader is lost, and for a second one when two keepers
-/// start one at the same time: the longest wait of all seeds must be below four election timeouts.
+// Guards against long waits for a leader. Callers wait for one election when the leader is lost,
+// and for a second one when two keepers start one at the same time: the longest wait of all seeds
+// must be below four election timeouts.
 #[test]
 fn next_command_is_accepted_within_four_election_timeouts() {
     let setups = [3, 5].map(|keepers| ELECTION_TIMEOUTS.map(|timeout| (keepers, timeout)));
@@ -70,8 +71,8 @@
     }
 }
 
-/// A planned stop must not cost an election timeout: the leader requests the election of its
-/// successor, and callers are refused only meanwhile.
+// Guards against a planned stop that takes an election timeout: the leader requests the election of
+// its successor, and callers are refused only meanwhile.
 #[test]
 fn hand_over_takes_less_than_an_election_timeout() {
     let timeout = 300 * MILLISECOND;
@@ -80,9 +81,9 @@
     assert!(median > 0 && longest < timeout, "{median} {longest}");
 }
 
-/// A wrong redundancy report would let an operator stop a host that the group needs. The group
-/// tolerates one loss of three, none from the loss of a disk until its replacement votes, then one
-/// again.
+// Guards against a wrong redundancy report, after which an operator stops a host that the group
+// needs. The group tolerates one loss of three, none from the loss of a disk until its replacement
+// votes, then one again.
 #[test]
 fn redundancy_is_complete_again_after_a_replacement() {
     let mut cluster = Cluster::new(3, 3, small_settings());
--- a/crates/coordination/tests/claims_at_most_once.rs
+++ b/crates/coordination/tests/claims_at_most_once.rs
@@ -1,5 +1,5 @@
 //! Simulation of non-idempotent calls through several entries with failures at every step.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -54,7 +54,7 @@
     call: ClaimedCall,
     scope: ClaimScope,
     /// Whether the entry process that received the arrival still runs.
-    alive: bool,
+    is_running: bool,
     effects: VecDeque<CallEffect>,
     response: Option<CallerResponse>,
     ran: bool,
@@ -104,7 +104,7 @@
         self.arrivals.push(Arrival {
             call,
             scope,
-            alive: true,
+            is_running: true,
             effects: effects.into(),
             response: None,
             ran: false,
@@ -117,7 +117,7 @@
         let Some(arrival) = self.arrivals.get_mut(number) else {
             return;
         };
-        if !arrival.alive {
+        if !arrival.is_running {
             return;
         }
         let Some(effect) = arrival.effects.pop_front() else {
@@ -215,13 +215,13 @@
         self.incarnations[entry] += 1;
         for arrival in &mut self.arrivals {
             if arrival.call.ticket().host == host(entry) {
-                arrival.alive = false;
+                arrival.is_running = false;
             }
         }
     }
 
     /// The keepers declare the entry's current incarnation ended, correctly or not.
-    fn declare_dead(&mut self, entry: usize) {
+    fn declare_ended(&mut self, entry: usize) {
         let ended = Incarnation(self.incarnations[entry]);
         self.table.end_incarnation(&host(entry), ended, NOW);
     }
@@ -286,7 +286,7 @@
                 .enumerate()
                 .find(|(number, _)| request.as_str() == format!("request{number}"));
             assert!(
-                !holder.unwrap().1.alive,
+                !holder.unwrap().1.is_running,
                 "{} is held by {request}",
                 arrival.scope
             );
@@ -306,10 +306,10 @@
     }
 }
 
-/// Guards against a call that runs twice, or that runs although its caller received `not run`. A
-/// caller sends a call through entry 0, one step fails, and the caller resends through entry 1 at
-/// once and through entry 2 after the keepers declared entry 0 dead. Columns: case, the responses
-/// to these three, the response to another body with the same key, and the number of runs.
+// Guards against a call that runs twice, or that runs although its caller received `not run`. A
+// caller sends a call through entry 0, one step fails, and the caller resends through entry 1 at
+// once and through entry 2 after the keepers declared entry 0 ended. Columns: case, the responses
+// to these three, the response to another body with the same key, and the number of runs.
 #[test]
 fn a_call_runs_at_most_once_with_one_failure_at_each_step() {
     use StepResult::{Delayed, EntryCrashes, Lost, ReplyLost, Succeeds, Twice};
@@ -317,7 +317,7 @@
         ("nothing fails", &[Succeeds, Succeeds, Succeeds]),
         ("take: not committed", &[Lost, Succeeds, Succeeds]),
         (
-            "take: committed, leader dies before its reply",
+            "take: committed, leader crashes before its reply",
             &[ReplyLost, Succeeds, Succeeds],
         ),
         (
@@ -329,27 +329,27 @@
             &[Delayed, Succeeds, Succeeds],
         ),
         ("take: committed twice", &[Twice, Succeeds, Succeeds]),
-        ("entry dies after the take", &[EntryCrashes]),
+        ("entry crashes after the take", &[EntryCrashes]),
         ("send: connection refused", &[Succeeds, Delayed, Succeeds]),
         (
             "send: backend server did not start it",
             &[Succeeds, Twice, Succeeds],
         ),
         (
-            "send: link fails, backend server never got it",
+            "send: connection lost, the call did not run",
             &[Succeeds, Lost, Succeeds],
         ),
         (
-            "send: backend server dies after running it",
+            "send: backend server crashes after running it",
             &[Succeeds, ReplyLost, Succeeds],
         ),
-        ("entry dies during the send", &[Succeeds, EntryCrashes]),
+        ("entry crashes during the send", &[Succeeds, EntryCrashes]),
         (
             "settle: not committed at first",
             &[Succeeds, Succeeds, Lost, Succeeds],
         ),
         (
-            "settle: committed, leader dies before its reply",
+            "settle: committed, leader crashes before its reply",
             &[Succeeds, Succeeds, ReplyLost, Succeeds],
         ),
         (
@@ -357,10 +357,10 @@
             &[Succeeds, Succeeds, Delayed, Succeeds],
         ),
         (
-            "entry dies after the settle",
+            "entry crashes after the settle",
             &[Succeeds, Succeeds, EntryCrashes],
         ),
-        ("entry dies before the settle", &[Succeeds, Succeeds]),
+        ("entry crashes before the settle", &[Succeeds, Succeeds]),
     ];
     let mut report = String::new();
     for (name, results) in cases {
@@ -369,7 +369,7 @@
         for result in results {
             simulation.step(first, *result);
         }
-        if name.starts_with("entry dies") {
+        if name.starts_with("entry crashes") {
             simulation.restart_entry(0);
         }
         if name.contains("before the resend") {
@@ -378,7 +378,7 @@
         let resend = simulation.arrive(1, 0, 0);
         simulation.run_to_end(resend);
         simulation.apply_late();
-        simulation.declare_dead(0);
+        simulation.declare_ended(0);
         let last = simulation.arrive(2, 0, 0);
         simulation.run_to_end(last);
         let other = simulation.arrive(2, 0, 1);
@@ -398,28 +398,28 @@
     insta::assert_snapshot!(report, @r#"
     nothing fails | the answer | the stored answer | the stored answer | other body | 1
     take: not committed | not run: the claim could not be taken in time | the answer | the stored answer | other body | 1
-    take: committed, leader dies before its reply | not run: the claim could not be taken in time | the answer | the stored answer | other body | 1
+    take: committed, leader crashes before its reply | not run: the claim could not be taken in time | the answer | the stored answer | other body | 1
     take: committed late, after the entry gave up | not run: the claim could not be taken in time | the answer | the stored answer | other body | 1
     take: committed late, before the resend | not run: the claim could not be taken in time | the answer | the stored answer | other body | 1
     take: committed twice | the answer | the stored answer | the stored answer | other body | 1
-    entry dies after the take | nothing | in progress | unknown | other body | 0
+    entry crashes after the take | nothing | in progress | unknown | other body | 0
     send: connection refused | not run: the backend server refused the connection | the answer | the stored answer | other body | 1
     send: backend server did not start it | not run: the backend server did not start the call | the answer | the stored answer | other body | 1
-    send: link fails, backend server never got it | unknown | unknown | unknown | other body | 0
-    send: backend server dies after running it | unknown | unknown | unknown | other body | 1
-    entry dies during the send | nothing | in progress | unknown | other body | 1
+    send: connection lost, the call did not run | unknown | unknown | unknown | other body | 0
+    send: backend server crashes after running it | unknown | unknown | unknown | other body | 1
+    entry crashes during the send | nothing | in progress | unknown | other body | 1
     settle: not committed at first | the answer | the stored answer | the stored answer | other body | 1
-    settle: committed, leader dies before its reply | the answer | the stored answer | the stored answer | other body | 1
+    settle: committed, leader crashes before its reply | the answer | the stored answer | the stored answer | other body | 1
     settle: committed late | the answer | the stored answer | the stored answer | other body | 1
-    entry dies after the settle | the answer | the stored answer | the stored answer | other body | 1
-    entry dies before the settle | the answer | in progress | unknown | other body | 1
+    entry crashes after the settle | the answer | the stored answer | the stored answer | other body | 1
+    entry crashes before the settle | the answer | in progress | unknown | other body | 1
     "#);
 }
 
-/// Guards against a late take that claims a released key although no entry sends the call. Two
-/// arrivals of one key at one entry fail: the backend server refuses the connection of the first,
-/// the second gives up on its take, and that take is applied last. Releasing a key that another
-/// ticket had claimed was not recorded, so callers received `in progress` until the entry ended.
+// Guards against a late take that claims a released key although no entry sends the call. Two
+// arrivals of one key at one entry fail: the backend server refuses the connection of the first,
+// the second gives up on its take, and that take is applied last. If the release of a key that
+// another ticket claimed is not recorded, callers receive `in progress` until the entry ends.
 #[test]
 fn a_late_take_does_not_claim_a_released_key() {
     let mut simulation = Simulation::new();
@@ -445,7 +445,7 @@
     Arrive { entry: usize, key: u8, body: u8 },
     Step { arrival: usize, result: StepResult },
     RestartEntry { entry: usize },
-    DeclareDead { entry: usize },
+    DeclareEnded { entry: usize },
     ApplyLate { index: usize },
     RestartKeepers,
 }
@@ -462,7 +462,7 @@
             result: STEP_RESULTS.get(result).copied().unwrap_or(StepResult::Succeeds),
         }),
         1 => (0..3_usize).prop_map(|entry| Action::RestartEntry { entry }),
-        1 => (0..3_usize).prop_map(|entry| Action::DeclareDead { entry }),
+        1 => (0..3_usize).prop_map(|entry| Action::DeclareEnded { entry }),
         2 => (0..8_usize).prop_map(|index| Action::ApplyLate { index }),
         1 => proptest::strategy::Just(Action::RestartKeepers),
     ]
@@ -480,7 +480,7 @@
                 simulation.step(recent, result);
             }
             Action::RestartEntry { entry } => simulation.restart_entry(entry),
-            Action::DeclareDead { entry } => simulation.declare_dead(entry),
+            Action::DeclareEnded { entry } => simulation.declare_ended(entry),
             Action::ApplyLate { index } => {
                 if index < simulation.late.len() {
                     let command = simulation.late.swap_remove(index);
@@ -503,10 +503,10 @@
         ..Config::default()
     })]
 
-    /// Guards against interleavings that run a call twice, report `not run` for a call that ran, or
-    /// return the stored answer of another run. Callers resend through any entry while entries
-    /// crash or are wrongly declared dead, keepers restart, and commands are lost, duplicated and
-    /// delayed.
+    // Guards against interleavings that run a call twice, report `not run` for a call that ran, or
+    // return the stored answer of another run. Callers resend through any entry while entries
+    // crash or are wrongly declared dead, keepers restart, and commands are lost, duplicated and
+    // delayed.
     #[test]
     fn no_interleaving_runs_a_call_twice(
         actions in proptest::collection::vec(any_action(), 1..150),
--- a/crates/coordination/tests/claims_bounds.rs
+++ b/crates/coordination/tests/claims_limits.rs
@@ -1,5 +1,5 @@
 //! Retention and limits of the claim table.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use pollendrift_coordination::replicated::ReplicatedTime;
 
 const NOW: ReplicatedTime = ReplicatedTime::from_micros(0);
-const HORIZON: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 fn table() -> ClaimTable {
     ClaimTable::new(ClaimSettings {
-        horizon: HORIZON,
+        horizon: RETENTION,
         max_claims: 4,
         max_customer_claims: 2,
         max_body_bytes: 8,
@@ -56,8 +56,8 @@
     }
 }
 
-/// Guards against a full table that evicts claims in progress, and against one customer that fills
-/// the table. Takes over the limit are refused before anything is sent.
+// Guards against a full table that evicts claims in progress, and against one customer that fills
+// the table. Takes over the limit are refused before anything is sent.
 #[test]
 fn a_full_table_refuses_takes_and_keeps_its_claims() {
     let mut table = table();
@@ -78,10 +78,10 @@
     assert_eq!(table.counts().in_progress, 4);
 }
 
-/// Guards against claims that expire too early: a settled claim is kept for the horizon after it
-/// was settled, and a claim in progress does not expire.
+// Guards against claims that expire too early: a settled claim is kept for the retention time after it
+// was settled, and a claim in progress does not expire.
 #[test]
-fn the_horizon_starts_when_a_claim_is_settled() {
+fn retention_starts_when_a_claim_is_settled() {
     let mut table = table();
     let settled = take("a", 1);
     let held = take("b", 2);
@@ -89,12 +89,12 @@
     table.take(&held, NOW);
     let later = NOW.after(Duration::from_secs(100));
     table.settle(&settle(&settled, b"ok", "1"), later);
-    table.expire(later.after(HORIZON));
+    table.expire(later.after(RETENTION));
     assert!(matches!(
         table.look_up(&settled.scope),
         Some((_, ClaimState::Finished(_)))
     ));
-    table.expire(later.after(HORIZON + Duration::from_micros(1)));
+    table.expire(later.after(RETENTION + Duration::from_micros(1)));
     assert!(table.look_up(&settled.scope).is_none());
     assert!(matches!(
         table.look_up(&held.scope),
@@ -102,8 +102,8 @@
     ));
 }
 
-/// Guards against unbounded memory for stored answers: an answer over a limit is stored as
-/// finished, without its body or headers.
+// Guards against unbounded memory for stored answers: an answer over a limit is stored as
+// finished, without its body or headers.
 #[test]
 fn the_size_of_stored_answers_is_limited() {
     let mut table = table();
--- a/crates/coordination/tests/configuration_interface.rs
+++ b/crates/coordination/tests/configuration_interface.rs
@@ -1,5 +1,5 @@
 //! JSON bodies of the operators' HTTP interface.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
@@ -23,7 +23,7 @@
     ChangeReply::from(answer)
 }
 
-/// Guards against changes of the JSON replies and statuses that operators and pollenctl rely on.
+// Guards against changes of the JSON replies and statuses that operators and pollenctl rely on.
 #[test]
 fn change_replies_keep_their_json_and_status() {
     let mut log = ChangeLog::new(ChangeRetention::default());
@@ -48,8 +48,8 @@
     "#);
 }
 
-/// Guards against history pages with the wrong revisions, answers on revisions or times that do not
-/// exist, and explanations that lack the reason of a mismatch.
+// Guards against history pages with the wrong revisions, answers on revisions or times that do not
+// exist, and explanations that lack the reason of a mismatch.
 #[test]
 fn views_select_revisions_and_explain_mismatches() {
     let mut log = ChangeLog::new(ChangeRetention::default());
--- a/crates/coordination/tests/configuration_select.rs
+++ b/crates/coordination/tests/configuration_select.rs
@@ -1,5 +1,5 @@
 //! Selectors of requests, the backend servers that they allow, and the reasons of mismatches.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::fmt::Write;
 
@@ -107,8 +107,8 @@
     }
 }
 
-/// Guards against a request served by a selector other than the first match, with the wrong
-/// settings, or refused without the reasons.
+// Guards against a request served by a selector other than the first match, with the wrong
+// settings, or refused without the reasons.
 #[test]
 fn the_first_matching_selector_serves_the_request() {
     let configuration = configuration();
@@ -163,8 +163,8 @@
     "#);
 }
 
-/// Guards against a backend server that is allowed although it is out of service, lacks the target
-/// or misses a requirement, and against a wrong reason.
+// Guards against a backend server that is allowed although it is out of service, lacks the target
+// or misses a requirement, and against a wrong reason.
 #[test]
 fn a_disallowed_backend_server_gets_a_reason() {
     let configuration = configuration();
@@ -222,7 +222,7 @@
     "#);
 }
 
-/// Guards against explanations that leave out a selector or its reason.
+// Guards against explanations that leave out a selector or its reason.
 #[test]
 fn explain_reports_every_selector_in_order() {
     let mut report = String::new();
@@ -245,7 +245,7 @@
     "#);
 }
 
-/// Guards against a host label that is ignored or applies to another host.
+// Guards against a host label that is ignored or applies to another host.
 #[test]
 fn a_label_takes_only_its_host_out_of_service() {
     let facts = |name: &str| HostFacts {
@@ -260,8 +260,8 @@
     assert_eq!(state("h2"), None);
 }
 
-/// Guards against an index that changes the decision: `select` uses it, `explain` scans all
-/// selectors.
+// Guards against an index that changes the decision: `select` uses it, `explain` scans all
+// selectors.
 #[test]
 fn the_index_selects_the_same_selector_as_a_scan() {
     let configuration = configuration();
--- a/crates/coordination/tests/evidence_buffer.rs
+++ b/crates/coordination/tests/evidence_buffer.rs
@@ -210,7 +210,7 @@
     let heads: Vec<_> = table.heads().map(|head| head.sequence.0).collect();
     log.push(format!("everything dropped: heads {heads:?}"));
     table.forget(&writer("brest-1"));
-    log.push(format!("forgotten: {} heads", table.heads().count()));
+    log.push(format!("removed: {} heads", table.heads().count()));
     insta::assert_snapshot!(log.join("\n"), @r#"
     first: 4 stored; missing []
     again: 0 stored; missing []
@@ -225,7 +225,7 @@
     heads [10]
     after retention, 7..=8 again: Ok(0) stored
     everything dropped: heads [10]
-    forgotten: 0 heads
+    removed: 0 heads
     "#);
 }
 
--- a/crates/coordination/tests/hosts_found.rs
+++ b/crates/coordination/tests/hosts_directory.rs
@@ -44,9 +44,9 @@
     }
 }
 
-// A keeper without a quorum that acknowledges heartbeats leaves the server expired on all other
-// hosts, so it must reject them. Only voters count: when a lost and retired sixth keeper counted,
-// three of the five voters rejected every heartbeat, and all leases expired at once.
+// Guards against a keeper that acknowledges heartbeats without a quorum: the server's lease expires
+// on all other hosts. Only voters count: if a lost and removed sixth keeper counted, three of the
+// five voters would reject every heartbeat, and all leases would expire at once.
 #[test]
 fn a_quorum_counts_reached_voters_only() {
     let cases: [(&str, &[&str], &[&str]); 6] = [
@@ -79,8 +79,8 @@
     ");
 }
 
-// After a keeper was replaced, other hosts may still send gossip with its old address. Gossip that
-// is older than the stored entry must not direct links back to the dead address.
+// Guards against links to the old address of a replaced keeper. Other hosts may still send gossip
+// with that address; gossip that is older than the stored entry must not change it.
 #[test]
 fn the_newest_gossip_wins_in_any_order_of_arrival() {
     let steps: [(u64, HostGossip); 5] = [
@@ -109,8 +109,9 @@
     "#);
 }
 
-// Two hosts keep sending each other gossip about a dead host. Without the age in the gossip, each
-// round would add the dead host again; with it, both remove the host after the retention.
+// Guards against a failed host that stays in the directory. Two hosts keep sending each other
+// gossip about it. Without the age in the gossip, each round would add the failed host again; with
+// it, both remove the host after the retention.
 #[test]
 fn forwarded_gossip_does_not_keep_a_dead_host() {
     let (mut left, mut right) = (directory(), directory());
@@ -131,8 +132,8 @@
     assert_eq!(removed, [(30, 2)]);
 }
 
-// The hosts that accept callers share the retry budget of the system. Keepers accept none, so
-// counting them would leave a part of the budget unused.
+// Guards against a part of the retry budget that stays unused. The hosts that accept callers share
+// the budget of the system; keepers accept none, so they must not count.
 #[test]
 fn keepers_do_not_count_as_entries() {
     let mut directory = directory();
--- a/crates/coordination/tests/leases_spread.rs
+++ b/crates/coordination/tests/leases_replication.rs
@@ -124,31 +124,31 @@
     bytes.len()
 }
 
-// Guards against heartbeats whose cost at a keeper grows with every host. Each of 3,000 servers
-// heartbeats every 1.2 s, to an entry or a keeper, and a keeper sends all of them to each follower.
+// Guards against heartbeats whose cost at a keeper grows with every host. Each of 3,000 servers sends
+// a heartbeat every 1.2 s, to an entry or a keeper, and a keeper sends all of them to each follower.
 #[test]
 fn heartbeat_fan_out_takes_a_few_bytes_per_server_and_follower() {
     const SERVERS: usize = 3_000;
-    let mut near = LeaseHost::new("keeper-1");
-    let mut far = LeaseHost::new("keeper-2");
+    let mut first_keeper = LeaseHost::new("keeper-1");
+    let mut second_keeper = LeaseHost::new("keeper-2");
     let mut entry = LeaseHost::new("entry-1");
     let mut follower = LeaseHost::new("entry-2");
     for server in 0..SERVERS {
-        near.table.merge(at(0), announce(server, 1));
+        first_keeper.table.merge(at(0), announce(server, 1));
     }
-    near.replicate(
+    first_keeper.replicate(
         100,
-        &mut far,
+        &mut second_keeper,
         LeaseScope::OwnAndFollowers,
         LeaseSource::Keeper,
     );
-    far.replicate(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
-    far.replicate(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
+    second_keeper.replicate(200, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+    second_keeper.replicate(200, &mut follower, LeaseScope::All, LeaseSource::Keeper);
     // The entry sends its servers to its keeper by name once.
     for server in (0..SERVERS).step_by(100) {
         entry.table.merge(at(600), announce(server, 2));
     }
-    entry.replicate(700, &mut far, LeaseScope::Own, LeaseSource::Peer);
+    entry.replicate(700, &mut second_keeper, LeaseScope::Own, LeaseSource::Peer);
     let mut bytes = (0, 0);
     for round in 1..=10 {
         let now = 1_200 * round;
@@ -158,19 +158,24 @@
             let receiver = if server % 100 == 0 {
                 &mut entry
             } else {
-                &mut near
+                &mut first_keeper
             };
             let verdict = receiver.table.merge(at(now), announce(server, 2 + round));
             assert_eq!(verdict, MergeVerdict::Renewed);
         }
-        bytes.0 += entry.replicate(now + 100, &mut far, LeaseScope::Own, LeaseSource::Peer);
-        near.replicate(
+        bytes.0 += entry.replicate(
             now + 100,
-            &mut far,
+            &mut second_keeper,
+            LeaseScope::Own,
+            LeaseSource::Peer,
+        );
+        first_keeper.replicate(
+            now + 100,
+            &mut second_keeper,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        bytes.1 += far.replicate(
+        bytes.1 += second_keeper.replicate(
             now + 300,
             &mut follower,
             LeaseScope::All,
@@ -188,30 +193,30 @@
 #[test]
 fn the_lease_of_a_dead_server_expires_on_every_host() {
     let mut entry = LeaseHost::new("entry-1");
-    let mut near = LeaseHost::new("keeper-1");
-    let mut far = LeaseHost::new("keeper-2");
+    let mut first_keeper = LeaseHost::new("keeper-1");
+    let mut second_keeper = LeaseHost::new("keeper-2");
     let mut follower = LeaseHost::new("entry-2");
-    near.table.merge(at(0), announce(1, 1));
+    first_keeper.table.merge(at(0), announce(1, 1));
     for now in (200..12_000).step_by(200) {
-        near.replicate(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
+        first_keeper.replicate(now, &mut entry, LeaseScope::All, LeaseSource::Keeper);
         if now == 1_200 {
             entry.table.merge(at(now), announce(1, 2));
         }
-        entry.replicate(now, &mut near, LeaseScope::Own, LeaseSource::Peer);
-        near.replicate(
+        entry.replicate(now, &mut first_keeper, LeaseScope::Own, LeaseSource::Peer);
+        first_keeper.replicate(
             now,
-            &mut far,
+            &mut second_keeper,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        far.replicate(
+        second_keeper.replicate(
             now,
-            &mut near,
+            &mut first_keeper,
             LeaseScope::OwnAndFollowers,
             LeaseSource::Keeper,
         );
-        far.replicate(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
-        let hosts = [&entry, &near, &far, &follower];
+        second_keeper.replicate(now, &mut follower, LeaseScope::All, LeaseSource::Keeper);
+        let hosts = [&entry, &first_keeper, &second_keeper, &follower];
         let serving: Vec<usize> = hosts.map(|host| host.serving_count(now)).to_vec();
         if now < 5_000 {
             assert!(now <= 200 || serving == [1, 1, 1, 1], "{now}: {serving:?}");
@@ -219,7 +224,12 @@
         if now > 6_200 {
             assert_eq!(serving, [0, 0, 0, 0], "{now}");
         }
-        for host in [&mut entry, &mut near, &mut far, &mut follower] {
+        for host in [
+            &mut entry,
+            &mut first_keeper,
+            &mut second_keeper,
+            &mut follower,
+        ] {
             host.table.tick(at(now));
         }
     }
@@ -266,9 +276,9 @@
 }
 
 // Guards against work for a leaving server, sent by a host whose own keeper hangs. A keeper sends
-// each leave to every host, and only once.
+// each leaving announcement to every host, and only once.
 #[test]
-fn a_leave_is_sent_once_to_every_host() {
+fn a_leaving_announcement_is_sent_once_to_every_host() {
     let mut keeper = LeaseHost::new("keeper-1");
     for server in 0..3 {
         keeper.table.merge(at(0), announce(server, 1));
--- a/crates/coordination/tests/ledger_failures.rs
+++ b/crates/coordination/tests/ledger_failures.rs
@@ -77,9 +77,9 @@
     }
 }
 
-// A result of another request, or from an incomplete or wrong chain, must not reach the caller. An
-// engine sends each kind of faulty result before the valid one for position 0. The ledger compares
-// the chain with the layers, the version and the route of the attempt.
+// Guards against a result of another request, or from an incomplete or wrong chain, that reaches
+// the caller. An engine sends each kind of faulty result before the valid one for position 0. The
+// ledger compares the chain with the layers, the version and the route of the attempt.
 #[test]
 fn faulty_results_are_dropped_with_their_reason() {
     type Fault = fn(&mut TokenResult);
@@ -111,7 +111,10 @@
         "other engines: {}",
         describe(&ledger.accept(off_route))
     ));
-    lines.push(format!("whole: {}", describe(&ledger.accept(result(1, 0)))));
+    lines.push(format!(
+        "complete: {}",
+        describe(&ledger.accept(result(1, 0)))
+    ));
     insta::assert_snapshot!(lines.join("\n"), @r"
     foreign request: dropped: foreign request
     attempt 0: dropped: old attempt
@@ -125,13 +128,14 @@
     beyond the model: dropped: chain: range 20..33 does not fit a model of 32 layers
     other version: dropped: chain: version v2 in an answer made with v1
     other engines: dropped: off the attempt's route
-    whole: release 1/0
+    complete: release 1/0
     ");
 }
 
-// Results arrive as 2, 0, 0, 3, 2, 9, 1, and the caller must get 0 to 3 once and in order. 2 and 3
-// are buffered, the duplicates of 0 and 2 are dropped, and 9 is beyond the window. While a position
-// is missing, the window limits the size of the buffer.
+// Guards against results released out of order or twice. Results arrive as 2, 0, 0, 3, 2, 9, 1, and
+// the caller must get 0 to 3 once and in order. 2 and 3 are buffered, the duplicates of 0 and 2 are
+// dropped, and 9 is beyond the window. While a position is missing, the window limits the size of
+// the buffer.
 #[test]
 fn late_and_duplicate_results_are_released_in_order() {
     let mut ledger = started();
@@ -151,9 +155,10 @@
     ");
 }
 
-// The second stage dies while 1/2 (attempt/position) is buffered and 1/1 is missing, and attempt 2
-// starts after the released 1/0. The late 1/1 and the buffered 1/2 belong to another sampling and
-// must not be mixed with the tokens of attempt 2.
+// Guards against tokens of attempt 1 mixed with those of attempt 2. The second stage crashes while
+// 1/2 (attempt/position) is buffered and 1/1 is missing, and attempt 2 starts after the released
+// 1/0. The late 1/1 and the buffered 1/2 were sampled in attempt 1 and may not fit the tokens of
+// attempt 2.
 #[test]
 fn a_new_attempt_continues_from_the_confirmed_prefix() {
     let mut ledger = started();
@@ -178,9 +183,9 @@
     ");
 }
 
-// The final event can overtake tokens. The answer must not be complete before its last position is
-// released. A count below the received tokens, a second count, or a position beyond the count is
-// dropped as a contradiction, which ends the attempt.
+// Guards against an answer that is complete before its last position is released: the final event
+// can overtake tokens. A count below the received tokens, a second count, or a position beyond the
+// count is dropped as a contradiction, which ends the attempt.
 #[test]
 fn the_final_event_waits_for_all_positions() {
     let mut ledger = started();
@@ -208,9 +213,9 @@
     ");
 }
 
-// A retry may be planned on a stale route: with the same or a lower number, a gap, or mixed
-// versions. The ledger must refuse each before any engine gets a request, and the running attempt
-// continues.
+// Guards against an attempt on a stale route that replaces the running one. A retry may be planned
+// with the same or a lower number, a gap, or mixed versions. The ledger must refuse each before any
+// engine gets a request, and the running attempt continues.
 #[test]
 fn attempts_on_invalid_routes_are_refused() {
     let mut ledger = ledger();
@@ -240,9 +245,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    // The caller must get every position at most once, in order, and from the attempt that is
-    // running. Results of several attempts arrive shuffled, duplicated and late, some with a broken
-    // chain, while new attempts start. Every released text names the attempt that generated it.
+    // Guards against positions that the caller gets twice, out of order, or from an attempt that is
+    // not running. Results of several attempts arrive shuffled, duplicated and late, some with a
+    // broken chain, while new attempts start. Every released text names the attempt that generated
+    // it.
     #[test]
     fn any_arrival_order_releases_each_position_once(
         steps in prop::collection::vec((0_u32..4, 0_u32..12, any::<bool>(), 0_u8..8), 0..200),
@@ -274,8 +280,9 @@
         assert_eq!(seen, expected);
     }
 
-    // If each result arrives at least once within the window, the answer must become complete. The
-    // results are reordered by swaps of neighbours and duplicated; the final event comes anywhere.
+    // Guards against an answer that never becomes complete although each result arrives at least
+    // once within the window. The results are reordered by swaps of neighbours and duplicated; the
+    // final event comes anywhere.
     #[test]
     fn an_answer_completes_if_every_result_arrives(swaps in prop::collection::vec(0_usize..19, 0..40), end in 0_usize..20) {
         let mut order: Vec<u32> = (0..20).collect();
--- a/crates/coordination/tests/limits_fairness.rs
+++ b/crates/coordination/tests/limits_fairness.rs
@@ -265,21 +265,22 @@
 }
 
 // Guards against one customer's flood that delays the others. The flood offers 25 times the entry's
-// capacity, with the weight of the others or four times it; the others use 56 % or 70 % of their
-// shares, because a customer that uses its full share must expect to queue. Shares follow the
-// weights, and a customer below its share runs next, so it waits for one free slot: its p95 stays
-// within a factor of 1.3 of the p95 without the flood, or of 2 if all running requests end
-// simultaneously, since then no slot becomes free for one full run.
+// capacity, with the weight of each other customer or four times it. The others use 56 % or 70 % of
+// their shares: a customer that uses its full share must expect to queue.
+//
+// The p95 of the others may grow by a factor of 1.3, or of 2 if all running requests end
+// simultaneously. Shares follow the weights and a customer below its share runs next, so it waits for
+// one free slot only; if all requests end together, no slot becomes free for one full run.
 #[test]
 fn a_flood_delays_other_customers_by_a_bounded_factor() {
-    for (is_spread, tenths) in [(true, 13), (false, 20)] {
+    for (is_spread, max_factor_tenths) in [(true, 13), (false, 20)] {
         let alone = run_flood(0, 1, is_spread);
         for weight in [1, 4] {
             let flooded = run_flood(5, weight, is_spread);
             for customer in (0..10).map(|c| format!("quiet-{c}")) {
                 let (before, after) = (alone.p95(&customer), flooded.p95(&customer));
                 assert!(
-                    after * 10 <= before * tenths,
+                    after * 10 <= before * max_factor_tenths,
                     "{customer}: {before} ms, {after} ms"
                 );
                 assert_eq!(flooded.refused.get(&customer), None);
--- a/crates/coordination/tests/limits_patience.rs
+++ b/crates/coordination/tests/limits_wait.rs
@@ -28,7 +28,7 @@
 }
 
 // Guards against hosts that refuse callers because they know no engine yet. A restart of all hosts
-// cuts the callers' streams, all of them retry at once, and most have only one retry.
+// aborts the callers' streams, all of them retry at once, and most have only one retry.
 #[test]
 fn retries_after_a_restart_of_all_hosts_wait_for_discovery() {
     let learning = WaitSettings::default();
--- a/crates/coordination/tests/outer_encodings/agreement.rs
+++ b/crates/coordination/tests/outer_encodings/agreement.rs
@@ -1,4 +1,4 @@
-//! Agreement between keepers: messages, and what the store is given.
+//! Agreement between keepers: messages, and what keepers store.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 };
 use pollendrift_coordination::base::MonotonicTime;
 
+use crate::encoded_text::cbor;
 use crate::samples::{entries, keeper, mark, membership};
-use crate::shown::cbor;
 
 const TERM: Term = Term(4);
 const SENT: MonotonicTime = MonotonicTime::from_micros(5_000);
@@ -131,14 +131,14 @@
     messages
 }
 
-/// A renamed field would make old and new keepers unable to read each other during an upgrade.
+// Guards against a renamed field: old and new keepers would be unable to read each other during an upgrade.
 #[test]
 fn agreement_messages_keep_their_encoding() {
     let shown: Vec<String> = messages().iter().map(cbor).collect();
     insta::assert_snapshot!(shown.join("\n"));
 }
 
-/// A renamed field of the envelope would make keepers drop all messages of the other build.
+// Guards against a renamed field of the envelope: keepers would drop all messages of other builds.
 #[test]
 fn agreement_envelopes_keep_their_encoding() {
     let envelope = AgreementEnvelope {
@@ -150,7 +150,8 @@
     insta::assert_snapshot!(cbor(&envelope));
 }
 
-/// A renamed field would make a keeper unable to read the entries, votes and groups it has stored.
+// Guards against a renamed field: a keeper could not read the entries, votes and memberships that it
+// has stored.
 #[test]
 fn agreement_entries_keep_their_encoding() {
     let hard = HardState {
--- a/crates/coordination/tests/outer_encodings/configuration.rs
+++ b/crates/coordination/tests/outer_encodings/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration: its canonical text and digest, what followers are sent, and operators' bodies.
+//! Configuration: canonical text and digest, updates for followers, and bodies of the
+//! operator interface.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -14,8 +15,8 @@
 use pollendrift_coordination::replicated::ReplicatedTime;
 use pollendrift_coordination::routes::SourceVersion;
 
+use crate::encoded_text::{cbor, json};
 use crate::samples::{difference, document_keys, summary};
-use crate::shown::{cbor, json};
 
 const DOCUMENTS: &str = "\
 kind: labels
@@ -95,8 +96,8 @@
     log
 }
 
-/// Another canonical text has another digest: followers would take no delta from other builds, and
-/// an operator's resend would count as another change.
+// Guards against a changed canonical text: its digest changes too, so followers would reject deltas
+// of other builds, and an operator's resend would count as another change.
 #[test]
 fn canonical_documents_keep_their_text_and_digest() {
     let canonical = parsed(&format!("{DOCUMENTS}---\n{}", source(1)));
@@ -106,7 +107,8 @@
     insta::assert_snapshot!("canonical_encoding", cbor(&canonical));
 }
 
-/// A renamed field or variant would make followers unable to read what changed.
+// Guards against a renamed field or variant: followers could not read deltas and edits of other
+// builds.
 #[test]
 fn deltas_and_edits_keep_their_encoding() {
     let delta = log().delta_since(Revision(1)).expect("it is retained");
@@ -121,7 +123,8 @@
     insta::assert_snapshot!(shown.join("\n"));
 }
 
-/// Operators read these names in findings, evidence and lists of changes.
+// Guards against changed names of documents, which operators read in findings, evidence and lists of
+// changes.
 #[test]
 fn names_of_documents_keep_their_text() {
     let mut texts = document_keys().map(|key| key.to_string()).to_vec();
@@ -161,7 +164,7 @@
     }
 }
 
-/// A renamed field would break operators' scripts and tools of another build.
+// Guards against a renamed field: operators' scripts and tools of other builds would fail.
 #[test]
 fn bodies_for_operators_keep_their_names() {
     let body = ChangeBody {
@@ -204,9 +207,9 @@
     labels
 }
 
-/// Labels that operators have written would lose their meaning.
+// Guards against a renamed well-known label: labels in existing configurations would have no effect.
 #[test]
-fn labels_with_a_meaning_keep_their_keys() {
+fn well_known_labels_keep_their_keys() {
     let read = LabelSettings::of(&labels(&[
         ("deadline-ms", "1500"),
         ("idempotent", "true"),
@@ -251,7 +254,7 @@
     }
 }
 
-/// Selectors that operators have written would match no longer.
+// Guards against a renamed label of facts: existing selectors would no longer match.
 #[test]
 fn labels_of_facts_keep_their_keys() {
     let configuration = Configuration::default();
--- a/crates/coordination/tests/outer_encodings/shown.rs
+++ b/crates/coordination/tests/outer_encodings/encoded_text.rs
@@ -1,4 +1,4 @@
-//! Encoded values as text: names as a reader sees them, then the bytes.
+//! Encoded values as text: diagnostic notation, then the bytes.
 
 use std::fmt::{Debug, Write};
 
@@ -8,19 +8,20 @@
 
 const HEX_COLUMNS: usize = 96;
 
-/// A value as CBOR: diagnostic notation and bytes; it must read back as itself.
+/// Encodes a value as CBOR, in diagnostic notation and bytes, and checks that decoding returns the
+/// same value.
 pub(crate) fn cbor<T>(value: &T) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let bytes = encode(value);
-    let read: T = ciborium::from_reader(bytes.as_slice()).expect("own encoding");
+    let read: T = ciborium::from_reader(bytes.as_slice()).expect("decodes");
     assert_eq!(read, *value);
-    shown_bytes(&bytes)
+    bytes_as_text(&bytes)
 }
 
-/// CBOR bytes: diagnostic notation and hexadecimal.
-pub(crate) fn shown_bytes(bytes: &[u8]) -> String {
+/// Writes CBOR bytes in diagnostic notation and hexadecimal.
+pub(crate) fn bytes_as_text(bytes: &[u8]) -> String {
     let value: Value = ciborium::from_reader(bytes).expect("CBOR");
     let mut text = diagnostic(&value);
     for line in bytes.chunks(HEX_COLUMNS / 2) {
@@ -30,19 +31,19 @@
     text
 }
 
-/// A value as JSON; it must read back as itself.
+/// Encodes a value as JSON and checks that decoding returns the same value.
 pub(crate) fn json<T>(value: &T) -> String
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let text = told_json(value);
-    let read: T = serde_json::from_str(&text).expect("own encoding");
+    let text = write_json(value);
+    let read: T = serde_json::from_str(&text).expect("decodes");
     assert_eq!(read, *value);
     text
 }
 
-/// A value that is only written as JSON.
-pub(crate) fn told_json<T>(value: &T) -> String
+/// Encodes a value as JSON that no process of this project decodes.
+pub(crate) fn write_json<T>(value: &T) -> String
 where
     T: Serialize,
 {
--- a/crates/coordination/tests/outer_encodings/evidence.rs
+++ b/crates/coordination/tests/outer_encodings/evidence.rs
@@ -9,8 +9,8 @@
     verify,
 };
 
+use crate::encoded_text::{cbor, json};
 use crate::samples::layers;
-use crate::shown::{cbor, json};
 
 const OUTCOMES: [OutcomeKind; 5] = [
     OutcomeKind::CallerGone,
@@ -112,7 +112,7 @@
     })
 }
 
-fn kept() -> [EvidenceEvent; 3] {
+fn keeper_events() -> [EvidenceEvent; 3] {
     [
         EvidenceEvent::RefusalsOmitted(RefusalsOmitted {
             count: 6,
@@ -134,7 +134,7 @@
     let mut events = vec![changed(), begun()];
     events.extend(OUTCOMES.map(finished));
     events.push(refused());
-    events.extend(kept());
+    events.extend(keeper_events());
     events
 }
 
@@ -175,8 +175,8 @@
     lines
 }
 
-/// A renamed field or variant would change digests: auditors could not verify what they kept, and
-/// keepers would refuse the chains of other builds.
+// Guards against a renamed field or variant: digests would change, so auditors could not verify the
+// exports that they stored, and keepers would reject the chains of other builds.
 #[test]
 fn evidence_exports_keep_their_lines_and_digests() {
     let lines = export();
@@ -188,7 +188,8 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// Heads that auditors noted on paper could no longer be given to a check.
+// Guards against a changed text of heads: auditors could no longer verify with the heads that they
+// stored.
 #[test]
 fn evidence_heads_keep_their_text() {
     let head = chain().pop().expect("records").head();
@@ -209,9 +210,9 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A renamed field would make hosts and keepers unable to ask each other for evidence.
+// Guards against a renamed field: hosts and keepers could not request evidence of each other.
 #[test]
-fn evidence_questions_keep_their_encoding() {
+fn evidence_requests_keep_their_encoding() {
     let filter = EvidenceFilter {
         request: Some("r1".into()),
         customer: Some("ponant".into()),
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other: leases, addresses, loads and streams.
+//! Messages between hosts: leases, addresses, loads and streams.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
 use pollendrift_coordination::streams::{StreamRecord, StreamUpdate};
 
+use crate::encoded_text::{cbor, json};
 use crate::samples::layers;
-use crate::shown::{cbor, json};
 
 const LOAD: AnnouncedLoad = AnnouncedLoad {
     running: 2,
@@ -91,7 +91,7 @@
     }
 }
 
-/// A renamed field would make hosts of two builds lose each other's backend servers.
+// Guards against a renamed field: hosts of two builds would lose each other's backend servers.
 #[test]
 fn lease_updates_keep_their_encoding() {
     let cursor = DeltaCursor {
@@ -101,17 +101,18 @@
     insta::assert_snapshot!([cbor(&batch()), cbor(&cursor)].join("\n"));
 }
 
-/// A changed digest would make each renewal from another build count as one of unknown content.
+// Guards against a changed digest: each renewal from another build would count as one of unknown
+// content.
 #[test]
-fn offers_of_workers_keep_their_text() {
+fn backend_offers_keep_their_text() {
     let digests = [ServerState::Serving, ServerState::Leaving]
         .map(|state| json(&ContentDigest::of(&announce(state))));
     insta::assert_snapshot!([json(&offer()), digests.join(" ")].join("\n"));
 }
 
-/// A renamed field would make hosts of two builds unable to find each other.
+// Guards against a renamed field: hosts of two builds could not discover each other.
 #[test]
-fn notes_of_hosts_keep_their_encoding() {
+fn gossip_keeps_its_encoding() {
     let note = HostGossip {
         host: "h1".into(),
         reach: HostReach {
@@ -125,9 +126,9 @@
     insta::assert_snapshot!([cbor(&note), json(&note)].join("\n"));
 }
 
-/// A renamed field would make hosts of two builds route by no load but their own.
+// Guards against a renamed field: hosts of two builds would route by their own load only.
 #[test]
-fn notes_of_engines_keep_their_encoding() {
+fn survey_results_keep_their_encoding() {
     let note = SurveyResult {
         server: "b1".into(),
         incarnation: Incarnation(6),
@@ -149,7 +150,8 @@
     }]
 }
 
-/// A renamed field would make a stream that breaks off during an upgrade impossible to resume.
+// Guards against a renamed field: a stream that is interrupted during an upgrade could not be
+// resumed.
 #[test]
 fn streams_keep_their_encoding() {
     let note = StreamUpdate {
--- a/crates/coordination/tests/outer_encodings/main.rs
+++ b/crates/coordination/tests/outer_encodings/main.rs
@@ -1,7 +1,7 @@
-//! What leaves the process keeps its form: bytes and texts that other builds read.
+//! Stability of encodings and texts that other processes read.
 //!
-//! Each snapshot holds one value of each type as it is encoded. A change here is a change of the
-//! protocol or of the files on disk, and needs a new version or a reader of the old form.
+//! Each snapshot contains one encoded value of each type. A change here changes the protocol or the
+//! files on disk, and needs a new version, or code that still reads the former encoding.
 
 #![allow(
     clippy::unwrap_used,
@@ -12,11 +12,11 @@
 
 mod agreement;
 mod configuration;
+mod encoded_text;
 mod evidence;
 mod hosts;
 mod replicated;
 mod samples;
-mod shown;
 mod snapshot;
 mod status;
 mod texts;
--- a/crates/coordination/tests/outer_encodings/replicated.rs
+++ b/crates/coordination/tests/outer_encodings/replicated.rs
@@ -17,8 +17,8 @@
     StartHost,
 };
 
+use crate::encoded_text::cbor;
 use crate::samples::{answer, conflict, document_keys, findings, scope, ticket};
-use crate::shown::cbor;
 
 fn changes() -> [ReplicatedCommand; 2] {
     let [.., source] = document_keys();
@@ -178,8 +178,8 @@
     answers
 }
 
-/// A renamed field or variant would make keepers unable to apply the commands of other builds and
-/// those in their logs.
+// Guards against a renamed field or variant: keepers could not apply the commands of other builds or
+// those in their logs.
 #[test]
 fn replicated_commands_keep_their_encoding() {
     let shown = |command: &ReplicatedCommand| {
@@ -191,7 +191,7 @@
     insta::assert_snapshot!(shown.join("\n"));
 }
 
-/// A renamed field of the stamp would make a keeper unable to replay its log.
+// Guards against a renamed field of the stamp: a keeper could not replay its log.
 #[test]
 fn stamped_commands_keep_their_encoding() {
     let stamped = StampedCommand {
@@ -206,15 +206,15 @@
     insta::assert_snapshot!(cbor(&stamped));
 }
 
-/// A renamed field or variant would make hosts unable to read the answers of keepers of other
-/// builds.
+// Guards against a renamed field or variant: hosts could not read the answers of keepers of other
+// builds.
 #[test]
 fn command_answers_keep_their_encoding() {
     let shown: Vec<String> = answers().iter().map(cbor).collect();
     insta::assert_snapshot!(shown.join("\n"));
 }
 
-/// A renamed field would make hosts unable to read the evidence that keepers pass on.
+// Guards against a renamed field: hosts could not read the evidence that keepers send.
 #[test]
 fn indexed_records_keep_their_encoding() {
     let record = IndexedRecord {
@@ -227,7 +227,7 @@
     insta::assert_snapshot!(cbor(&record));
 }
 
-/// Words that operators read in logs and pages would change.
+// Guards against changed texts in logs and status pages.
 #[test]
 fn names_of_claims_and_rights_keep_their_text() {
     let texts = [
--- a/crates/coordination/tests/outer_encodings/samples.rs
+++ b/crates/coordination/tests/outer_encodings/samples.rs
@@ -1,4 +1,4 @@
-//! Values that several borders carry.
+//! Sample values used by several tests.
 
 use std::sync::Arc;
 
--- a/crates/coordination/tests/outer_encodings/snapshot.rs
+++ b/crates/coordination/tests/outer_encodings/snapshot.rs
@@ -1,4 +1,4 @@
-//! The replicated state as its keeper stores it and sends it to those that lag.
+//! Snapshots of the replicated state, as keepers store them and send them to lagging keepers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 };
 use pollendrift_coordination::routes::SourceVersion;
 
+use crate::encoded_text::bytes_as_text;
 use crate::samples::{answer, scope};
-use crate::shown::shown_bytes;
 
 fn settings() -> ReplicatedSettings {
     ReplicatedSettings {
@@ -161,13 +161,13 @@
     state
 }
 
-/// A renamed field or variant would make a keeper unable to start from the snapshot on its disk, and
-/// one that lags unable to take the leader's.
+// Guards against a renamed field or variant: a keeper could not start from the snapshot on its disk,
+// and a lagging keeper would be unable to install the leader's.
 #[test]
 fn snapshots_of_the_replicated_state_keep_their_encoding() {
     let bytes = filled().snapshot().expect("it encodes");
     let mut restored = ReplicatedState::default();
     restored.restore(&bytes).expect("own snapshot");
     assert_eq!(restored.snapshot().expect("it encodes"), bytes);
-    insta::assert_snapshot!(shown_bytes(&bytes));
+    insta::assert_snapshot!(bytes_as_text(&bytes));
 }
--- a/crates/coordination/tests/outer_encodings/status.rs
+++ b/crates/coordination/tests/outer_encodings/status.rs
@@ -1,4 +1,4 @@
-//! What a process shows of itself: the parts of its dump and status that are these types.
+//! Types of this crate that dumps and the status contain.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     RoutingSettings, TokenCount, TokenRate,
 };
 
+use crate::encoded_text::{json, write_json};
 use crate::hosts::announce;
 use crate::samples::{keeper, layers, membership};
-use crate::shown::{json, told_json};
 
 const ROLES: [KeeperRole; 6] = [
     KeeperRole::Outsider,
@@ -80,8 +80,8 @@
     }
 }
 
-/// A renamed field would break what operators watch of the keepers. Roles are shown by the name of
-/// their variant too, in lower case.
+// Guards against a renamed field: operators' checks of the keepers would fail. Roles are also shown by
+// the name of their variant, in lower case.
 #[test]
 fn dumps_of_keepers_keep_their_names() {
     let mut lines = vec![json(&agreement())];
@@ -95,7 +95,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A renamed variant would change the reasons that operators count dropped messages by.
+// Guards against a renamed variant: operators count dropped messages by these reasons.
 #[test]
 fn reasons_of_dropped_messages_keep_their_names() {
     let reasons = [
@@ -110,7 +110,7 @@
     insta::assert_snapshot!(lines.join("\n"));
 }
 
-/// A renamed field would break what operators read of the evidence that waits.
+// Guards against a renamed field: operators' checks of the evidence buffer would fail.
 #[test]
 fn the_status_of_evidence_keeps_its_names() {
     let status = BufferStatus {
@@ -128,10 +128,10 @@
         reserved: 2,
         may_accept: true,
     };
-    insta::assert_snapshot!(told_json(&status));
+    insta::assert_snapshot!(write_json(&status));
 }
 
-/// A renamed field would break what operators read of backend servers.
+// Guards against a renamed field: operators' checks of backend servers would fail.
 #[test]
 fn the_dump_of_leases_keeps_its_names() {
     let mut table = LeaseTable::with_incarnation(
@@ -147,7 +147,7 @@
         announce(ServerState::Serving),
     );
     let leases: Vec<_> = table.iter().cloned().collect();
-    insta::assert_snapshot!(told_json(&leases));
+    insta::assert_snapshot!(write_json(&leases));
 }
 
 fn engine(role: EngineRole) -> EngineDump {
@@ -182,7 +182,7 @@
     }
 }
 
-/// A renamed field or variant would break what operators read of routing.
+// Guards against a renamed field or variant: operators' checks of routing would fail.
 #[test]
 fn the_dump_of_routing_keeps_its_names() {
     let dump = RoutingDump {
@@ -199,7 +199,7 @@
         PolicyKind::PredictedFinish,
         PolicyKind::RoundRobin,
     ];
-    let mut lines = vec![told_json(&dump)];
+    let mut lines = vec![write_json(&dump)];
     lines.extend(policies.map(|policy| format!("{} {policy}", json(&policy))));
     insta::assert_snapshot!(lines.join("\n"));
 }
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -1,4 +1,4 @@
-//! Words that callers, operators and evidence are told.
+//! Texts that are sent to callers and operators and stored in evidence.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     ]
 }
 
-/// Callers and evidence are told why no selector serves a request.
+// Guards against changed reasons why no selector serves a request, in answers and evidence.
 #[test]
 fn refusals_of_selection_keep_their_text() {
     let mut reasons = targets().map(SelectMismatch::Target).to_vec();
@@ -94,7 +94,8 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-/// Callers and evidence are told why no route was found, or why a request was not taken.
+// Guards against changed reasons why no route was found or a request was not accepted, in answers and
+// evidence.
 #[test]
 fn refusals_of_requests_keep_their_text() {
     let counts = RejectCounts {
@@ -149,7 +150,8 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-/// Evidence and logs say how each attempt ended and whether it may have run.
+// Guards against changed texts of how an attempt ended and whether it may have run, in evidence and
+// logs.
 #[test]
 fn outcomes_of_attempts_keep_their_text() {
     let outcomes = [
@@ -196,7 +198,7 @@
     ]
 }
 
-/// Logs and evidence say why a token was dropped.
+// Guards against changed reasons why a token was dropped, in logs and evidence.
 #[test]
 fn reasons_of_dropped_tokens_keep_their_text() {
     let drops = [
@@ -235,7 +237,7 @@
     }
 }
 
-/// Logs say which engine loads what, and what the placement waits for.
+// Guards against changed log texts of which engine loads what, and what the placement waits for.
 #[test]
 fn orders_of_placement_keep_their_text() {
     let until = MonotonicTime::from_millis(5);
@@ -305,7 +307,8 @@
     ]
 }
 
-/// Operators are told why keepers refuse, and why a host's configuration is not confirmed.
+// Guards against changed reasons of keepers' refusals and of unconfirmed configurations, which
+// operators read.
 #[test]
 fn refusals_of_keepers_keep_their_text() {
     let gaps = [
@@ -350,9 +353,9 @@
     ]
 }
 
-/// Auditors and operators are told what is wrong with evidence.
+// Guards against changed texts of evidence errors, which auditors and operators read.
 #[test]
-fn faults_of_evidence_keep_their_text() {
+fn evidence_errors_keep_their_text() {
     let refusals = [
         BatchRefusal::Empty,
         BatchRefusal::Line {
--- a/crates/coordination/tests/placement_layout.rs
+++ b/crates/coordination/tests/placement_layout.rs
@@ -141,32 +141,32 @@
     }
 
     fn describe(&self) -> String {
-        let (narrowest, mean, fewest) = self.tokens();
+        let (min_tokens, mean, fewest) = self.tokens();
         let loads = self.loads;
-        format!("narrowest {narrowest}, mean {mean}, fewest holders {fewest}, loads {loads}")
+        format!("min_tokens {min_tokens}, mean {mean}, fewest copies {fewest}, loads {loads}")
     }
 
-    /// KV memory of the narrowest layer and of the mean layer in thousands of tokens, and the
-    /// lowest number of holders of a layer.
+    /// KV memory of the layer with the least of it and of the mean layer, in thousands of tokens, and
+    /// the lowest number of copies of a layer.
     fn tokens(&self) -> (u64, u64, u32) {
         let mut tokens = vec![0; LAYERS as usize];
-        let mut holders = vec![0; LAYERS as usize];
+        let mut copies = vec![0; LAYERS as usize];
         for (engine, range) in self.ranges() {
             let memory = engine.memory.map_or(0, |memory| memory.tokens(range.len()));
             for layer in range.first..range.end {
                 tokens[layer as usize] += memory / 1_000;
-                holders[layer as usize] += 1;
+                copies[layer as usize] += 1;
             }
         }
         let mean = tokens.iter().sum::<u64>() / u64::from(LAYERS);
-        let narrowest = tokens.iter().min().copied().unwrap_or(0);
-        let fewest = holders.iter().min().copied().unwrap_or(0);
-        (narrowest, mean, fewest)
+        let min_tokens = tokens.iter().min().copied().unwrap_or(0);
+        let fewest = copies.iter().min().copied().unwrap_or(0);
+        (min_tokens, mean, fewest)
     }
 }
 
 // Guards against a layer with little KV memory, at which requests are declined while adjacent
-// engines are idle. In a layout by step rates the narrowest layer had a third of the mean KV
+// engines are idle. In a layout by step rates the layer with the least KV memory had a third of the mean KV
 // memory. In a layout from scratch it must have half of the mean or more, for any mix of kinds and
 // number of engines.
 #[test]
@@ -189,25 +189,25 @@
     let mut lines = Vec::new();
     for (name, engines) in cases {
         let centre = Centre::new(engines);
-        let (narrowest, mean, _) = centre.tokens();
+        let (min_tokens, mean, _) = centre.tokens();
         assert!(
-            narrowest * 2 >= mean,
-            "{name}: narrowest {narrowest}, mean {mean}"
+            min_tokens * 2 >= mean,
+            "{name}: min_tokens {min_tokens}, mean {mean}"
         );
         lines.push(format!("{name}: {}", centre.describe()));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
-    mixed: narrowest 100, mean 160, fewest holders 1, loads 10
-    mixed, three times: narrowest 400, mean 470, fewest holders 4, loads 30
-    mixed, ten times: narrowest 1500, mean 1570, fewest holders 15, loads 100
-    one kind: narrowest 100, mean 112, fewest holders 1, loads 9
-    one engine: narrowest 50, mean 50, fewest holders 1, loads 1
-    hardly enough: narrowest 28, mean 34, fewest holders 1, loads 6
-    too little: narrowest 0, mean 0, fewest holders 0, loads 0
+    mixed: min_tokens 100, mean 160, fewest copies 1, loads 10
+    mixed, three times: min_tokens 400, mean 470, fewest copies 4, loads 30
+    mixed, ten times: min_tokens 1500, mean 1570, fewest copies 15, loads 100
+    one kind: min_tokens 100, mean 112, fewest copies 1, loads 9
+    one engine: min_tokens 50, mean 50, fewest copies 1, loads 1
+    hardly enough: min_tokens 28, mean 34, fewest copies 1, loads 6
+    too little: min_tokens 0, mean 0, fewest copies 0, loads 0
     ");
 }
 
-// Guards against a data centre without a complete chain after a loss. Each layer has one holder, so
+// Guards against a data centre without a complete chain after a loss. Each layer has one copy, so
 // no engine can be spared; the data centre had no complete chain until the engine came back, and
 // its callers were refused or sent to a remote data centre. Engines next to the gap load its
 // layers; if the gap is too wide for them, all engines get a new layout. Afterwards each layer must
@@ -232,14 +232,14 @@
         lines.push(format!("  back: {}", centre.describe()));
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
-    quick0: narrowest 60, mean 90, fewest holders 1, loads 8; then narrowest 60, mean 82, fewest holders 1, loads 8 in 600 ms
-      back: narrowest 60, mean 90, fewest holders 1, loads 9
-    quick3: narrowest 60, mean 90, fewest holders 1, loads 8; then narrowest 60, mean 82, fewest holders 1, loads 8 in 600 ms
-      back: narrowest 60, mean 90, fewest holders 1, loads 9
-    quick5: narrowest 60, mean 90, fewest holders 1, loads 8; then narrowest 60, mean 82, fewest holders 1, loads 8 in 600 ms
-      back: narrowest 60, mean 90, fewest holders 1, loads 9
-    large0: narrowest 60, mean 90, fewest holders 1, loads 8; then narrowest 33, mean 39, fewest holders 1, loads 15 in 900 ms
-      back: narrowest 33, mean 64, fewest holders 1, loads 16
+    quick0: min_tokens 60, mean 90, fewest copies 1, loads 8; then min_tokens 60, mean 82, fewest copies 1, loads 8 in 600 ms
+      back: min_tokens 60, mean 90, fewest copies 1, loads 9
+    quick3: min_tokens 60, mean 90, fewest copies 1, loads 8; then min_tokens 60, mean 82, fewest copies 1, loads 8 in 600 ms
+      back: min_tokens 60, mean 90, fewest copies 1, loads 9
+    quick5: min_tokens 60, mean 90, fewest copies 1, loads 8; then min_tokens 60, mean 82, fewest copies 1, loads 8 in 600 ms
+      back: min_tokens 60, mean 90, fewest copies 1, loads 9
+    large0: min_tokens 60, mean 90, fewest copies 1, loads 8; then min_tokens 33, mean 39, fewest copies 1, loads 15 in 900 ms
+      back: min_tokens 33, mean 64, fewest copies 1, loads 16
     ");
 }
 
@@ -254,7 +254,7 @@
         centre.step();
     }
     centre.settle();
-    insta::assert_snapshot!(centre.describe(), @"narrowest 42, mean 56, fewest holders 1, loads 15");
+    insta::assert_snapshot!(centre.describe(), @"min_tokens 42, mean 56, fewest copies 1, loads 15");
 }
 
 // Guards against drafts that stall until their deadlines after a large engine fails and all others
@@ -277,7 +277,7 @@
         let names: Vec<String> = given_up.iter().map(ToString::to_string).collect();
         let orders = report.orders.len();
         lines.push(format!(
-            "{lost}: {orders} orders, work on them: {}",
+            "{lost}: {orders} orders, running requests: {}",
             names.join(" ")
         ));
         if !refuses {
@@ -292,24 +292,24 @@
         }
     }
     insta::assert_snapshot!(lines.join("\n"), @r"
-    large0: 7 orders, work on them: cut
-    large0: 7 orders, work on them: cut
+    large0: 7 orders, running requests: cut
+    large0: 7 orders, running requests: cut
       refused, 900 ms later: 0 orders
       refused, 1000 ms later: 7 orders
     ");
 }
 
-// Guards against a data centre that serves half as many requests after the placement right moves to
-// another host. The new holder repairs a loss and places a new engine. It must leave each engine as
-// much KV memory as the previous holder would have, although it did not plan the layout.
+// Guards against a data centre that serves half as many requests after the order right moves to
+// another host. The new right holder repairs a loss and places a new engine. It must leave each engine as
+// much KV memory as the previous right holder would have, although it did not plan the layout.
 #[test]
-fn a_new_holder_reserves_as_much_kv_memory() {
+fn a_new_right_holder_reserves_as_much_kv_memory() {
     let mut engines = kind("large", 1, 40, 400);
     engines.extend(kind("quick", 7, 8, 190));
     let mut lines = Vec::new();
-    for is_new_holder in [false, true] {
+    for is_new_right_holder in [false, true] {
         let mut centre = Centre::new(engines.clone());
-        if is_new_holder {
+        if is_new_right_holder {
             centre.hand_over();
         }
         centre.lose("quick3");
@@ -319,5 +319,5 @@
         lines.push(centre.describe());
     }
     assert_eq!(lines[0], lines[1]);
-    insta::assert_snapshot!(lines[1], @"narrowest 60, mean 120, fewest holders 1, loads 9");
+    insta::assert_snapshot!(lines[1], @"min_tokens 60, mean 120, fewest copies 1, loads 9");
 }
--- a/crates/coordination/tests/replicated_evidence.rs
+++ b/crates/coordination/tests/replicated_evidence.rs
@@ -1,5 +1,5 @@
 //! Evidence in the replicated state: retention and readable formats.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 mod replicated_support;
 
@@ -11,9 +11,10 @@
 
 use replicated_support::{batch, stamped};
 
-// Operators and callers wait for a restarting keeper while it reads its snapshot. Hosts record
-// twenty pieces of evidence each second, which keepers have long copied to their files. With limits
-// by number and bytes alone, each snapshot contained all evidence of a quiet day.
+// Guards against snapshots with records that keepers copied to their files long ago: operators and
+// callers wait for a restarting keeper while it reads its snapshot. Hosts record twenty records per
+// second. With limits by number and bytes alone, each snapshot would contain all records of a day
+// with little traffic.
 #[test]
 fn snapshot_contains_only_recent_evidence() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -39,8 +40,8 @@
     ");
 }
 
-// A keeper of this version starts from a snapshot of the previous version, in which records are
-// lists of numbers without a time of arrival. It must read them, and drop them when they expire.
+// Guards against a keeper that cannot read, or never drops, the records of a snapshot of the
+// previous version, in which records are lists of numbers without a time of arrival.
 #[test]
 fn snapshot_of_the_previous_format_is_read() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -92,8 +93,8 @@
     entries.retain(|(key, _)| key.as_text() != Some(name));
 }
 
-// Writers resend recorded batches, or send more than the limits keep. If each batch left an arrival
-// mark, the memory and snapshots of keepers would grow with the number of batches.
+// Guards against memory and snapshots of keepers that grow with the number of batches, because each
+// batch leaves an arrival time. Writers resend recorded batches, or send more than the limits keep.
 #[test]
 fn arrival_marks_are_limited_by_the_number_of_records() {
     let retention = EvidenceRetention {
--- a/crates/coordination/tests/replicated_state.rs
+++ b/crates/coordination/tests/replicated_state.rs
@@ -1,5 +1,5 @@
 //! The replicated state: snapshots, the replicated clock, evidence and order rights.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 mod replicated_support;
 
@@ -121,19 +121,19 @@
         ..Config::default()
     })]
 
-    /// A keeper that restarts from a snapshot could answer resent commands differently. Restored
-    /// from a snapshot taken at any point, it must give the same answers as a keeper that never
-    /// stopped, and end in the same state byte for byte.
+    // Guards against a keeper that answers resent commands differently after a restart. Restored
+    // from a snapshot taken at any point, it must give the same answers as a keeper that never
+    // stopped, and end in the same state byte for byte.
     #[test]
     fn restored_keeper_answers_like_one_that_never_stopped(
         commands in proptest::collection::vec((any_command(), 0..50_000_u64), 1..80),
-        cut in 0..80_usize,
+        snapshot_at in 0..80_usize,
     ) {
         let mut kept = ReplicatedState::new(ReplicatedSettings::default());
         let mut restored = None;
         let mut seconds = 0;
         for (index, (command, passed)) in commands.into_iter().enumerate() {
-            if index == cut {
+            if index == snapshot_at {
                 let mut state = ReplicatedState::new(ReplicatedSettings::default());
                 state.restore(&kept.snapshot().unwrap()).unwrap();
                 restored = Some(state);
@@ -154,9 +154,9 @@
     }
 }
 
-/// A restart could lose changes or the answers to them. After a restart following hundreds of
-/// changes, the configuration must be the last accepted one, and a resent change must get its
-/// first answer.
+// Guards against a restart that loses changes or the answers to them. After a restart following
+// hundreds of changes, the configuration must be the last accepted one, and a resent change must
+// get its first answer.
 #[test]
 fn restart_keeps_hundreds_of_changes_and_their_answers() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -189,7 +189,8 @@
     ));
 }
 
-/// A command or snapshot that can't be decoded must cause an error and leave the state unchanged.
+// Guards against a command or snapshot that can't be decoded but changes the state. It must cause
+// an error only.
 #[test]
 fn undecodable_input_changes_nothing() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -205,9 +206,10 @@
 /// Leader host, incarnation, uptime and wall clock in seconds.
 type Stamp = (&'static str, u64, u64, u64);
 
-/// Claims would expire early if the replicated clock gained more between two entries than real
-/// time, or ran backwards, when wall clocks jump, leaders alternate or one leader's stamps repeat.
-/// With one offset per leader, the third step of the second case would jump by 6 s within 1 s.
+// Guards against claims that expire early: the replicated clock gains more between two entries than
+// real time, or runs backwards, when wall clocks jump, leaders alternate or one leader's stamps
+// repeat. A clock that kept one offset per leader would jump by 6 s at the third stamp of the second
+// case.
 #[test]
 fn replicated_clock_follows_uptime() {
     let cases: [(&str, &[Stamp], &[u64]); 3] = [
@@ -261,8 +263,9 @@
     }
 }
 
-/// Writers resend evidence after lost answers, with overlaps and out of order. Each record must be
-/// recorded once, and a writer that skipped records must receive the number of the first one.
+// Guards against records stored twice or skipped. Writers resend evidence after lost answers, with
+// overlaps and out of order. Each record must be recorded once, and a writer that skipped records
+// must receive the number of the first one.
 #[test]
 fn each_evidence_record_is_recorded_once() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -341,9 +344,8 @@
     "#);
 }
 
-/// Two hosts that gave orders to one backend server at the same time would contradict each other.
-/// Only one holds the right at a time, each new holder's number is higher, and a renewal keeps its
-/// number.
+// Guards against two hosts that give contradictory orders to one backend server. Only one holds the
+// right at a time, each new holder's number is higher, and a renewal keeps its number.
 #[test]
 fn order_rights_have_one_holder_and_increasing_numbers() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -387,8 +389,8 @@
     "#);
 }
 
-/// A host without a disk that restarts must get a higher incarnation; a request that is resent
-/// after a lost answer must not increase it again.
+// Guards against an incarnation that is used twice. A host without a disk that restarts must get a
+// higher one; a request that is resent after a lost answer must not increase it again.
 #[test]
 fn each_process_start_gets_a_higher_incarnation() {
     let mut state = ReplicatedState::new(ReplicatedSettings::default());
--- a/crates/coordination/tests/retries_failures.rs
+++ b/crates/coordination/tests/retries_failures.rs
@@ -239,9 +239,8 @@
     );
 }
 
-// Guards against budget checks that consume the budget: drafts check it many times a second while
-// they look for capacity, and broken running drafts then had no budget left for a retry. Also
-// guards against a host that keeps more saved retries than its share after it learns of more hosts
+// Guards against budget checks that consume the budget: hosts check it many times a second for
+// waiting requests; if each check took a retry, none would be left for failed requests. Also guards against a host that keeps more saved retries than its share after it learns of more hosts
 // with which it shares the budget.
 #[test]
 fn budget_checks_are_free_and_a_smaller_burst_applies_at_once() {
--- a/crates/coordination/tests/retries_places.rs
+++ b/crates/coordination/tests/retries_tried_servers.rs
@@ -3,7 +3,7 @@
 use pollendrift_coordination::base::ServerName;
 use pollendrift_coordination::retries::TriedServers;
 
-/// Engines that a route allows.
+/// Number of engines that one draft may run on: `max_attempts` of its route.
 const LIMIT: u32 = 2;
 
 // Guards against a draft that runs on more engines than its route allows. Two chains break in the
--- a/crates/coordination/tests/routes_editions.rs
+++ b/crates/coordination/tests/routes_generations.rs
@@ -49,9 +49,9 @@
     })
 }
 
-/// Guards against a new generation for an unchanged specification. Operators change routes many
-/// times a second, and a new generation updates the engines in the planner, which pauses every
-/// stream of a small host.
+// Guards against a new generation for an unchanged specification. Operators change routes many
+// times a second, and a new generation updates the engines in the planner, which pauses every
+// stream of a small host.
 #[test]
 fn only_a_changed_specification_gets_a_new_generation() {
     let changes = [
@@ -88,14 +88,14 @@
         let is_new_version = generations.follow(&table);
         let again = generations.follow(&table);
         let numbers = ["x", "y"].map(|service| generations.get(&service.into()).map(|e| e.0));
-        format!("{name}: other {is_new_version}, again {again}, x and y {numbers:?}")
+        format!("{name}: new version {is_new_version}, repeated {again}, x and y {numbers:?}")
     });
     insta::assert_snapshot!(lines.join("\n"), @r"
-    first: other true, again false, x and y [Some(1), Some(2)]
-    more routes: other true, again false, x and y [Some(1), Some(2)]
-    another order: other true, again false, x and y [Some(1), Some(2)]
-    y changed: other true, again false, x and y [Some(1), Some(3)]
-    y gone: other true, again false, x and y [Some(1), None]
-    y as before: other true, again false, x and y [Some(1), Some(4)]
+    first: new version true, repeated false, x and y [Some(1), Some(2)]
+    more routes: new version true, repeated false, x and y [Some(1), Some(2)]
+    another order: new version true, repeated false, x and y [Some(1), Some(2)]
+    y changed: new version true, repeated false, x and y [Some(1), Some(3)]
+    y gone: new version true, repeated false, x and y [Some(1), None]
+    y as before: new version true, repeated false, x and y [Some(1), Some(4)]
     ");
 }
--- a/crates/coordination/tests/routing_chains.rs
+++ b/crates/coordination/tests/routing_chains.rs
@@ -3,9 +3,9 @@
 use pollendrift_coordination::base::LayerRange;
 use pollendrift_coordination::routing::is_complete_chain;
 
-/// Guards against tokens generated without some layers of the model. An engine leaves while a chain
-/// is built, its stage is missing from the list, and no later step detects the gap. Engines do not
-/// report which layers produced a token, so only the list of stages can be checked.
+// Guards against tokens generated without some layers of the model. An engine leaves while a chain
+// is built, its stage is missing from the list, and no later step detects the gap. Engines do not
+// report which layers produced a token, so only the list of stages can be checked.
 #[test]
 fn a_chain_with_a_gap_an_overlap_or_a_missing_end_is_incomplete() {
     type ChainCase<'a> = (&'a str, &'a [(u32, u32)], u32);
--- a/crates/coordination/tests/routing_contract/routes.rs
+++ b/crates/coordination/tests/routing_contract/routes.rs
@@ -105,7 +105,7 @@
     assert!(both.remove(&ServerName::from("b")));
     add_line("left", choose(&mut both));
     add_line(
-        "selector of one that left",
+        "selector allows only a removed engine",
         choose_with(&mut both, |query| query.allowed = &only_b),
     );
     let soon = LATER.after(Duration::from_millis(100));
@@ -113,11 +113,11 @@
         "deadline",
         choose_with(&mut both, |query| query.deadline = Some(soon)),
     );
-    add_line("room for urgent only", choose(&mut full(91_000)));
+    add_line("memory for urgent only", choose(&mut full(91_000)));
     let urgent = choose_with(&mut full(91_000), |q| q.priority = RoutePriority::Urgent);
     add_line("urgent", urgent);
     add_line(
-        "no room at all",
+        "no memory",
         choose_with(&mut full(99_900), |q| q.priority = RoutePriority::Urgent),
     );
     insta::assert_snapshot!(lines.join("\n"), @r"
@@ -125,11 +125,11 @@
     failed before: v1: b[0..32]
     all failed: no route: no engine for layer 0 of version v1 could be taken: 2 failed before
     left: v1: a[0..32]
-    selector of one that left: no route: no engine for layer 0 of version v1 could be taken: 1 not permitted
+    selector allows only a removed engine: no route: no engine for layer 0 of version v1 could be taken: 1 not permitted
     deadline: no route: the best route takes 260 ms, after the deadline
-    room for urgent only: no route: no engine for layer 0 of version v1 could be taken: 1 without room
+    memory for urgent only: no route: no engine for layer 0 of version v1 could be taken: 1 without room
     urgent: v1: a[0..32]
-    no room at all: no route: no engine for layer 0 of version v1 could be taken: 1 without room
+    no memory: no route: no engine for layer 0 of version v1 could be taken: 1 without room
     ");
 }
 
@@ -163,7 +163,7 @@
 }
 
 // Guards against an old, repeated or invalid announcement that replaces a newer one. Announcements
-// can arrive out of order because the load balancer sends heartbeats through any entry. An error
+// can arrive out of order because servers send them to any entry. An error
 // lists every finding.
 #[test]
 fn stale_and_invalid_announcements_change_nothing() {
--- a/crates/coordination/tests/routing_degraded.rs
+++ b/crates/coordination/tests/routing_degraded.rs
@@ -12,16 +12,16 @@
 }
 
 /// Returns the number of late streams and of all streams of a host within ten seconds, over a link
-/// on which 45 of 100 streams are late. At each stream the host has a local chain whose first event
-/// is predicted `nearby` later.
-fn count_late_streams(settings: DegradedSettings, nearby: Duration, seed: u64) -> (u32, u32) {
+/// on which 45 of 100 streams are late. At each stream the host also has a local chain, whose first
+/// event is predicted `local_delay` later than that of the remote one.
+fn count_late_streams(settings: DegradedSettings, local_delay: Duration, seed: u64) -> (u32, u32) {
     let mut links = DegradedLinks::new(settings);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let remote = DataCentreName::from("dc-b");
     let (mut late, mut streams) = (0, 0);
     for now in (0..10_000).step_by(100) {
         streams += 1;
-        if links.penalty(at(now), &remote) >= nearby {
+        if links.penalty(at(now), &remote) >= local_delay {
             continue;
         }
         links.started(at(now), &remote);
@@ -39,8 +39,8 @@
 #[test]
 fn a_lossy_link_is_avoided_after_a_few_late_streams() {
     for seed in 0..20 {
-        let nearby = Duration::from_millis(500);
-        let (late, streams) = count_late_streams(DegradedSettings::default(), nearby, seed);
+        let local_delay = Duration::from_millis(500);
+        let (late, streams) = count_late_streams(DegradedSettings::default(), local_delay, seed);
         assert!(
             late * 10 <= streams,
             "seed {seed}: {late} late of {streams}"
@@ -49,7 +49,7 @@
             late_penalty: Duration::ZERO,
             ..DegradedSettings::default()
         };
-        let (late, streams) = count_late_streams(without_late_penalty, nearby, seed);
+        let (late, streams) = count_late_streams(without_late_penalty, local_delay, seed);
         assert!(
             late * 10 > streams * 3,
             "seed {seed}: {late} late of {streams}"
--- a/crates/coordination/tests/routing_health.rs
+++ b/crates/coordination/tests/routing_health.rs
@@ -24,10 +24,10 @@
     format!("{now}: suspects [{suspects}], probe [{probe}]")
 }
 
-/// Guards against a stall of a stream beyond its limit for the interval between events after one
-/// engine of its chain fails. Streams run over a-d-z and over a-e-z; d fails at 1,000 ms. Events of
-/// the other streams show that a and z are alive, so only d is probed, once for all of its streams.
-/// It does not answer, and is excluded until an event clears it.
+// Guards against a stream that stalls for longer than its limit between events after one engine of
+// its chain fails. Streams run over a-d-z and over a-e-z; d fails at 1,000 ms. Events of
+// the other streams show that a and z are alive, so only d is probed, once for all of its streams.
+// It does not answer, and is excluded until an event clears it.
 #[test]
 fn only_the_failed_engine_of_a_chain_is_suspected() {
     let mut health = ChainHealth::new(HealthSettings::default());
@@ -68,9 +68,9 @@
     ");
 }
 
-/// Guards against moving a stream whose engines are only slow. Engines that lack memory preempt a
-/// request, or prefill a long prompt, and still answer probes. A retry would repeat the prefill on
-/// engines that are short of memory already, for hundreds of requests at a time.
+// Guards against moving a stream whose engines are only slow. Engines that lack memory preempt a
+// request, or prefill a long prompt, and still answer probes. A retry would repeat the prefill on
+// engines that are short of memory already, for hundreds of requests at a time.
 #[test]
 fn a_slow_stream_is_not_moved() {
     let mut health = ChainHealth::new(HealthSettings::default());
@@ -87,10 +87,10 @@
     assert!((10..80).contains(&probed), "probed {probed} times");
 }
 
-/// Guards against excessive probes. One slow engine stalls the streams over hundreds of other
-/// engines on hundreds of hosts, and each host probed all engines of its chains eight times per
-/// second although they answered. Engines that answer are probed less often, and one that fails
-/// after an answer is still probed within half a second.
+// Guards against excessive probes. One slow engine stalls the streams over hundreds of other
+// engines on hundreds of hosts, and each host probed all engines of its chains eight times per
+// second although they answered. Engines that answer are probed less often, and one that fails
+// after an answer is still probed within half a second.
 #[test]
 fn engines_that_answer_are_probed_less_often() {
     let mut health = ChainHealth::new(HealthSettings::default());
@@ -114,9 +114,9 @@
     assert_eq!(verdict.probe, engines, "an event resets the probe interval");
 }
 
-/// Guards against a stream that waits for the expiry of a lease because a probe was lost. A
-/// requester that ended with its caller leaves its probe without a result; the next requester
-/// probes the engine again.
+// Guards against a stream that waits for the expiry of a lease because a probe was lost. A
+// requester that ended with its caller leaves its probe without a result; the next requester
+// probes the engine again.
 #[test]
 fn a_lost_probe_is_repeated() {
     let mut health = ChainHealth::new(HealthSettings::default());
@@ -135,9 +135,9 @@
     ");
 }
 
-/// Guards against a late move of a draft off an unreachable engine, and an early move off one that
-/// is only silent. A draft moves at once if the chain is dead, which needs an unreachable engine;
-/// otherwise it moves only after another engine has accepted it. An event clears both states.
+// Guards against a draft that stays on an unreachable engine, or leaves one that is only silent. A
+// draft moves at once if the chain is dead, which needs an unreachable engine;
+// otherwise it moves only after another engine has accepted it. An event clears both states.
 #[test]
 fn only_an_unreachable_engine_makes_a_chain_dead() {
     let mut health = ChainHealth::new(HealthSettings::default());
@@ -162,9 +162,9 @@
     ");
 }
 
-/// Guards against a chain that seems dead because this host lacked CPU time to read an answer. A
-/// later answer to another host clears the suspicion. A second suspicion stays, since then the
-/// network path from this host is broken, and so does the suspicion of an unreachable engine.
+// Guards against a chain that seems dead because this host lacked CPU time to read an answer. A
+// later answer to another host clears the suspicion. A second suspicion stays, since then the
+// network path from this host is broken, and so does the suspicion of an unreachable engine.
 #[test]
 fn an_answer_to_another_host_clears_a_suspicion_once() {
     let mut health = ChainHealth::new(HealthSettings::default());
--- a/crates/coordination/tests/routing_repair.rs
+++ b/crates/coordination/tests/routing_repair.rs
@@ -118,9 +118,9 @@
     })
 }
 
-/// Guards against interrupted drafts after a rack fails. Without repair, all of them restart at
-/// once, process their whole prompt again, and count as retries, which hundreds of hosts share.
-/// With repair, drafts whose first engine survives continue and recompute only the lost layers.
+// Guards against interrupted drafts after a rack fails. Without repair, all of them restart at
+// once, process their whole prompt again, and count as retries, which hundreds of hosts share.
+// With repair, drafts whose first engine survives continue and recompute only the lost layers.
 #[test]
 fn drafts_continue_after_a_rack_fails() {
     let model = ModelName::from("m");
@@ -182,8 +182,8 @@
     );
 }
 
-/// Guards against a repair that returns an unusable pipeline. The first engine holds the request
-/// and can't be replaced, and neither can an engine whose layers no other engine holds.
+// Guards against a repair that returns an unusable pipeline. The first engine holds the request
+// and can't be replaced, and neither can an engine whose layers no other engine holds.
 #[test]
 fn a_pipeline_without_replacement_engines_is_not_repaired() {
     let model = ModelName::from("m");
--- a/crates/coordination/tests/routing_scope.rs
+++ b/crates/coordination/tests/routing_scope.rs
@@ -1,4 +1,4 @@
-//! Chains within one data centre: placement, and the cost of a change in another data centre.
+//! Chains within one data centre: selection, and the cost of a change in another data centre.
 
 mod routing_support;
 
--- a/crates/coordination/tests/routing_servers.rs
+++ b/crates/coordination/tests/routing_servers.rs
@@ -30,7 +30,7 @@
     choice.map_or_else(|| "none".to_owned(), |choice| choice.server.to_string())
 }
 
-// Guards against a permit check that queues on one server while another is idle. Calls stay in the
+// Guards against a call that queues on one server while another is idle. Calls stay in the
 // local data centre, move to idle servers elsewhere as soon as the local one has work, and the
 // weight of other hosts' reported requests decays.
 #[test]
@@ -57,12 +57,12 @@
         choose(&loads, at(10), &candidates)
     ));
     lines.push(format!(
-        "a second on: {}",
+        "one second later: {}",
         choose(&loads, at(1_010), &candidates)
     ));
     loads.ended(&name("near"));
     lines.push(format!(
-        "it ended: {}",
+        "the near call ended: {}",
         choose(&loads, at(1_010), &candidates)
     ));
     lines.push(format!("no candidates: {}", choose(&loads, at(1_010), &[])));
@@ -70,8 +70,8 @@
     idle: near
     one runs near: far
     far reported seven: new
-    a second on: far
-    it ended: near
+    one second later: far
+    the near call ended: near
     no candidates: none
     ");
 }
@@ -136,12 +136,12 @@
         lines.push(format!("{millis} ms, {}", incarnations.join(", ")));
     }
     let late = table.get(at(3_300), &name("e"), Incarnation(2));
-    lines.push(format!("two seconds on: {}", late.is_some()));
+    lines.push(format!("two seconds later: {}", late.is_some()));
     insta::assert_snapshot!(lines.join("\n"), @"
     1000 ms, incarnation 1: Some(Some(5)), incarnation 2: None
     1100 ms, incarnation 1: Some(Some(5)), incarnation 2: None
     1200 ms, incarnation 1: Some(None), incarnation 2: None
     1300 ms, incarnation 1: None, incarnation 2: Some(Some(1))
-    two seconds on: false
+    two seconds later: false
     ");
 }
--- a/crates/coordination/tests/routing_slow_start.rs
+++ b/crates/coordination/tests/routing_slow_start.rs
@@ -1,5 +1,5 @@
 //! Slow start in the prediction of deadlines.
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::time::Duration;
 
--- a/crates/coordination/tests/streams_events.rs
+++ b/crates/coordination/tests/streams_events.rs
@@ -12,8 +12,9 @@
     format!("id: {number}{line}data: token {number}{end}")
 }
 
-// The network can split the bytes of a stream anywhere. An event that is forwarded in part could
-// not be completed by another engine, so the framer returns only complete events, each once.
+// Guards against an event that is forwarded in part, which another engine could not complete. The
+// network can split the bytes of a stream anywhere, so the framer returns only complete events,
+// each once.
 #[test]
 fn events_are_complete_for_any_split_of_the_bytes() {
     for seed in 0..200 {
@@ -40,20 +41,21 @@
     }
 }
 
-// The second engine of a draft may repeat, skip or not number events. Repeated events are omitted.
-// A gap must be reported, because the caller would take the following event for the next token.
+// Guards against events that the caller gets twice, and gaps that it does not notice. The second
+// engine of a draft may repeat, skip or not number events. Repeated events are omitted. A gap must
+// be reported, because the caller would take the following event for the next token.
 #[test]
 fn a_caller_gets_each_event_once_and_in_order() {
     let cases: [EventCase; 5] = [
         ("from the start", None, &[Some(1), Some(2), Some(3)]),
-        ("goes on", Some(7), &[Some(8), Some(9)]),
+        ("continues", Some(7), &[Some(8), Some(9)]),
         (
-            "begins anew",
+            "starts again",
             Some(2),
             &[Some(1), Some(2), Some(3), Some(4)],
         ),
         ("skips one", Some(2), &[Some(3), Some(5), Some(4)]),
-        ("numbers lost", None, &[Some(1), None, Some(2)]),
+        ("event without number", None, &[Some(1), None, Some(2)]),
     ];
     let mut lines = Vec::new();
     for (case, held, numbers) in cases {
@@ -67,16 +69,16 @@
     }
     insta::assert_snapshot!(lines.join("\n"), @"
     from the start: Some(1) Deliver, Some(2) Deliver, Some(3) Deliver
-    goes on: Some(8) Deliver, Some(9) Deliver
-    begins anew: Some(1) Seen, Some(2) Seen, Some(3) Deliver, Some(4) Deliver
+    continues: Some(8) Deliver, Some(9) Deliver
+    starts again: Some(1) Seen, Some(2) Seen, Some(3) Deliver, Some(4) Deliver
     skips one: Some(3) Deliver, Some(5) Gap, Some(4) Deliver
-    numbers lost: Some(1) Deliver, None Gap, Some(2) Deliver
+    event without number: Some(1) Deliver, None Gap, Some(2) Deliver
     ");
     let mut progress = EventProgress::after(None);
     assert_eq!(progress.take(None), EventVerdict::Deliver);
 }
 
-// An engine that sends an event without an end must not fill the memory of the host.
+// Guards against an engine that fills the memory of the host with an event without an end.
 #[test]
 fn an_event_above_the_maximum_size_is_refused() {
     let mut framer = EventFramer::default();
