--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -28,7 +28,7 @@
 mod text_edit;
 
 pub use canonical::write_source as source_document;
-pub use canonical::{CanonicalText, ContentDigest};
+pub use canonical::{CanonicalText, ConfigurationDigest};
 pub use change::{
     ChangeAnswer, ChangeConflict, ChangeRequest, ChangeSummary, EditRequest, MAX_ANSWERED_FINDINGS,
 };
--- a/crates/coordination/src/configuration/canonical.rs
+++ b/crates/coordination/src/configuration/canonical.rs
@@ -22,9 +22,9 @@
 /// Human-readable formats such as JSON encode it in hexadecimal, binary formats as bytes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{}", hex(_0))]
-pub struct ContentDigest(pub [u8; 32]);
+pub struct ConfigurationDigest(pub [u8; 32]);
 
-impl Serialize for ContentDigest {
+impl Serialize for ConfigurationDigest {
     fn serialize<S>(&self, serializer: S) -> Result<S::Ok, S::Error>
     where
         S: serde::Serializer,
@@ -36,7 +36,7 @@
     }
 }
 
-impl<'de> Deserialize<'de> for ContentDigest {
+impl<'de> Deserialize<'de> for ConfigurationDigest {
     fn deserialize<D>(deserializer: D) -> Result<Self, D::Error>
     where
         D: serde::Deserializer<'de>,
@@ -56,7 +56,7 @@
     }
 }
 
-impl ContentDigest {
+impl ConfigurationDigest {
     /// Hashes `content`.
     pub fn of(content: &[u8]) -> Self {
         Self(Sha256::digest(content).into())
@@ -100,7 +100,7 @@
     }
 
     /// Digest of the complete text.
-    pub fn digest(&self) -> ContentDigest {
+    pub fn digest(&self) -> ConfigurationDigest {
         let mut hasher = Sha256::new();
         let mut separator = "";
         for text in self.documents.values() {
@@ -108,7 +108,7 @@
             hasher.update(text.as_bytes());
             separator = DOCUMENT_SEPARATOR;
         }
-        ContentDigest(hasher.finalize().into())
+        ConfigurationDigest(hasher.finalize().into())
     }
 
     /// A copy of this text in which `source` replaces the published source.
--- a/crates/coordination/src/configuration/change.rs
+++ b/crates/coordination/src/configuration/change.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::canonical::ContentDigest;
+use super::canonical::ConfigurationDigest;
 use super::delta::{DifferenceSummary, DocumentChange};
 use crate::base::{ChangeId, FindingList, OperatorName, Revision, WallTime};
 
@@ -37,7 +37,7 @@
     /// Documents to set or remove. Invariant: their texts are canonical.
     pub changes: Vec<DocumentChange>,
     /// Digest of the canonical text after the edit.
-    pub digest: ContentDigest,
+    pub digest: ConfigurationDigest,
 }
 
 /// Outcome of a change. A resend within the retention period gets the first answer again.
@@ -87,7 +87,7 @@
     /// Wall-clock time of its proposer. Clocks can disagree; the order of revisions is reliable.
     pub time: WallTime,
     /// Digest of the resulting canonical text.
-    pub digest: ContentDigest,
+    pub digest: ConfigurationDigest,
     /// Documents that the change added, removed or changed.
     pub difference: DifferenceSummary,
 }
--- a/crates/coordination/src/configuration/change_log.rs
+++ b/crates/coordination/src/configuration/change_log.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::canonical::{CanonicalText, ContentDigest};
+use super::canonical::{CanonicalText, ConfigurationDigest};
 use super::change::{ChangeAnswer, ChangeSummary, bounded_findings};
 use super::checked::DocumentCache;
 use super::delta::{ConfigurationDelta, DocumentChange};
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct RecordedAnswer {
     /// Digest of the request; distinguishes a resend from another change with the same id.
-    request: ContentDigest,
+    request: ConfigurationDigest,
     answer: ChangeAnswer,
     at: ReplicatedTime,
 }
@@ -250,7 +250,7 @@
     fn record_answer(
         &mut self,
         change_id: ChangeId,
-        request: ContentDigest,
+        request: ConfigurationDigest,
         answer: ChangeAnswer,
         at: ReplicatedTime,
     ) {
--- a/crates/coordination/src/configuration/change_log/deciding.rs
+++ b/crates/coordination/src/configuration/change_log/deciding.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::super::canonical::ContentDigest;
+use super::super::canonical::ConfigurationDigest;
 use super::super::change::{
     ChangeAnswer, ChangeConflict, ChangeRequest, ChangeSummary, EditRequest, bounded_findings,
 };
@@ -20,7 +20,7 @@
     operator: &'request OperatorName,
     changes: &'request [DocumentChange],
     /// Digest of the canonical text after the change.
-    digest: ContentDigest,
+    digest: ConfigurationDigest,
 }
 
 impl ChangeLog {
@@ -50,7 +50,7 @@
         let parsed = ParsedConfiguration::parse_after(file, &request.text, &mut self.cache);
         let content = match &parsed {
             Ok(parsed) => parsed.canonical().digest(),
-            Err(_) => ContentDigest::of(request.text.as_bytes()),
+            Err(_) => ConfigurationDigest::of(request.text.as_bytes()),
         };
         let digest = request_digest(request.based_on, content, &request.operator);
         if let Some(answer) = self.stored_answer(&request.change_id, digest) {
@@ -103,7 +103,7 @@
     fn record_decision(
         &mut self,
         change_id: &ChangeId,
-        request: ContentDigest,
+        request: ConfigurationDigest,
         decision: ChangeDecision,
         now: ReplicatedTime,
     ) -> ChangeDecision {
@@ -111,7 +111,7 @@
         decision
     }
 
-    fn stored_answer(&self, change_id: &ChangeId, request: ContentDigest) -> Option<ChangeAnswer> {
+    fn stored_answer(&self, change_id: &ChangeId, request: ConfigurationDigest) -> Option<ChangeAnswer> {
         let recorded = self.answers.get(change_id)?;
         if recorded.request == request {
             return Some(recorded.answer.clone());
@@ -208,11 +208,11 @@
 /// Digest of the properties that identify a resend: content, base revision and operator.
 fn request_digest(
     based_on: Revision,
-    content: ContentDigest,
+    content: ConfigurationDigest,
     operator: &OperatorName,
-) -> ContentDigest {
+) -> ConfigurationDigest {
     let mut identity = based_on.0.to_be_bytes().to_vec();
     identity.extend(content.0);
     identity.extend(operator.as_str().as_bytes());
-    ContentDigest::of(&identity)
+    ConfigurationDigest::of(&identity)
 }
--- a/crates/coordination/src/configuration/delta.rs
+++ b/crates/coordination/src/configuration/delta.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::canonical::{CanonicalText, ContentDigest};
+use super::canonical::{CanonicalText, ConfigurationDigest};
 use super::model::DocumentKey;
 use super::text_edit::TextEdit;
 use crate::base::Revision;
@@ -86,7 +86,7 @@
     pub changes: Vec<DocumentChange>,
     /// Digest of the canonical text after the delta; a follower that computes another digest
     /// fetches the complete text.
-    pub digest: ContentDigest,
+    pub digest: ConfigurationDigest,
 }
 
 /// Keys of the documents that differ between two texts.
--- a/crates/coordination/src/configuration/interface.rs
+++ b/crates/coordination/src/configuration/interface.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::canonical::{CanonicalText, ContentDigest};
+use super::canonical::{CanonicalText, ConfigurationDigest};
 use super::change::{ChangeAnswer, ChangeConflict, ChangeSummary};
 use super::change_log::{ChangeLog, InForceAnswer};
 use super::facts::{RequestFacts, RequestTarget};
@@ -234,7 +234,7 @@
         Some(Self::new(requested, canonical.digest(), &text))
     }
 
-    fn new(revision: Revision, digest: ContentDigest, text: &Arc<str>) -> Self {
+    fn new(revision: Revision, digest: ConfigurationDigest, text: &Arc<str>) -> Self {
         Self {
             revision,
             digest: digest.to_string(),
--- a/crates/coordination/src/configuration/table.rs
+++ b/crates/coordination/src/configuration/table.rs
@@ -5,7 +5,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::canonical::{CanonicalText, ContentDigest};
+use super::canonical::{CanonicalText, ConfigurationDigest};
 use super::constraint::MergedConstraint;
 use super::facts::{HostFacts, RequestFacts, ServerFacts};
 use super::label::{LabelKey, LabelSet, LabelSubject};
@@ -92,7 +92,7 @@
     }
 
     /// Digest of the canonical text.
-    pub fn digest(&self) -> ContentDigest {
+    pub fn digest(&self) -> ConfigurationDigest {
         self.canonical.digest()
     }
 
--- a/crates/coordination/src/evidence/replicated_batch.rs
+++ b/crates/coordination/src/evidence/replicated_batch.rs
@@ -10,9 +10,9 @@
 
 impl EvidenceBatch {
     /// Converts the batch for the replicated state.
-    pub fn to_replicated(&self) -> replicated::EvidenceBatch {
+    pub fn to_replicated(&self) -> replicated::ReplicatedEvidenceBatch {
         let bytes = |line: &Arc<str>| Arc::from(line.as_bytes());
-        replicated::EvidenceBatch {
+        replicated::ReplicatedEvidenceBatch {
             writer: self.writer.host.clone(),
             incarnation: self.writer.incarnation,
             first: SequenceNumber(self.first.0.saturating_sub(1)),
--- a/crates/coordination/src/leases.rs
+++ b/crates/coordination/src/leases.rs
@@ -25,7 +25,7 @@
 pub use assignment::{AssignmentSettings, AssignmentTable, HeartbeatHost};
 pub use batch::{BatchOutcome, InitialSync, LeaseBatch, LeaseScope, NamedLease};
 pub use delta::{DeltaCursor, FullLease, LeaseDelta, LeaseRenewal};
-pub use digest::ContentDigest;
+pub use digest::AnnouncementDigest;
 pub use load::AnnouncedLoad;
 pub use packed::{LeaseNumber, NumberedRenewal, PackedRenewals, RenewalDecodeError};
 pub use record::{LeaseEvent, LeaseSource, MergeVerdict, ServerAnnounce, ServerLease, ServerState};
--- a/crates/coordination/src/leases/delta.rs
+++ b/crates/coordination/src/leases/delta.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    AnnouncedLoad, ContentDigest, LeaseSource, LeaseTable, MergeVerdict, ServerAnnounce,
+    AnnouncedLoad, AnnouncementDigest, LeaseSource, LeaseTable, MergeVerdict, ServerAnnounce,
     ServerLease, ServerState,
 };
 use crate::base::{Incarnation, MonotonicTime, SequenceNumber, ServerName};
@@ -68,7 +68,7 @@
     /// Sequence number of the heartbeat.
     pub sequence: SequenceNumber,
     /// Digest of the announcement content that is renewed.
-    pub digest: ContentDigest,
+    pub digest: AnnouncementDigest,
     /// Time since a host received the heartbeat from the server, by the sender's clock. Encoded in
     /// milliseconds, rounded up.
     pub age: Duration,
@@ -81,7 +81,7 @@
     ServerName,
     Incarnation,
     SequenceNumber,
-    ContentDigest,
+    AnnouncementDigest,
     u64,
     Option<AnnouncedLoad>,
 );
--- a/crates/coordination/src/leases/digest.rs
+++ b/crates/coordination/src/leases/digest.rs
@@ -12,9 +12,9 @@
 /// because only announcements of one incarnation of one server are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ContentDigest(u64);
+pub struct AnnouncementDigest(u64);
 
-impl ContentDigest {
+impl AnnouncementDigest {
     /// Computes the digest of `announce` without its sequence number and load.
     pub fn of(announce: &ServerAnnounce) -> Self {
         let mut hasher = Sha256::new();
--- a/crates/coordination/src/leases/record.rs
+++ b/crates/coordination/src/leases/record.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AnnouncedLoad, ContentDigest, LeaseNumber};
+use super::{AnnouncedLoad, AnnouncementDigest, LeaseNumber};
 use crate::base::{DataCentreName, Incarnation, MonotonicTime, SequenceNumber, ServerName};
 
 /// Whether a server accepts new work.
@@ -78,7 +78,7 @@
     /// Version of the table when `sent_load` last changed.
     pub load_version: u64,
     /// Digest of the announcement's content.
-    pub digest: ContentDigest,
+    pub digest: AnnouncementDigest,
     /// Load that is sent to peers.
     #[serde(rename = "told_load")]
     pub sent_load: AnnouncedLoad,
@@ -104,7 +104,7 @@
             heard_from: BTreeSet::from([receipt.from]),
             from_version: 0,
             load_version: 0,
-            digest: ContentDigest::of(&announce),
+            digest: AnnouncementDigest::of(&announce),
             sent_load: announce.load,
             has_load: announce.load != AnnouncedLoad::default(),
             announce,
@@ -138,7 +138,7 @@
             self.from_version = version;
         }
         if is_changed {
-            self.digest = ContentDigest::of(&self.announce);
+            self.digest = AnnouncementDigest::of(&self.announce);
             self.content_version = version;
         }
         if is_changed || self.announce.load.is_beyond_step(&self.sent_load) {
--- a/crates/coordination/src/replicated.rs
+++ b/crates/coordination/src/replicated.rs
@@ -13,7 +13,7 @@
 pub use clock::{CommandStamp, ReplicatedClock, ReplicatedTime};
 pub use command::{CommandAnswer, ReplicatedCommand, StampedCommand};
 pub use evidence_index::{
-    EvidenceAnswer, EvidenceBatch, EvidenceIndex, EvidencePosition, EvidenceRetention,
+    EvidenceAnswer, ReplicatedEvidenceBatch, EvidenceIndex, EvidencePosition, EvidenceRetention,
     IndexedRecord,
 };
 pub use incarnations::{IncarnationTable, ProcessNonce, StartHost};
--- a/crates/coordination/src/replicated/command.rs
+++ b/crates/coordination/src/replicated/command.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::clock::CommandStamp;
-use super::evidence_index::{EvidenceAnswer, EvidenceBatch};
+use super::evidence_index::{EvidenceAnswer, ReplicatedEvidenceBatch};
 use super::incarnations::StartHost;
 use super::order_right::{GrantOrderRight, OrderRightAnswer};
 use crate::agreement::StateMachineError;
@@ -23,7 +23,7 @@
     /// Settles a claim with the outcome of its call.
     SettleClaim(SettleClaim),
     /// Records a batch of evidence records.
-    RecordEvidence(EvidenceBatch),
+    RecordEvidence(ReplicatedEvidenceBatch),
     /// Requests the right to give orders to a backend server.
     GrantOrderRight(GrantOrderRight),
     /// Assigns an incarnation to a host's new process and ends the host's earlier incarnations.
--- a/crates/coordination/src/replicated/evidence_index.rs
+++ b/crates/coordination/src/replicated/evidence_index.rs
@@ -12,7 +12,7 @@
 
 /// Successive records of one writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvidenceBatch {
+pub struct ReplicatedEvidenceBatch {
     /// Host whose process wrote the records.
     pub writer: HostName,
     /// Incarnation of that process.
@@ -23,7 +23,7 @@
     pub records: Vec<Arc<[u8]>>,
 }
 
-/// Answer to an [`EvidenceBatch`].
+/// Answer to an [`ReplicatedEvidenceBatch`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvidenceAnswer {
     /// All records before `next` are recorded: those of the batch and all earlier ones.
@@ -135,7 +135,7 @@
     }
 
     /// Adds the new records of a batch, and drops records older than the retention time.
-    pub fn record(&mut self, batch: &EvidenceBatch, now: ReplicatedTime) -> EvidenceAnswer {
+    pub fn record(&mut self, batch: &ReplicatedEvidenceBatch, now: ReplicatedTime) -> EvidenceAnswer {
         self.expire(now);
         let known = self.writers.get(&batch.writer);
         let expected = match known {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn push(&mut self, batch: &EvidenceBatch, sequence: SequenceNumber, record: Arc<[u8]>) {
+    fn push(&mut self, batch: &ReplicatedEvidenceBatch, sequence: SequenceNumber, record: Arc<[u8]>) {
         self.bytes += record.len();
         self.recent.push_back(IndexedRecord {
             position: self.next,
--- a/crates/coordination/tests/outer_encodings/configuration.rs
+++ b/crates/coordination/tests/outer_encodings/configuration.rs
@@ -7,7 +7,7 @@
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
     CanonicalText, ChangeBody, ChangeLog, ChangeRequest, ChangeRetention, Configuration,
-    ConfigurationView, ContentDigest, DaemonRevision, DocumentChange, ExplainBody, ExplainView,
+    ConfigurationView, ConfigurationDigest, DaemonRevision, DocumentChange, ExplainBody, ExplainView,
     ExplainedSelector, ExplainedServer, HistoryView, HostFacts, InForceAnswer, InForceView,
     LabelSet, LabelSettings, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
     ServerFacts, ServiceState, source_document,
@@ -129,7 +129,7 @@
 fn names_of_documents_keep_their_text() {
     let mut texts = document_keys().map(|key| key.to_string()).to_vec();
     texts.push(difference().to_string());
-    texts.push(ContentDigest([0xab; 32]).to_string());
+    texts.push(ConfigurationDigest([0xab; 32]).to_string());
     insta::assert_snapshot!(texts.join("\n"));
 }
 
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -5,7 +5,7 @@
 use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
 use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, ContentDigest, DeltaCursor, FullLease, LeaseBatch, LeaseDelta, LeaseNumber,
+    AnnouncedLoad, AnnouncementDigest, DeltaCursor, FullLease, LeaseBatch, LeaseDelta, LeaseNumber,
     LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals, ServerAnnounce, ServerState,
     WorkerLayers, WorkerOffer,
 };
@@ -63,7 +63,7 @@
         server: "b1".into(),
         incarnation: Incarnation(6),
         sequence: 18.into(),
-        digest: ContentDigest::of(&announce(ServerState::Serving)),
+        digest: AnnouncementDigest::of(&announce(ServerState::Serving)),
         age: Duration::from_millis(30),
         load,
     })
@@ -106,7 +106,7 @@
 #[test]
 fn backend_offers_keep_their_text() {
     let digests = [ServerState::Serving, ServerState::Leaving]
-        .map(|state| json(&ContentDigest::of(&announce(state))));
+        .map(|state| json(&AnnouncementDigest::of(&announce(state))));
     insta::assert_snapshot!([json(&offer()), digests.join(" ")].join("\n"));
 }
 
--- a/crates/coordination/tests/outer_encodings/replicated.rs
+++ b/crates/coordination/tests/outer_encodings/replicated.rs
@@ -9,10 +9,10 @@
     TakeClaim,
 };
 use pollendrift_coordination::configuration::{
-    ChangeAnswer, ChangeRequest, ContentDigest, DocumentChange, EditRequest,
+    ChangeAnswer, ChangeRequest, ConfigurationDigest, DocumentChange, EditRequest,
 };
 use pollendrift_coordination::replicated::{
-    CommandAnswer, CommandStamp, EvidenceAnswer, EvidenceBatch, EvidencePosition, GrantOrderRight,
+    CommandAnswer, CommandStamp, EvidenceAnswer, ReplicatedEvidenceBatch, EvidencePosition, GrantOrderRight,
     IndexedRecord, OrderHolder, OrderRightAnswer, ProcessNonce, ReplicatedCommand, StampedCommand,
     StartHost,
 };
@@ -38,7 +38,7 @@
                 text: Some("kind: source\nversion: 2\ntext: \"{}\"\n".into()),
                 edit: None,
             }],
-            digest: ContentDigest([0xcd; 32]),
+            digest: ConfigurationDigest([0xcd; 32]),
         }),
     ]
 }
@@ -81,7 +81,7 @@
     let mut commands = Vec::from(changes());
     commands.extend(claims());
     commands.extend([
-        ReplicatedCommand::RecordEvidence(EvidenceBatch {
+        ReplicatedCommand::RecordEvidence(ReplicatedEvidenceBatch {
             writer: "h1".into(),
             incarnation: Incarnation(8),
             first: 3.into(),
--- a/crates/coordination/tests/outer_encodings/samples.rs
+++ b/crates/coordination/tests/outer_encodings/samples.rs
@@ -12,7 +12,7 @@
     AnswerBody, AnswerHeader, ClaimScope, ClaimTicket, StoredAnswer,
 };
 use pollendrift_coordination::configuration::{
-    ChangeConflict, ChangeSummary, ContentDigest, DifferenceSummary, DocumentKey, LabelSubject,
+    ChangeConflict, ChangeSummary, ConfigurationDigest, DifferenceSummary, DocumentKey, LabelSubject,
 };
 
 pub(crate) fn keeper(host: &str, incarnation: u64) -> KeeperId {
@@ -99,7 +99,7 @@
         change_id: "c5".into(),
         operator: "anna".into(),
         time: WallTime(1_700),
-        digest: ContentDigest([0xab; 32]),
+        digest: ConfigurationDigest([0xab; 32]),
         difference: difference(),
     }
 }
--- a/crates/coordination/tests/outer_encodings/snapshot.rs
+++ b/crates/coordination/tests/outer_encodings/snapshot.rs
@@ -13,7 +13,7 @@
     ChangeRequest, ChangeRetention, PublishedSource, source_document,
 };
 use pollendrift_coordination::replicated::{
-    CommandStamp, EvidenceBatch, EvidenceRetention, GrantOrderRight, OrderHolder, ProcessNonce,
+    CommandStamp, ReplicatedEvidenceBatch, EvidenceRetention, GrantOrderRight, OrderHolder, ProcessNonce,
     ReplicatedCommand, ReplicatedSettings, ReplicatedState, StampedCommand, StartHost,
 };
 use pollendrift_coordination::routes::SourceVersion;
@@ -124,7 +124,7 @@
         change("c3", 1, 3),
     ];
     commands.extend(claims());
-    commands.push(ReplicatedCommand::RecordEvidence(EvidenceBatch {
+    commands.push(ReplicatedCommand::RecordEvidence(ReplicatedEvidenceBatch {
         writer: "h1".into(),
         incarnation: Incarnation(1),
         first: 0.into(),
--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -1,6 +1,6 @@
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
-    ChangeLog, ChangeRequest, ChangeRetention, Configuration, ConfigurationDelta, ContentDigest,
+    ChangeLog, ChangeRequest, ChangeRetention, Configuration, ConfigurationDelta, ConfigurationDigest,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 
@@ -57,7 +57,7 @@
         ..good.clone()
     };
     let wrong_digest = ConfigurationDelta {
-        digest: ContentDigest([0; 32]),
+        digest: ConfigurationDigest([0; 32]),
         ..good.clone()
     };
     let lost_change = ConfigurationDelta {
--- a/crates/daemon/src/relay/publish.rs
+++ b/crates/daemon/src/relay/publish.rs
@@ -9,7 +9,7 @@
 
 use pollendrift_coordination::base::{ChangeId, FindingList, OperatorName, Revision};
 use pollendrift_coordination::configuration::{
-    ChangeAnswer, Configuration, ContentDigest, EditRequest, PublishedSource,
+    ChangeAnswer, Configuration, ConfigurationDigest, EditRequest, PublishedSource,
 };
 use pollendrift_coordination::replicated::{CommandAnswer, ReplicatedCommand};
 use pollendrift_coordination::routes::SourceVersion;
@@ -145,7 +145,7 @@
 
 /// The same try has the same id wherever it is made, so that a lost answer is given again.
 fn change_id(based_on: Revision, source: &PublishedSource) -> ChangeId {
-    let digest = ContentDigest::of(source.text.as_bytes());
+    let digest = ConfigurationDigest::of(source.text.as_bytes());
     format!("source-{}-{based_on}-{digest}", source.version).into()
 }
 
--- a/crates/daemon/tests/outer_frames.rs
+++ b/crates/daemon/tests/outer_frames.rs
@@ -19,7 +19,7 @@
     AttemptNumber, Incarnation, Revision, SequenceNumber, TokenPosition, WallTime,
 };
 use pollendrift_coordination::configuration::{
-    ConfigurationDelta, ContentDigest, DocumentChange, DocumentKey, LabelSubject,
+    ConfigurationDelta, ConfigurationDigest, DocumentChange, DocumentKey, LabelSubject,
 };
 use pollendrift_coordination::evidence::{EvidenceFilter, OutcomeKind};
 use pollendrift_coordination::hosts::{HostGossip, HostReach};
@@ -97,7 +97,7 @@
                 Some(serde_json::from_value(edit).expect("steps of an edit")),
             ),
         ],
-        digest: ContentDigest([0xab; 32]),
+        digest: ConfigurationDigest([0xab; 32]),
     }
 }
 
@@ -135,7 +135,7 @@
         server: "e1".into(),
         incarnation: Incarnation(2),
         sequence: SequenceNumber(4),
-        digest: pollendrift_coordination::leases::ContentDigest::of(&announce(
+        digest: pollendrift_coordination::leases::AnnouncementDigest::of(&announce(
             ServerState::Serving,
         )),
         age: Duration::from_millis(30),
