--- a/crates/coordination/src/configuration/text_edit.rs
+++ b/crates/coordination/src/configuration/text_edit.rs
@@ -1,8 +1,8 @@
 //! Edits that build a text from pieces of an earlier one.
 //!
-//! A published source is one document. When each change of a route carried the complete source to
-//! every host, copies that differed by a few hundred bytes filled the links between data centres
-//! and the memory of keepers. An edit carries only the differences. Code that applies an edit
+//! A published source is one text. If each change of a route carried the complete source to every
+//! host, copies that differ by a few hundred bytes would fill the links between data centres and the
+//! memory of keepers. An edit carries only the differences. Code that applies an edit
 //! checks the digest of the result.
 
 use std::collections::HashMap;
--- a/crates/coordination/src/evidence/buffer.rs
+++ b/crates/coordination/src/evidence/buffer.rs
@@ -27,7 +27,7 @@
     /// Maximum time that a record of a request waits for a batch to fill.
     pub batch_delay: Duration,
     /// Maximum time that a record without a waiting caller waits for a batch to fill.
-    pub note_delay: Duration,
+    pub background_delay: Duration,
     /// Time after which an unacknowledged batch is sent again.
     pub resend_delay: Duration,
     /// Number of keepers that must store a record before it is durable. With fewer keepers, all of
@@ -42,7 +42,7 @@
             max_bytes: 8 << 20,
             max_batch_records: 256,
             batch_delay: Duration::from_millis(5),
-            note_delay: Duration::from_secs(1),
+            background_delay: Duration::from_secs(1),
             resend_delay: Duration::from_millis(500),
             copies: 2,
         }
@@ -244,18 +244,18 @@
         self.push(due, time, event).map(Some)
     }
 
-    /// Records an event that no caller causes; its record waits up to `note_delay` for a batch.
+    /// Records an event that no caller causes; its record waits up to `background_delay` for a batch.
     ///
     /// Each host records each revision that it puts in force. If each record were a command of its
     /// own, one change would cost one command per host, and keepers sync and apply each command, and
     /// apply it again at a restart. No caller waits for these records, so the records of one
-    /// `note_delay` (1 s by default) share a command, regardless of the number of changes.
+    /// `background_delay` (1 s by default) share a command, regardless of the number of changes.
     ///
     /// # Errors
     ///
     /// [`BufferError`] if the spare capacity is used up too, or if the event cannot be encoded as
     /// JSON.
-    pub fn note(
+    pub fn record_in_background(
         &mut self,
         now: MonotonicTime,
         time: WallTime,
@@ -264,7 +264,7 @@
         if self.used() >= self.settings.max_records.saturating_add(SPARE_RECORDS) {
             return Err(self.full_error());
         }
-        self.push(now.after(self.settings.note_delay), time, event)
+        self.push(now.after(self.settings.background_delay), time, event)
     }
 
     /// Makes all waiting records due at `now`, for a caller that waits until they are stored.
@@ -280,7 +280,7 @@
     /// Otherwise a planned shutdown would send waiting records only after all requests have ended; if
     /// keepers are slow to answer, it would reach its time limit and the records would be lost.
     pub fn flush_for_shutdown(&mut self, now: MonotonicTime) {
-        self.settings.note_delay = self.settings.batch_delay;
+        self.settings.background_delay = self.settings.batch_delay;
         self.make_all_due(now);
     }
 
--- a/crates/coordination/src/evidence/heads.rs
+++ b/crates/coordination/src/evidence/heads.rs
@@ -146,7 +146,7 @@
 
     /// Removes a chain whose records were all dropped and whose writer has ended, so that the table
     /// does not grow with every restart of a host. A chain with stored records is kept.
-    pub fn forget(&mut self, writer: &ChainWriter) {
+    pub fn remove_empty(&mut self, writer: &ChainWriter) {
         let is_empty = |chain: &StoredChain| chain.spans.is_empty();
         if self.chains.get(writer).is_some_and(is_empty) {
             self.chains.remove(writer);
--- a/crates/coordination/src/evidence/record.rs
+++ b/crates/coordination/src/evidence/record.rs
@@ -246,7 +246,8 @@
     /// Length and digest of the documents of the change.
     pub documents: BodyDigest,
     /// Names of the objects that the change sets or removes.
-    pub touched: Vec<Arc<str>>,
+    #[serde(rename = "touched")]
+    pub changed_objects: Vec<Arc<str>>,
     /// Reason of the refusal; empty if the change was accepted.
     pub reason: Arc<str>,
 }
--- a/crates/coordination/src/evidence/report/plots.rs
+++ b/crates/coordination/src/evidence/report/plots.rs
@@ -215,15 +215,15 @@
     let all = || lines.iter().flat_map(|line| line.points.iter());
     let highest = all().fold(0.0_f64, |highest, (_, value)| highest.max(*value));
     let end = seconds_between(start(statistics), statistics.last.unwrap_or_default());
-    let across = 0.0..end.max(1.0);
-    let up = 0.0..(highest * HEADROOM).max(0.001);
-    svg(|area| draw_lines(area, across, up, unit, lines))
+    let x_range = 0.0..end.max(1.0);
+    let y_range = 0.0..(highest * HEADROOM).max(0.001);
+    svg(|area| draw_lines(area, x_range, y_range, unit, lines))
 }
 
 fn draw_lines(
     area: &DrawingArea<SVGBackend<'_>, Shift>,
-    across: Range<f64>,
-    up: Range<f64>,
+    x_range: Range<f64>,
+    y_range: Range<f64>,
     unit: &str,
     lines: &[PlotLine],
 ) -> Result<(), ReportError> {
@@ -231,7 +231,7 @@
         .margin(10)
         .set_label_area_size(LabelAreaPosition::Left, LEFT_AREA)
         .set_label_area_size(LabelAreaPosition::Bottom, BOTTOM_AREA)
-        .build_cartesian_2d(across, up)
+        .build_cartesian_2d(x_range, y_range)
         .map_err(failed)?;
     chart
         .configure_mesh()
--- a/crates/coordination/src/leases/worker.rs
+++ b/crates/coordination/src/leases/worker.rs
@@ -13,7 +13,7 @@
     pub version: VersionName,
 }
 
-/// Offer of a backend server of a published service. The published document describes the
+/// Offer of a backend server of a published service. The route document in force describes the
 /// capabilities of each kind of accelerator, so that the offer stays small and both can change
 /// independently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/coordination/src/routes/document.rs
+++ b/crates/coordination/src/routes/document.rs
@@ -1,4 +1,4 @@
-//! Route documents, as operators publish them.
+//! Route documents: the parsed form of the published source, a text that operators send.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,9 +83,11 @@
     /// Memory, in megabytes.
     pub memory_mb: f64,
     /// Duration of a step relative to the reference accelerator; 2 means half as fast.
-    pub step_pace: f64,
+    #[serde(rename = "step_pace")]
+    pub step_time_factor: f64,
     /// Duration of processing a prompt relative to the reference accelerator.
-    pub read_pace: f64,
+    #[serde(rename = "read_pace")]
+    pub prompt_time_factor: f64,
 }
 
 /// Engines of a service that split a model by layers. Times apply to all layers on the reference
@@ -105,7 +107,8 @@
     /// Bandwidth of an engine's link, in megabits per second.
     pub link_mbps: f64,
     /// Bandwidth between two data centres, shared by all engines, in megabits per second.
-    pub pipe_mbps: f64,
+    #[serde(rename = "pipe_mbps")]
+    pub inter_centre_mbps: f64,
     /// Base duration of a decoding step.
     pub step: Duration,
     /// Additional step duration for each decoding request.
@@ -113,15 +116,19 @@
     /// Additional step duration for each 1,000 tokens of context of each decoding request.
     pub step_per_context: Duration,
     /// Prompt tokens processed per second.
-    pub read_per_second: f64,
+    #[serde(rename = "read_per_second")]
+    pub prompt_tokens_per_second: f64,
     /// Time to load all layers.
     pub load: Duration,
     /// Number of concurrent loads that the weight store serves at full speed.
-    pub loads_at_once: u32,
+    #[serde(rename = "loads_at_once")]
+    pub max_concurrent_loads: u32,
     /// Number of tokens of a typical prompt.
-    pub usual_prompt: u32,
+    #[serde(rename = "usual_prompt")]
+    pub typical_prompt_tokens: u32,
     /// Number of tokens of a typical answer.
-    pub usual_answer: u32,
+    #[serde(rename = "usual_answer")]
+    pub typical_answer_tokens: u32,
     /// Models that the service offers.
     pub models: Vec<ModelName>,
     /// Accelerator kinds.
--- a/crates/coordination/src/routes/generations.rs
+++ b/crates/coordination/src/routes/generations.rs
@@ -25,7 +25,7 @@
 
 impl SpecGenerations {
     /// Updates the generations from the table in force; returns whether its version changed.
-    pub fn follow(&mut self, table: &RouteTable) -> bool {
+    pub fn update(&mut self, table: &RouteTable) -> bool {
         if self.version == Some(table.version()) {
             return false;
         }
--- a/crates/coordination/tests/evidence_buffer.rs
+++ b/crates/coordination/tests/evidence_buffer.rs
@@ -209,7 +209,7 @@
     table.truncate(&anchor(&records[9]));
     let heads: Vec<_> = table.heads().map(|head| head.sequence.0).collect();
     log.push(format!("everything dropped: heads {heads:?}"));
-    table.forget(&writer("brest-1"));
+    table.remove_empty(&writer("brest-1"));
     log.push(format!("removed: {} heads", table.heads().count()));
     insta::assert_snapshot!(log.join("\n"), @r#"
     first: 4 stored; missing []
@@ -294,7 +294,7 @@
     for now in (0..4_000).step_by(10) {
         if now < 2_400 && now % 800 == 0 {
             let event = in_force(now);
-            buffer.note(at(now), WALL, event).unwrap();
+            buffer.record_in_background(at(now), WALL, event).unwrap();
         }
         if now == 2_000 {
             let event = refused("r1");
@@ -302,7 +302,7 @@
         }
         if now == 3_200 {
             let event = in_force(now);
-            buffer.note(at(now), WALL, event).unwrap();
+            buffer.record_in_background(at(now), WALL, event).unwrap();
             buffer.make_all_due(at(now));
         }
         if now == 3_300 {
@@ -310,7 +310,7 @@
         }
         if now == 3_400 {
             let event = in_force(now);
-            buffer.note(at(now), WALL, event).unwrap();
+            buffer.record_in_background(at(now), WALL, event).unwrap();
         }
         for sent in buffer.due_batches(at(now), WALL).unwrap() {
             seen.push(format!("{now} ms: {}", show(std::slice::from_ref(&sent))));
--- a/crates/coordination/tests/outer_encodings/evidence.rs
+++ b/crates/coordination/tests/outer_encodings/evidence.rs
@@ -107,7 +107,7 @@
         based_on: 4.into(),
         revision: Some(5.into()),
         documents: BodyDigest::of(b"kind: selector"),
-        touched: vec!["selector drafts".into()],
+        changed_objects: vec!["selector drafts".into()],
         reason: "accepted".into(),
     })
 }
--- a/crates/coordination/tests/routes_generations.rs
+++ b/crates/coordination/tests/routes_generations.rs
@@ -85,8 +85,8 @@
     let mut generations = SpecGenerations::default();
     let lines = changes.map(|(name, version, routes, services)| {
         let table = table(version, routes, services);
-        let is_new_version = generations.follow(&table);
-        let again = generations.follow(&table);
+        let is_new_version = generations.update(&table);
+        let again = generations.update(&table);
         let numbers = ["x", "y"].map(|service| generations.get(&service.into()).map(|e| e.0));
         format!("{name}: new version {is_new_version}, repeated {again}, x and y {numbers:?}")
     });
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -94,7 +94,7 @@
         max_bytes: size(settings.max_buffer_bytes),
         max_batch_records: size(settings.max_batch_records),
         batch_delay: settings.batch_delay,
-        note_delay: settings.note_delay,
+        background_delay: settings.note_delay,
         resend_delay: settings.resend_delay,
         copies: 1,
     }
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -70,7 +70,7 @@
         based_on: change.based_on,
         revision,
         documents: BodyDigest::of(change.text.as_bytes()),
-        touched: touched(context, change),
+        changed_objects: changed_objects(context, change),
         reason: reason.into(),
     });
     // The change itself is in the replicated history too, which names operator, time and content.
@@ -78,7 +78,7 @@
 }
 
 /// Documents in which the change differs from what this host holds.
-fn touched(context: &OperatorContext, change: &ChangeRequest) -> Vec<Arc<str>> {
+fn changed_objects(context: &OperatorContext, change: &ChangeRequest) -> Vec<Arc<str>> {
     let Ok(parsed) = ParsedConfiguration::parse(change.change_id.as_str(), &change.text) else {
         return Vec::new();
     };
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -134,7 +134,7 @@
         fleet: &BackendFleet,
     ) {
         self.centres = workers.iter().map(|w| w.data_centre.clone()).collect();
-        if self.generations.follow(table) {
+        if self.generations.update(table) {
             self.set_links(table, workers);
         }
         let mut announced = BTreeSet::new();
@@ -226,7 +226,7 @@
         let engines = table
             .services()
             .filter_map(|service| service.engine.as_ref());
-        let Some(rate) = engines.map(|spec| spec.pipe_mbps).reduce(f64::min) else {
+        let Some(rate) = engines.map(|spec| spec.inter_centre_mbps).reduce(f64::min) else {
             return;
         };
         let centres: BTreeSet<&DataCentreName> = workers.iter().map(|w| &w.data_centre).collect();
--- a/crates/daemon/src/relay/engine_estimates.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -47,10 +47,10 @@
     let kind = spec.kind(&worker.offer.kind)?;
     let share = f64::from(layers.range.len()) / f64::from(spec.layers.max(1));
     let slowness = f64::from(slowness);
-    let floor = spec.step.as_secs_f64() * kind.step_pace * share * slowness;
+    let floor = spec.step.as_secs_f64() * kind.step_time_factor * share * slowness;
     let per_request = spec.step_per_request.as_secs_f64()
-        + spec.step_per_context.as_secs_f64() * f64::from(spec.usual_prompt) / 1_000.0;
-    let busy_step = floor + per_request * BUSY_BATCH * kind.step_pace * share * slowness;
+        + spec.step_per_context.as_secs_f64() * f64::from(spec.typical_prompt_tokens) / 1_000.0;
+    let busy_step = floor + per_request * BUSY_BATCH * kind.step_time_factor * share * slowness;
     Some(EngineAnnouncement {
         server: worker.server.clone(),
         incarnation: worker.incarnation,
@@ -64,7 +64,7 @@
         adapters: Vec::new(),
         role: EngineRole::Both,
         kv_capacity: TokenCount(spec.kv_tokens(kind, layers.range.len()).max(1)),
-        prefill_rate: rate(spec.read_per_second / kind.read_pace / share / slowness),
+        prefill_rate: rate(spec.prompt_tokens_per_second / kind.prompt_time_factor / share / slowness),
         decode_rate: rate(BUSY_BATCH / busy_step),
         step_floor: Duration::try_from_secs_f64(floor).ok()?,
         link_rate: ByteRate((spec.link_mbps * MEGABIT) as u64),
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -418,20 +418,20 @@
 
 /// Load of a typical draft, from the published service specification.
 fn typical_draft(spec: &EngineSpec) -> DraftLoad {
-    let context = f64::from(spec.usual_prompt) + f64::from(spec.usual_answer) / 2.0;
+    let context = f64::from(spec.typical_prompt_tokens) + f64::from(spec.typical_answer_tokens) / 2.0;
     let each = spec.step_per_request.as_secs_f64()
         + spec.step_per_context.as_secs_f64() * context / 1_000.0;
     let growth = each / spec.step.as_secs_f64().max(1e-9);
     DraftLoad {
-        prompt: spec.usual_prompt,
-        answer: spec.usual_answer,
+        prompt: spec.typical_prompt_tokens,
+        answer: spec.typical_answer_tokens,
         step_growth_ppm: (growth * 1e6) as u32,
     }
 }
 
 /// Maximum number of layers beside which an engine has KV memory for [`MIN_DRAFTS`] typical drafts.
 fn max_layers_beside(spec: &EngineSpec, memory: EngineMemory) -> u32 {
-    let draft = u64::from(spec.usual_prompt) + u64::from(spec.usual_answer);
+    let draft = u64::from(spec.typical_prompt_tokens) + u64::from(spec.typical_answer_tokens);
     memory
         .max_layers_beside(draft * MIN_DRAFTS)
         .min(spec.layers)
@@ -439,7 +439,7 @@
 
 /// Steps per second of an engine that holds a single layer.
 fn layer_rate(spec: &EngineSpec, kind: &AcceleratorSpec) -> u32 {
-    let step = spec.step.as_secs_f64() * kind.step_pace / f64::from(spec.layers.max(1));
+    let step = spec.step.as_secs_f64() * kind.step_time_factor / f64::from(spec.layers.max(1));
     (1.0 / step.max(1e-9)) as u32
 }
 
@@ -448,7 +448,7 @@
         // Two heartbeat periods of an engine: within them all running engines announce themselves.
         settle: Duration::from_millis(2_500),
         unfenced_wait: Duration::ZERO,
-        max_loads: spec.loads_at_once.saturating_mul(2),
+        max_loads: spec.max_concurrent_loads.saturating_mul(2),
         load_timeout: spec.load.max(Duration::from_secs(4)),
         // Moving engines in use costs loads and only balances rates, so it is done rarely.
         balance_interval: Duration::from_secs(3_600),
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -127,7 +127,7 @@
     pub fn note(&self, event: EvidenceEvent) -> Result<SequenceNumber, BufferError> {
         let noted = self
             .buffer()
-            .note(self.clock.now(), self.clock.wall(), event);
+            .record_in_background(self.clock.now(), self.clock.wall(), event);
         self.recorded.notify_one();
         noted
     }
