--- a/crates/coordination/src/configuration/change_log/deciding.rs
+++ b/crates/coordination/src/configuration/change_log/deciding.rs
@@ -111,7 +111,11 @@
         decision
     }
 
-    fn stored_answer(&self, change_id: &ChangeId, request: ConfigurationDigest) -> Option<ChangeAnswer> {
+    fn stored_answer(
+        &self,
+        change_id: &ChangeId,
+        request: ConfigurationDigest,
+    ) -> Option<ChangeAnswer> {
         let recorded = self.answers.get(change_id)?;
         if recorded.request == request {
             return Some(recorded.answer.clone());
--- a/crates/coordination/src/replicated.rs
+++ b/crates/coordination/src/replicated.rs
@@ -13,8 +13,8 @@
 pub use clock::{CommandStamp, ReplicatedClock, ReplicatedTime};
 pub use command::{CommandAnswer, ReplicatedCommand, StampedCommand};
 pub use evidence_index::{
-    EvidenceAnswer, ReplicatedEvidenceBatch, EvidenceIndex, EvidencePosition, EvidenceRetention,
-    IndexedRecord,
+    EvidenceAnswer, EvidenceIndex, EvidencePosition, EvidenceRetention, IndexedRecord,
+    ReplicatedEvidenceBatch,
 };
 pub use incarnations::{IncarnationTable, ProcessNonce, StartHost};
 pub use order_right::{GrantOrderRight, OrderHolder, OrderRightAnswer, OrderRightTable};
--- a/crates/coordination/src/replicated/evidence_index.rs
+++ b/crates/coordination/src/replicated/evidence_index.rs
@@ -135,7 +135,11 @@
     }
 
     /// Adds the new records of a batch, and drops records older than the retention time.
-    pub fn record(&mut self, batch: &ReplicatedEvidenceBatch, now: ReplicatedTime) -> EvidenceAnswer {
+    pub fn record(
+        &mut self,
+        batch: &ReplicatedEvidenceBatch,
+        now: ReplicatedTime,
+    ) -> EvidenceAnswer {
         self.expire(now);
         let known = self.writers.get(&batch.writer);
         let expected = match known {
@@ -223,7 +227,12 @@
         }
     }
 
-    fn push(&mut self, batch: &ReplicatedEvidenceBatch, sequence: SequenceNumber, record: Arc<[u8]>) {
+    fn push(
+        &mut self,
+        batch: &ReplicatedEvidenceBatch,
+        sequence: SequenceNumber,
+        record: Arc<[u8]>,
+    ) {
         self.bytes += record.len();
         self.recent.push_back(IndexedRecord {
             position: self.next,
--- a/crates/coordination/src/streams/tests.rs
+++ b/crates/coordination/src/streams/tests.rs
@@ -49,9 +49,9 @@
         ("begun elsewhere", &[(2, 1)]),
     ];
     let mut seen = Vec::new();
-    for (name, notes) in cases {
+    for (name, updates) in cases {
         let mut table = StreamTable::new(StreamSettings::default());
-        for (first, count) in notes {
+        for (first, count) in updates {
             table.record(at(1), update(*first, *count));
         }
         seen.push(format!("{name}: {}", stored_tokens(&table)));
--- a/crates/coordination/tests/claims_at_most_once.rs
+++ b/crates/coordination/tests/claims_at_most_once.rs
@@ -505,7 +505,7 @@
 
     // Guards against interleavings that run a call twice, report `not run` for a call that ran, or
     // return the stored answer of another run. Callers resend through any entry while entries
-    // crash or are wrongly declared dead, keepers restart, and commands are lost, duplicated and
+    // crash or are wrongly declared ended, keepers restart, and commands are lost, duplicated and
     // delayed.
     #[test]
     fn no_interleaving_runs_a_call_twice(
--- a/crates/coordination/tests/hosts_directory.rs
+++ b/crates/coordination/tests/hosts_directory.rs
@@ -113,9 +113,9 @@
 // gossip about it. Without the age in the gossip, each round would add the failed host again; with
 // it, both remove the host after the retention.
 #[test]
-fn forwarded_gossip_does_not_keep_a_dead_host() {
+fn forwarded_gossip_does_not_keep_a_failed_host() {
     let (mut left, mut right) = (directory(), directory());
-    left.observe(at(0), &HostName::from("dead"), reach(1, true));
+    left.observe(at(0), &HostName::from("failed"), reach(1, true));
     let mut removed = Vec::new();
     for second in 1..=40 {
         for gossip in left.gossip(at(second)) {
--- a/crates/coordination/tests/leases_replication.rs
+++ b/crates/coordination/tests/leases_replication.rs
@@ -188,10 +188,10 @@
     assert!(down <= SERVERS * 5, "{down} bytes per round to a follower");
 }
 
-// Guards against a dead server whose lease hosts keep renewing for each other. Each host sends the
+// Guards against a crashed server whose lease hosts keep renewing for each other. Each host sends the
 // age of a renewal with it, so that forwarded renewals expire.
 #[test]
-fn the_lease_of_a_dead_server_expires_on_every_host() {
+fn the_lease_of_a_crashed_server_expires_on_every_host() {
     let mut entry = LeaseHost::new("entry-1");
     let mut first_keeper = LeaseHost::new("keeper-1");
     let mut second_keeper = LeaseHost::new("keeper-2");
--- a/crates/coordination/tests/outer_encodings/configuration.rs
+++ b/crates/coordination/tests/outer_encodings/configuration.rs
@@ -7,10 +7,10 @@
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
     CanonicalText, ChangeBody, ChangeLog, ChangeRequest, ChangeRetention, Configuration,
-    ConfigurationView, ConfigurationDigest, DaemonRevision, DocumentChange, ExplainBody, ExplainView,
-    ExplainedSelector, ExplainedServer, HistoryView, HostFacts, InForceAnswer, InForceView,
-    LabelSet, LabelSettings, ParsedConfiguration, PublishedSource, RequestFacts, RequestTarget,
-    ServerFacts, ServiceState, source_document,
+    ConfigurationDigest, ConfigurationView, DaemonRevision, DocumentChange, ExplainBody,
+    ExplainView, ExplainedSelector, ExplainedServer, HistoryView, HostFacts, InForceAnswer,
+    InForceView, LabelSet, LabelSettings, ParsedConfiguration, PublishedSource, RequestFacts,
+    RequestTarget, ServerFacts, ServiceState, source_document,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 use pollendrift_coordination::routes::SourceVersion;
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -70,7 +70,7 @@
 }
 
 fn batch() -> LeaseBatch {
-    let heard = [(3, 0), (200, 1_250)].map(|(number, millis)| NumberedRenewal {
+    let renewals = [(3, 0), (200, 1_250)].map(|(number, millis)| NumberedRenewal {
         number: LeaseNumber(number),
         age: Duration::from_millis(millis),
     });
@@ -87,7 +87,7 @@
     LeaseBatch {
         table: Incarnation(5),
         named: (1..).zip(deltas).map(named).collect(),
-        renewals: PackedRenewals::pack(heard.into()),
+        renewals: PackedRenewals::pack(renewals.into()),
     }
 }
 
@@ -113,7 +113,7 @@
 // Guards against a renamed field: hosts of two builds could not discover each other.
 #[test]
 fn gossip_keeps_its_encoding() {
-    let note = HostGossip {
+    let gossip = HostGossip {
         host: "h1".into(),
         reach: HostReach {
             address: ([127, 0, 0, 1], 7_000).into(),
@@ -123,13 +123,13 @@
         },
         age: Duration::from_millis(900),
     };
-    insta::assert_snapshot!([cbor(&note), json(&note)].join("\n"));
+    insta::assert_snapshot!([cbor(&gossip), json(&gossip)].join("\n"));
 }
 
 // Guards against a renamed field: hosts of two builds would route by their own load only.
 #[test]
 fn survey_results_keep_their_encoding() {
-    let note = SurveyResult {
+    let result = SurveyResult {
         server: "b1".into(),
         incarnation: Incarnation(6),
         load: Some(EngineLoad {
@@ -140,7 +140,7 @@
         }),
         age: Duration::from_millis(900),
     };
-    insta::assert_snapshot!([cbor(&note), cbor(&QuestionNumber(8))].join("\n"));
+    insta::assert_snapshot!([cbor(&result), cbor(&QuestionNumber(8))].join("\n"));
 }
 
 fn tokens() -> Vec<GeneratedToken> {
@@ -154,7 +154,7 @@
 // resumed.
 #[test]
 fn streams_keep_their_encoding() {
-    let note = StreamUpdate {
+    let update = StreamUpdate {
         request: "r1".into(),
         customer: "ponant".into(),
         digest: [0x77; 32],
@@ -174,5 +174,5 @@
         tokens: tokens(),
         finish: Some("stop".to_owned()),
     };
-    insta::assert_snapshot!([cbor(&note), cbor(&record)].join("\n"));
+    insta::assert_snapshot!([cbor(&update), cbor(&record)].join("\n"));
 }
--- a/crates/coordination/tests/outer_encodings/replicated.rs
+++ b/crates/coordination/tests/outer_encodings/replicated.rs
@@ -12,9 +12,9 @@
     ChangeAnswer, ChangeRequest, ConfigurationDigest, DocumentChange, EditRequest,
 };
 use pollendrift_coordination::replicated::{
-    CommandAnswer, CommandStamp, EvidenceAnswer, ReplicatedEvidenceBatch, EvidencePosition, GrantOrderRight,
-    IndexedRecord, OrderHolder, OrderRightAnswer, ProcessNonce, ReplicatedCommand, StampedCommand,
-    StartHost,
+    CommandAnswer, CommandStamp, EvidenceAnswer, EvidencePosition, GrantOrderRight, IndexedRecord,
+    OrderHolder, OrderRightAnswer, ProcessNonce, ReplicatedCommand, ReplicatedEvidenceBatch,
+    StampedCommand, StartHost,
 };
 
 use crate::encoded_text::cbor;
--- a/crates/coordination/tests/outer_encodings/samples.rs
+++ b/crates/coordination/tests/outer_encodings/samples.rs
@@ -12,7 +12,8 @@
     AnswerBody, AnswerHeader, ClaimScope, ClaimTicket, StoredAnswer,
 };
 use pollendrift_coordination::configuration::{
-    ChangeConflict, ChangeSummary, ConfigurationDigest, DifferenceSummary, DocumentKey, LabelSubject,
+    ChangeConflict, ChangeSummary, ConfigurationDigest, DifferenceSummary, DocumentKey,
+    LabelSubject,
 };
 
 pub(crate) fn keeper(host: &str, incarnation: u64) -> KeeperId {
--- a/crates/coordination/tests/outer_encodings/snapshot.rs
+++ b/crates/coordination/tests/outer_encodings/snapshot.rs
@@ -13,8 +13,8 @@
     ChangeRequest, ChangeRetention, PublishedSource, source_document,
 };
 use pollendrift_coordination::replicated::{
-    CommandStamp, ReplicatedEvidenceBatch, EvidenceRetention, GrantOrderRight, OrderHolder, ProcessNonce,
-    ReplicatedCommand, ReplicatedSettings, ReplicatedState, StampedCommand, StartHost,
+    CommandStamp, EvidenceRetention, GrantOrderRight, OrderHolder, ProcessNonce, ReplicatedCommand,
+    ReplicatedEvidenceBatch, ReplicatedSettings, ReplicatedState, StampedCommand, StartHost,
 };
 use pollendrift_coordination::routes::SourceVersion;
 
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -182,7 +182,7 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-fn chain_faults() -> [ChainError; 5] {
+fn chain_errors() -> [ChainError; 5] {
     [
         ChainError::Empty,
         ChainError::Gap { layer: 4 },
@@ -223,7 +223,7 @@
     };
     let texts = [
         lines(drops),
-        lines(chain_faults().map(DropReason::Chain)),
+        lines(chain_errors().map(DropReason::Chain)),
         lines(errors),
         link.to_string(),
     ];
@@ -288,7 +288,7 @@
     ]
 }
 
-fn follow_failures() -> [ApplyError; 4] {
+fn apply_errors() -> [ApplyError; 4] {
     let offered = Revision(6);
     [
         ApplyError::OtherStart {
@@ -311,14 +311,14 @@
 // operators read.
 #[test]
 fn refusals_of_keepers_keep_their_text() {
-    let gaps = [
+    let unconfirmed = [
         UnconfirmedRevision::NeverConfirmed,
         UnconfirmedRevision::LeaseOver {
             held: Revision(4),
             since: Duration::from_millis(70),
         },
     ];
-    let machine = StateMachineError {
+    let state_machine_error = StateMachineError {
         what: "command",
         reason: "odd".to_owned(),
     };
@@ -331,9 +331,9 @@
     ];
     let texts = [
         lines(agreement_refusals()),
-        lines(follow_failures()),
-        lines(gaps),
-        machine.to_string(),
+        lines(apply_errors()),
+        lines(unconfirmed),
+        state_machine_error.to_string(),
         lines(numbers),
         RenewalDecodeError.to_string(),
     ];
--- a/crates/coordination/tests/replicated_support/mod.rs
+++ b/crates/coordination/tests/replicated_support/mod.rs
@@ -4,7 +4,7 @@
 
 use pollendrift_coordination::base::{Incarnation, MonotonicTime, SequenceNumber, WallTime};
 use pollendrift_coordination::replicated::{
-    CommandStamp, ReplicatedEvidenceBatch, ReplicatedCommand, StampedCommand,
+    CommandStamp, ReplicatedCommand, ReplicatedEvidenceBatch, StampedCommand,
 };
 
 pub(crate) fn stamped(seconds: u64, command: ReplicatedCommand) -> StampedCommand {
@@ -19,7 +19,12 @@
     }
 }
 
-pub(crate) fn batch(writer: u8, incarnation: u64, first: u64, count: u8) -> ReplicatedEvidenceBatch {
+pub(crate) fn batch(
+    writer: u8,
+    incarnation: u64,
+    first: u64,
+    count: u8,
+) -> ReplicatedEvidenceBatch {
     ReplicatedEvidenceBatch {
         writer: format!("h{writer}").into(),
         incarnation: Incarnation(incarnation),
--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -1,6 +1,7 @@
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
-    ChangeLog, ChangeRequest, ChangeRetention, Configuration, ConfigurationDelta, ConfigurationDigest,
+    ChangeLog, ChangeRequest, ChangeRetention, Configuration, ConfigurationDelta,
+    ConfigurationDigest,
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 
--- a/crates/daemon/src/relay/engine_estimates.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -64,7 +64,9 @@
         adapters: Vec::new(),
         role: EngineRole::Both,
         kv_capacity: TokenCount(spec.kv_tokens(kind, layers.range.len()).max(1)),
-        prefill_rate: rate(spec.prompt_tokens_per_second / kind.prompt_time_factor / share / slowness),
+        prefill_rate: rate(
+            spec.prompt_tokens_per_second / kind.prompt_time_factor / share / slowness,
+        ),
         decode_rate: rate(BUSY_BATCH / busy_step),
         step_floor: Duration::try_from_secs_f64(floor).ok()?,
         link_rate: ByteRate((spec.link_mbps * MEGABIT) as u64),
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -418,7 +418,8 @@
 
 /// Load of a typical draft, from the published service specification.
 fn typical_draft(spec: &EngineSpec) -> DraftLoad {
-    let context = f64::from(spec.typical_prompt_tokens) + f64::from(spec.typical_answer_tokens) / 2.0;
+    let context =
+        f64::from(spec.typical_prompt_tokens) + f64::from(spec.typical_answer_tokens) / 2.0;
     let each = spec.step_per_request.as_secs_f64()
         + spec.step_per_context.as_secs_f64() * context / 1_000.0;
     let growth = each / spec.step.as_secs_f64().max(1e-9);
