--- a/crates/coordination/src/evidence/heads.rs
+++ b/crates/coordination/src/evidence/heads.rs
@@ -100,8 +100,8 @@
     /// Checks `batch` against the stored records, without changing the table.
     ///
     /// A batch received before is accepted with no records to store. A batch after a gap is
-    /// accepted too: if it were refused, one keeper that is behind would stop the entry. The gap is
-    /// filled from the other keepers, see [`HeadTable::missing`].
+    /// accepted too: if it were refused, one keeper that lacks records would block the entry's new
+    /// requests. The gap is filled from the other keepers, see [`HeadTable::missing`].
     ///
     /// # Errors
     ///
@@ -146,7 +146,7 @@
 
     /// Removes a chain whose records were all dropped and whose writer has ended, so that the table
     /// does not grow with every restart of a host. A chain with stored records is kept.
-    pub fn forget(&mut self, writer: &ChainWriter) {
+    pub fn remove_empty(&mut self, writer: &ChainWriter) {
         let is_empty = |chain: &StoredChain| chain.spans.is_empty();
         if self.chains.get(writer).is_some_and(is_empty) {
             self.chains.remove(writer);
--- a/crates/coordination/src/leases/worker.rs
+++ b/crates/coordination/src/leases/worker.rs
@@ -13,9 +13,9 @@
     pub version: VersionName,
 }
 
-/// Offer of a backend server of a service in the configuration. The configuration in force
-/// describes the capabilities of each kind of accelerator, so that the offer stays small and both
-/// can change independently.
+/// Offer of a backend server of a published service. The route document in force describes the
+/// capabilities of each kind of accelerator, so that the offer stays small and both can change
+/// independently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendOffer {
     /// Name of the service.
--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -1,21 +1,21 @@
-//! What hosts tell each other: leases, addresses, loads and streams.
+//! Messages between hosts: leases, addresses, loads and streams.
 
 use std::time::Duration;
 
 use pollendrift_coordination::base::{AttemptNumber, Incarnation, TokenPosition};
 use pollendrift_coordination::hosts::{HostGossip, HostReach};
 use pollendrift_coordination::leases::{
-    AnnouncedLoad, BackendLayers, BackendOffer, ContentDigest, DeltaCursor, FullLease, LeaseBatch,
-    LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals,
-    ServerAnnounce, ServerState,
+    AnnouncedLoad, AnnouncementDigest, BackendLayers, BackendOffer, DeltaCursor, FullLease,
+    LeaseBatch, LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals,
+    ServerAnnounce, ServerState, WorkerLayers, WorkerOffer,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
 use pollendrift_coordination::revision_follower::QuestionNumber;
 use pollendrift_coordination::routing::{EngineLoad, SurveyResult};
 use pollendrift_coordination::streams::{StreamRecord, StreamUpdate};
 
+use crate::encoded_text::{cbor, json};
 use crate::samples::layers;
-use crate::shown::{cbor, json};
 
 const LOAD: AnnouncedLoad = AnnouncedLoad {
     running: 2,
@@ -63,14 +63,14 @@
         server: "b1".into(),
         incarnation: Incarnation(6),
         sequence: 18.into(),
-        digest: ContentDigest::of(&announce(ServerState::Serving)),
+        digest: AnnouncementDigest::of(&announce(ServerState::Serving)),
         age: Duration::from_millis(30),
         load,
     })
 }
 
 fn batch() -> LeaseBatch {
-    let heard = [(3, 0), (200, 1_250)].map(|(number, millis)| NumberedRenewal {
+    let renewals = [(3, 0), (200, 1_250)].map(|(number, millis)| NumberedRenewal {
         number: LeaseNumber(number),
         age: Duration::from_millis(millis),
     });
@@ -87,11 +87,11 @@
     LeaseBatch {
         table: Incarnation(5),
         named: (1..).zip(deltas).map(named).collect(),
-        renewals: PackedRenewals::pack(heard.into()),
+        renewals: PackedRenewals::pack(renewals.into()),
     }
 }
 
-/// A renamed field would make hosts of two builds lose each other's backend servers.
+// Guards against a renamed field: hosts of two builds would lose each other's backend servers.
 #[test]
 fn lease_updates_keep_their_encoding() {
     let cursor = DeltaCursor {
@@ -101,18 +101,19 @@
     insta::assert_snapshot!([cbor(&batch()), cbor(&cursor)].join("\n"));
 }
 
-/// A changed digest would make each renewal from another build count as one of unknown content.
+// Guards against a changed digest: each renewal from another build would count as one of unknown
+// content.
 #[test]
-fn offers_of_workers_keep_their_text() {
+fn backend_offers_keep_their_text() {
     let digests = [ServerState::Serving, ServerState::Leaving]
-        .map(|state| json(&ContentDigest::of(&announce(state))));
+        .map(|state| json(&AnnouncementDigest::of(&announce(state))));
     insta::assert_snapshot!([json(&offer()), digests.join(" ")].join("\n"));
 }
 
-/// A renamed field would make hosts of two builds unable to find each other.
+// Guards against a renamed field: hosts of two builds could not discover each other.
 #[test]
-fn notes_of_hosts_keep_their_encoding() {
-    let note = HostGossip {
+fn gossip_keeps_its_encoding() {
+    let gossip = HostGossip {
         host: "h1".into(),
         reach: HostReach {
             address: ([127, 0, 0, 1], 7_000).into(),
@@ -122,13 +123,13 @@
         },
         age: Duration::from_millis(900),
     };
-    insta::assert_snapshot!([cbor(&note), json(&note)].join("\n"));
+    insta::assert_snapshot!([cbor(&gossip), json(&gossip)].join("\n"));
 }
 
-/// A renamed field would make hosts of two builds route by no load but their own.
+// Guards against a renamed field: hosts of two builds would route by their own load only.
 #[test]
-fn notes_of_engines_keep_their_encoding() {
-    let note = SurveyResult {
+fn survey_results_keep_their_encoding() {
+    let result = SurveyResult {
         server: "b1".into(),
         incarnation: Incarnation(6),
         load: Some(EngineLoad {
@@ -139,7 +140,7 @@
         }),
         age: Duration::from_millis(900),
     };
-    insta::assert_snapshot!([cbor(&note), cbor(&QuestionNumber(8))].join("\n"));
+    insta::assert_snapshot!([cbor(&result), cbor(&QuestionNumber(8))].join("\n"));
 }
 
 fn tokens() -> Vec<GeneratedToken> {
@@ -149,10 +150,11 @@
     }]
 }
 
-/// A renamed field would make a stream that breaks off during an upgrade impossible to resume.
+// Guards against a renamed field: a stream that is interrupted during an upgrade could not be
+// resumed.
 #[test]
 fn streams_keep_their_encoding() {
-    let note = StreamUpdate {
+    let update = StreamUpdate {
         request: "r1".into(),
         customer: "ponant".into(),
         digest: [0x77; 32],
@@ -172,5 +174,5 @@
         tokens: tokens(),
         finish: Some("stop".to_owned()),
     };
-    insta::assert_snapshot!([cbor(&note), cbor(&record)].join("\n"));
+    insta::assert_snapshot!([cbor(&update), cbor(&record)].join("\n"));
 }
--- a/crates/coordination/tests/outer_encodings/texts.rs
+++ b/crates/coordination/tests/outer_encodings/texts.rs
@@ -1,4 +1,4 @@
-//! Words that callers, operators and evidence are told.
+//! Texts that are sent to callers and operators and stored in evidence.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -67,7 +67,7 @@
     ]
 }
 
-/// Callers and evidence are told why no selector serves a request.
+// Guards against changed reasons why no selector serves a request, in answers and evidence.
 #[test]
 fn refusals_of_selection_keep_their_text() {
     let mut reasons = targets().map(SelectMismatch::Target).to_vec();
@@ -94,7 +94,8 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-/// Callers and evidence are told why no route was found, or why a request was not taken.
+// Guards against changed reasons why no route was found or a request was not accepted, in answers and
+// evidence.
 #[test]
 fn refusals_of_requests_keep_their_text() {
     let counts = RejectCounts {
@@ -149,7 +150,8 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-/// Evidence and logs say how each attempt ended and whether it may have run.
+// Guards against changed texts of how an attempt ended and whether it may have run, in evidence and
+// logs.
 #[test]
 fn outcomes_of_attempts_keep_their_text() {
     let outcomes = [
@@ -180,7 +182,7 @@
     insta::assert_snapshot!(texts.join("\n"));
 }
 
-fn chain_faults() -> [ChainError; 5] {
+fn chain_errors() -> [ChainError; 5] {
     [
         ChainError::Empty,
         ChainError::Gap { layer: 4 },
@@ -196,7 +198,7 @@
     ]
 }
 
-/// Logs and evidence say why a token was dropped.
+// Guards against changed reasons why a token was dropped, in logs and evidence.
 #[test]
 fn reasons_of_dropped_tokens_keep_their_text() {
     let drops = [
@@ -221,7 +223,7 @@
     };
     let texts = [
         lines(drops),
-        lines(chain_faults().map(DropReason::Chain)),
+        lines(chain_errors().map(DropReason::Chain)),
         lines(errors),
         link.to_string(),
     ];
@@ -235,7 +237,7 @@
     }
 }
 
-/// Logs say which engine loads what, and what the placement waits for.
+// Guards against changed log texts of which engine loads what, and what the placement waits for.
 #[test]
 fn orders_of_placement_keep_their_text() {
     let until = MonotonicTime::from_millis(5);
@@ -286,7 +288,7 @@
     ]
 }
 
-fn follow_failures() -> [ApplyError; 4] {
+fn apply_errors() -> [ApplyError; 4] {
     let offered = Revision(6);
     [
         ApplyError::OtherStart {
@@ -305,17 +307,18 @@
     ]
 }
 
-/// Operators are told why keepers refuse, and why a host's configuration is not confirmed.
+// Guards against changed reasons of keepers' refusals and of unconfirmed configurations, which
+// operators read.
 #[test]
 fn refusals_of_keepers_keep_their_text() {
-    let gaps = [
+    let unconfirmed = [
         UnconfirmedRevision::NeverConfirmed,
         UnconfirmedRevision::LeaseOver {
             held: Revision(4),
             since: Duration::from_millis(70),
         },
     ];
-    let machine = StateMachineError {
+    let state_machine_error = StateMachineError {
         what: "command",
         reason: "odd".to_owned(),
     };
@@ -328,9 +331,9 @@
     ];
     let texts = [
         lines(agreement_refusals()),
-        lines(follow_failures()),
-        lines(gaps),
-        machine.to_string(),
+        lines(apply_errors()),
+        lines(unconfirmed),
+        state_machine_error.to_string(),
         lines(numbers),
         RenewalDecodeError.to_string(),
     ];
@@ -350,9 +353,9 @@
     ]
 }
 
-/// Auditors and operators are told what is wrong with evidence.
+// Guards against changed texts of evidence errors, which auditors and operators read.
 #[test]
-fn faults_of_evidence_keep_their_text() {
+fn evidence_errors_keep_their_text() {
     let refusals = [
         BatchRefusal::Empty,
         BatchRefusal::Line {
