--- a/crates/coordination/tests/outer_encodings/hosts.rs
+++ b/crates/coordination/tests/outer_encodings/hosts.rs
@@ -7,7 +7,7 @@
 use pollendrift_coordination::leases::{
     AnnouncedLoad, AnnouncementDigest, BackendLayers, BackendOffer, DeltaCursor, FullLease,
     LeaseBatch, LeaseDelta, LeaseNumber, LeaseRenewal, NamedLease, NumberedRenewal, PackedRenewals,
-    ServerAnnounce, ServerState, WorkerLayers, WorkerOffer,
+    ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::ledger::GeneratedToken;
 use pollendrift_coordination::revision_follower::QuestionNumber;
