--- a/crates/coordination/src/configuration/change_log/deciding.rs
+++ b/crates/coordination/src/configuration/change_log/deciding.rs
@@ -141,7 +141,7 @@
             canonical.digest() == request.digest && *parsed.canonical() == canonical;
         if !has_stated_content {
             let mut findings = FindingList::default();
-            let message = "the result of the edit does not match its digest";
+            let message = "the edit leads to another content than it names";
             findings.error(
                 whole_file(&file.into()),
                 message,
--- a/crates/coordination/src/configuration/label_settings.rs
+++ b/crates/coordination/src/configuration/label_settings.rs
@@ -132,7 +132,7 @@
     if let Some(prefix) = RESERVED_PREFIXES.iter().find(|p| key.starts_with(**p)) {
         return Err(LabelError {
             message: format!(
-                "label {key} can't be set: labels with the prefix {prefix} are derived from facts"
+                "label {key} can't be set: {prefix} holds facts"
             ),
             expected: "a key without a reserved prefix".to_owned(),
         });
--- a/crates/coordination/src/configuration/lint.rs
+++ b/crates/coordination/src/configuration/lint.rs
@@ -74,13 +74,13 @@
 fn never_matches(selector: &Selector, serves: &MergedConstraint) -> Option<String> {
     if let Some(key) = serves.contradiction() {
         return Some(format!(
-            "the requirements of `for` on {key} contradict each other"
+            "no request meets all that for says of {key}"
         ));
     }
     let allows = MergedConstraint::of(&selector.allows);
     if let Some(key) = allows.contradiction() {
         return Some(format!(
-            "the requirements of `allow` on {key} contradict each other"
+            "no backend server meets all that allow says of {key}"
         ));
     }
     let (announced, name) = match &selector.target {
@@ -89,7 +89,7 @@
     };
     let offered = allows.values(announced)?;
     let excluded = offered.iter().all(|value| value.as_str() != name);
-    excluded.then(|| format!("`allow` requires a different {announced}, not {name}"))
+    excluded.then(|| format!("allow asks for another {announced} than {name}"))
 }
 
 /// Warns of each selector whose requests are all served by an earlier one.
@@ -106,10 +106,10 @@
         let earlier = candidates.find(|earlier| shadows(earlier, later));
         if let Some(earlier) = earlier {
             let message = format!(
-                "selector {} is never used: {} is tried first and serves all its requests",
+                "selector {} is shadowed: {} stands before it and takes all of its requests",
                 later.selector.name, earlier.selector.name
             );
-            let expected = "a lower order, or a `for` that matches other requests";
+            let expected = "a lower order, or a for that the earlier one does not take";
             findings.warning(later.place.clone(), message, expected);
         }
         if customers.is_empty() {
--- a/crates/coordination/src/configuration/parse.rs
+++ b/crates/coordination/src/configuration/parse.rs
@@ -103,14 +103,14 @@
 fn bounded_chunks<'a>(file: &Arc<str>, text: &'a str) -> Result<Vec<TextChunk<'a>>, FindingList> {
     let mut findings = FindingList::default();
     if text.len() > MAX_TEXT_BYTES {
-        let message = format!("the text has {} bytes", text.len());
+        let message = format!("the text holds {} bytes", text.len());
         let expected = format!("at most {MAX_TEXT_BYTES} bytes");
         findings.error(whole_file(file), message, expected);
         return Err(findings);
     }
     let chunks = split_documents(text);
     if chunks.len() > MAX_DOCUMENTS {
-        let message = format!("the text has {} documents", chunks.len());
+        let message = format!("the text holds {} documents", chunks.len());
         let expected = format!("at most {MAX_DOCUMENTS} documents");
         findings.error(whole_file(file), message, expected);
         return Err(findings);
@@ -230,7 +230,7 @@
                 .error(place.clone(), message, "name: a customer or a pattern");
         }
         if subject != LabelSubject::Request && !has_condition {
-            let message = format!("labels on a {subject} need name or match");
+            let message = format!("the {subject} is not named");
             self.findings
                 .error(place.clone(), message, "name: a name or a pattern with *");
         }
@@ -268,7 +268,7 @@
         let pattern = NamePattern::new(&text.text);
         if pattern.is_none() {
             self.findings
-                .error(text.place, "this is not a valid name", VALUE_RULE);
+                .error(text.place, "this is no name", VALUE_RULE);
         }
         pattern
     }
@@ -389,7 +389,7 @@
             return Some(text.text);
         }
         self.findings
-            .error(text.place, "this is not a valid name", VALUE_RULE);
+            .error(text.place, "this is no name", VALUE_RULE);
         None
     }
 }
@@ -406,7 +406,7 @@
     if bytes <= MAX_TEXT_BYTES {
         return Ok(parsed);
     }
-    let message = format!("in canonical form the text has {bytes} bytes");
+    let message = format!("in canonical form the text holds {bytes} bytes");
     let expected = format!("at most {MAX_TEXT_BYTES} bytes");
     parsed.warnings.error(whole_file(file), message, expected);
     Err(parsed.warnings)
@@ -435,7 +435,7 @@
     for entry in entries {
         let key = LabelKey::new(&entry.key);
         if key.is_none() {
-            let message = format!("{} is not a valid label key", entry.key);
+            let message = format!("{} is no label key", entry.key);
             findings.error(entry.key_place.clone(), message, KEY_RULE);
         }
         let Some(text) = super::reader::text_of(entry.node, &entry.key, findings) else {
@@ -443,7 +443,7 @@
         };
         let value = LabelValue::new(&text.text);
         if value.is_none() {
-            let message = format!("the value of {} is not a valid label value", entry.key);
+            let message = format!("the value of {} is no label value", entry.key);
             findings.error(text.place.clone(), message, VALUE_RULE);
         }
         if let (Some(key), Some(value)) = (key, value) {
--- a/crates/coordination/src/configuration/parse_expression.rs
+++ b/crates/coordination/src/configuration/parse_expression.rs
@@ -39,7 +39,7 @@
     let place = reader.place().clone();
     reader.close(findings);
     if expression.len() > MAX_REQUIREMENTS {
-        let message = format!("{name} has {} requirements", expression.len());
+        let message = format!("{name} holds {} requirements", expression.len());
         findings.error(place, message, format!("at most {MAX_REQUIREMENTS}"));
     }
     expression
@@ -81,7 +81,7 @@
 fn checked_key(text: LocatedText, findings: &mut FindingList) -> Option<LabelKey> {
     let key = LabelKey::new(&text.text);
     if key.is_none() {
-        let message = format!("{} is not a valid label key", text.text);
+        let message = format!("{} is no label key", text.text);
         findings.error(text.place, message, KEY_RULE);
     }
     key
@@ -135,7 +135,7 @@
     if texts.is_empty() || texts.len() > MAX_VALUES {
         findings.error(
             place,
-            format!("values has {} elements", texts.len()),
+            format!("values holds {}", texts.len()),
             expected,
         );
         return None;
@@ -146,7 +146,7 @@
             Some(value) => {
                 checked.insert(value);
             }
-            None => findings.error(text.place, "this is not a valid label value", VALUE_RULE),
+            None => findings.error(text.place, "this is no label value", VALUE_RULE),
         }
     }
     Some(checked)
@@ -168,7 +168,7 @@
         _ => None,
     };
     if number.is_none() {
-        findings.error(place, "the limit is not a whole number", expected);
+        findings.error(place, "the bound is no whole number", expected);
     }
     number
 }
