--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -209,7 +209,7 @@
             entry: Arc::clone(&context),
             node: Arc::clone(&node),
             access: Arc::clone(&access),
-            desk: Arc::clone(node.desk()),
+            question_handler: Arc::clone(node.question_handler()),
             dump: dump.clone(),
             warnings,
         });
@@ -313,15 +313,16 @@
         &self.node
     }
 
-    /// Resolves once this host's keeper has stopped because its disk is full. Dropped and started again,
-    /// the daemon goes on from what is on the disk.
+    /// Resolves once this host's keeper has stopped because its disk is full. Dropped and started
+    /// again, the daemon goes on from what is on the disk.
     pub async fn disk_full(&self) {
         self.node.disk_full().await;
     }
 
     /// A planned stop: asks the balancer to move away, then refuses new work, lets what runs
-    /// finish, and closes. True if everything finished within the drain timeout, which counts by the
-    /// steady clock: no lease rests on it, and a host that was suspended cuts nobody off for that.
+    /// finish, and closes. True if everything finished within the drain timeout, which counts by
+    /// the steady clock: no lease rests on it, and a host that was suspended cuts nobody off for
+    /// that.
     pub async fn drain(mut self) -> bool {
         self.life.advance(LifeStep::Leaving);
         if let Some(recorder) = self.context.recorder.get() {
--- a/crates/daemon/src/frames.rs
+++ b/crates/daemon/src/frames.rs
@@ -6,7 +6,7 @@
 
 use crate::feed::ConfigurationFeed;
 use crate::lease_broadcast::LeaseBroadcaster;
-use crate::operators::KeeperDesk;
+use crate::operators::KeeperQuestionHandler;
 use crate::peers::{PeerAnswer, PeerCall, PeerFrame, PeerHandler, PeerHub, PeerQuestion};
 use crate::streams::StreamStore;
 
@@ -15,7 +15,7 @@
     /// Handler of configurations.
     pub feed: Arc<ConfigurationFeed>,
     /// Handler of operators' questions.
-    pub desk: Arc<KeeperDesk>,
+    pub question_handler: Arc<KeeperQuestionHandler>,
     /// Store of the streams that another host can continue.
     pub streams: Arc<StreamStore>,
     /// Handler of leases and surveys.
@@ -72,7 +72,7 @@
 
 fn answer_call(targets: &FrameTargets, hub: &PeerHub, from: &HostName, call: PeerCall) {
     let feed = Arc::clone(&targets.feed);
-    let desk = Arc::clone(&targets.desk);
+    let question_handler = Arc::clone(&targets.question_handler);
     let broadcaster = Arc::clone(&targets.broadcaster);
     let streams = Arc::clone(&targets.streams);
     let hub = hub.clone();
@@ -85,7 +85,7 @@
                     feed.answer(have).await
                 }
                 PeerQuestion::RequestLookUp(request) => streams.answer_look_up(&request),
-                PeerQuestion::Operator(question) => desk.serve(&question.0).await,
+                PeerQuestion::Operator(question) => question_handler.serve(&question.0).await,
                 _ => PeerAnswer::NotRun {
                     reason: "this host does not answer that".to_owned(),
                 },
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -34,7 +34,7 @@
     start_keeper,
 };
 use crate::lease_broadcast::LeaseBroadcaster;
-use crate::operators::KeeperDesk;
+use crate::operators::KeeperQuestionHandler;
 use crate::peers::{PeerHandler, PeerHub, PeerTasks};
 use crate::settings::DaemonSettings;
 use crate::state::SharedState;
@@ -74,7 +74,7 @@
     /// Taken at the planned stop.
     keeper: Mutex<Option<RunningKeeper>>,
     shared: Option<SharedState>,
-    desk: Arc<KeeperDesk>,
+    question_handler: Arc<KeeperQuestionHandler>,
     streams: Arc<StreamStore>,
     broadcaster: Arc<LeaseBroadcaster>,
     peers: PeerTasks,
@@ -173,7 +173,7 @@
             (Some(_), Some(folder)) => Some(EvidenceFiles::open(settings.host.clone(), folder)?),
             _ => None,
         };
-        let desk = Arc::new(KeeperDesk::new(
+        let question_handler = Arc::new(KeeperQuestionHandler::new(
             hub.clone(),
             keepers,
             client.clone(),
@@ -184,7 +184,7 @@
         let streams = Arc::new(StreamStore::new(hub.clone(), Arc::clone(&parts.clock)));
         frames.connect(FrameTargets {
             streams: Arc::clone(&streams),
-            desk: Arc::clone(&desk),
+            question_handler: Arc::clone(&question_handler),
             feed: Arc::clone(&feed),
             broadcaster: Arc::clone(&broadcaster),
         });
@@ -217,7 +217,7 @@
             client,
             keeper: Mutex::new(keeper),
             shared,
-            desk,
+            question_handler,
             streams,
             broadcaster,
             peers,
@@ -263,8 +263,8 @@
     }
 
     /// Answers operators' questions that need a keeper.
-    pub fn desk(&self) -> &Arc<KeeperDesk> {
-        &self.desk
+    pub fn question_handler(&self) -> &Arc<KeeperQuestionHandler> {
+        &self.question_handler
     }
 
     /// Links to the peers.
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -18,7 +18,7 @@
 use pollendrift_http::{HandlerFuture, HttpHandler, ResponseBody};
 use serde_json::Value;
 
-pub use questions::{KeeperAnswer, KeeperDesk, KeeperQuestion};
+pub use questions::{KeeperAnswer, KeeperQuestion, KeeperQuestionHandler};
 pub(crate) use status::keeper_state;
 
 use crate::access::{AccessControl, CertificateIdentity, OperatorIdentity};
@@ -39,7 +39,7 @@
     /// Who may come in.
     pub access: Arc<AccessControl>,
     /// Answers questions that need a keeper, or passes them to one.
-    pub desk: Arc<KeeperDesk>,
+    pub question_handler: Arc<KeeperQuestionHandler>,
     /// Parts of the dump.
     pub dump: Vec<Arc<dyn DumpSource>>,
     /// Warnings about the settings, said aloud in the status.
@@ -104,7 +104,7 @@
             (&Method::GET, path) => {
                 let question = KeeperQuestion::of(path, &query)?;
                 context
-                    .desk
+                    .question_handler
                     .ask(question)
                     .await
                     .map(KeeperAnswer::into_response)
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -185,7 +185,7 @@
 const BARRIER_PATIENCE: Duration = Duration::from_secs(1);
 
 /// Answers keepers' questions on a host with a keeper; passes them to one elsewhere.
-pub struct KeeperDesk {
+pub struct KeeperQuestionHandler {
     hub: PeerHub,
     keepers: KeeperList,
     client: KeeperClient,
@@ -194,8 +194,8 @@
     clock: Arc<dyn TimeSource>,
 }
 
-impl KeeperDesk {
-    /// A desk over this host's keeper, if it has one.
+impl KeeperQuestionHandler {
+    /// Creates a handler; `shared` and `files` are those of this host's keeper, if it has one.
     pub fn new(
         hub: PeerHub,
         keepers: KeeperList,
@@ -293,7 +293,8 @@
     ///
     /// Failure: records reach the files a moment after keepers agreed on them, so an answer of the
     /// files alone misses requests whose callers have their whole answer. Catching up first closes
-    /// that gap. Without a quorum the files are given as they are: an inspector reads them then too.
+    /// that gap. Without a quorum the files are given as they are: an inspector reads them then
+    /// too.
     async fn current_files(&self, shared: &SharedState) -> Result<EvidenceFiles, String> {
         let files = self
             .files
