--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of one daemon: read from YAML, with all findings reported together.
 //!
-//! Settings say where a process stands, who belongs and how long it waits. What requests may do is
-//! no setting: operators steer it by labels and selectors, which the system itself replicates.
-//! Sections are listed alphabetically, each in a module of its name.
+//! Settings define the location of a host, the parties of the system, timeouts and limits. Rules
+//! for requests are not settings: operators control them by labels and selectors, which the system
+//! replicates. Each section has a module of its name; the modules are in alphabetical order.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -51,85 +51,86 @@
 pub use tls::{KeyFiles, PlainText, TlsSettings};
 
 use parties::DuplicateFinder;
-use reader::{PlacedValue, ReadContext, SectionReader};
+use reader::{LocatedValue, ReadContext, SectionReader};
 
-/// Largest settings file in bytes: 1,600 customers and 400 peers need a tenth of it.
+/// Maximum size of a settings file in bytes: 1,600 customers and 400 peers need a tenth of it.
 const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// Exit code of a check that found errors.
+/// Exit code of `pollendrift check` if the file has errors.
 const EXIT_FINDINGS: u8 = 2;
 
 /// Settings of one daemon.
 ///
-/// Invariants of every value that [`DaemonSettings::load`] made: either hosts find each other by
-/// `discovery`, or `peers` names `host` once, with its own `data_centre`, and at least one peer is a
-/// keeper; a keeper has a `data_folder`; no two parties share a name or a token.
+/// Invariants of values from [`DaemonSettings::load`]: either hosts find each other by `discovery`,
+/// or `peers` contains `host` once, with its `data_centre`, and at least one peer is a keeper; a
+/// keeper has a `data_folder`; parties of the same type have distinct names, and no two parties
+/// share a token.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
     /// Name of this host.
     pub host: HostName,
-    /// Where this host stands.
+    /// Data centre of this host.
     pub data_centre: DataCentreName,
-    /// Addresses that this host listens on.
+    /// Listening addresses of this host.
     pub listen: ListenSettings,
-    /// Folder of the files that survive a restart; `None` on a host without a disk.
+    /// Folder of the files that must survive a restart; `None` on a host without a disk.
     pub data_folder: Option<PathBuf>,
-    /// All hosts of the system, this one included.
+    /// All hosts of the system, this one included; empty if `discovery` is on.
     pub peers: Vec<PeerSettings>,
-    /// Customers, by whose tokens callers are known.
+    /// Customers; the token of a caller identifies its customer.
     pub customers: Vec<CustomerSettings>,
-    /// Operators.
+    /// Operators with their roles and credentials.
     pub operators: Vec<OperatorSettings>,
-    /// How backend servers come in.
+    /// Authentication of backend servers.
     pub backend_servers: BackendSettings,
-    /// TLS and plain text.
+    /// Key files, and the rule for plain text.
     pub tls: TlsSettings,
-    /// Agreement of the keepers.
+    /// Agreement group of the keepers.
     pub agreement: AgreementSettings,
-    /// Claims on calls that may not be repeated.
+    /// Claims on non-idempotent calls.
     pub claims: ClaimSettings,
-    /// How hosts find each other where `peers` is empty.
+    /// Discovery of hosts if `peers` is empty.
     pub discovery: DiscoverySettings,
     /// Planned stop.
     pub drain: DrainSettings,
-    /// Bounds on what strangers can send.
+    /// Limits on requests and connections of untrusted clients.
     pub entry: EntrySettings,
-    /// Evidence.
+    /// Buffer and retention of the evidence.
     pub evidence: EvidenceSettings,
-    /// Leases.
+    /// Durations of leases.
     pub leases: LeaseSettings,
-    /// Admission.
+    /// Limits of admission.
     pub limits: LimitSettings,
-    /// Logs.
+    /// Log levels.
     pub logs: LogSettings,
-    /// Placement.
+    /// Placement of model versions.
     pub placement: PlacementSettings,
     /// Serving by published routes.
     pub relay: RelaySettings,
-    /// Retries.
+    /// Retries of idempotent calls.
     pub retries: RetrySettings,
-    /// Snapshots.
+    /// Thresholds for snapshots of a keeper.
     pub snapshots: SnapshotSettings,
 }
 
-/// Settings that were accepted, and the warnings about them.
+/// Accepted settings and the warnings about them.
 #[derive(Clone, Debug)]
 pub struct LoadedSettings {
-    /// The settings.
+    /// Settings without errors.
     pub settings: DaemonSettings,
-    /// Warnings; to be said aloud at the start and in the status.
+    /// Warnings, to be logged at the start and shown in the status.
     pub warnings: FindingList,
 }
 
-/// Outcome of `pollendrift check`.
+/// Result of `pollendrift check`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CheckReport {
-    /// Everything found, errors and warnings.
+    /// Errors and warnings about the file.
     pub findings: FindingList,
 }
 
 impl CheckReport {
-    /// Exit code of the process: 0 without errors, 2 with some.
+    /// Exit code of the process: 2 if there are errors, otherwise 0.
     pub fn exit_code(&self) -> u8 {
         if self.findings.has_errors() {
             EXIT_FINDINGS
@@ -149,7 +150,7 @@
 }
 
 impl DaemonSettings {
-    /// Reads the settings file at `path`.
+    /// Reads the settings file at `path`; relative paths in it are resolved against its folder.
     ///
     /// # Errors
     ///
@@ -161,7 +162,8 @@
         Self::parse(&file, folder, &text)
     }
 
-    /// Reads settings from `text`; `file` names it in findings, relative paths start at `folder`.
+    /// Reads settings from `text`. Findings call it `file`; relative paths are resolved against
+    /// `folder`.
     ///
     /// # Errors
     ///
@@ -189,12 +191,13 @@
         }
     }
 
-    /// This host's line in the peer list.
+    /// Settings of this host in the peer list.
     pub fn own_peer(&self) -> Option<&PeerSettings> {
         self.peers.iter().find(|peer| peer.name == self.host)
     }
 
-    /// Whether this host is a keeper: `peers` says so, or it has a disk where hosts find each other.
+    /// Whether this host is a keeper: with `discovery`, if it has a data folder; otherwise, if
+    /// `peers` marks it as one.
     pub fn is_keeper(&self) -> bool {
         if self.discovery.is_on() {
             return self.data_folder.is_some();
@@ -202,7 +205,7 @@
         self.initial_keepers().any(|peer| peer.name == self.host)
     }
 
-    /// Hosts that vote in the first membership of the agreement group.
+    /// Hosts that are voters in the initial membership of the agreement group.
     pub fn initial_keepers(&self) -> impl Iterator<Item = &PeerSettings> {
         self.peers.iter().filter(|peer| peer.keeper)
     }
@@ -229,8 +232,8 @@
     })
 }
 
-/// Reads every section, so that all findings come together, and only then looks whether the
-/// required ones are there.
+/// Reads all sections before it checks for the required ones, so that all findings are reported
+/// together.
 fn read(section: &mut SectionReader<'_>) -> Option<DaemonSettings> {
     let mut finder = DuplicateFinder::default();
     let host = section.name::<HostName>("host");
@@ -277,7 +280,7 @@
         has_data_folder: data_folder.is_some(),
     };
     if discovery.is_on() {
-        report_both_lists(section, &peers);
+        report_peers_beside_seeds(section, &peers);
     } else {
         own.report(section, &peers);
     }
@@ -307,11 +310,14 @@
     })
 }
 
-/// Two lists that disagree would split the hosts into those that go by one and those that go by the
+/// Reports peers beside seeds. If the two lists disagreed, some hosts would use one and some the
 /// other.
-fn report_both_lists(section: &mut SectionReader<'_>, peers: &[PlacedValue<PeerSettings>]) {
+fn report_peers_beside_seeds(
+    section: &mut SectionReader<'_>,
+    peers: &[LocatedValue<PeerSettings>],
+) {
     if let Some(peer) = peers.first() {
-        let message = "`peers` lists hosts beside the seeds of `discovery`";
+        let message = "`peers` and the seeds of `discovery` are both set";
         section.error(
             peer.place.clone(),
             message,
@@ -320,18 +326,18 @@
     }
 }
 
-fn report_data_folder(section: &mut SectionReader<'_>, folder: Option<&PlacedValue<PathBuf>>) {
+fn report_data_folder(section: &mut SectionReader<'_>, folder: Option<&LocatedValue<PathBuf>>) {
     let Some(folder) = folder else { return };
     if folder.value.is_dir() {
         return;
     }
-    // A folder that is made silently would hide a disk that was not mounted: the keeper would
-    // start empty, as if it had never voted.
+    // Creating the folder would hide a disk that is not mounted: the keeper would start without its
+    // data, as if it had never voted.
     let message = format!("`data_folder`: {} is no folder", folder.value.display());
     section.error(folder.place.clone(), message, "a folder that exists");
 }
 
-fn report_keepers(section: &mut SectionReader<'_>, peers: &[PlacedValue<PeerSettings>]) {
+fn report_keepers(section: &mut SectionReader<'_>, peers: &[LocatedValue<PeerSettings>]) {
     let keepers: Vec<_> = peers.iter().filter(|peer| peer.value.keeper).collect();
     let Some(last) = keepers.last() else {
         if !peers.is_empty() {
@@ -344,33 +350,33 @@
         return;
     };
     if keepers.len() < 3 {
-        let message = format!("{} keeper(s) survive no loss", keepers.len());
+        let message = format!("{} keeper(s) tolerate no failure", keepers.len());
         section.warning(last.place.clone(), message, "three or five keepers");
         return;
     }
     if keepers.len() % 2 == 0 {
         let message = format!(
-            "{} keepers survive no more losses than one fewer",
+            "{} keepers tolerate no more failures than one keeper fewer",
             keepers.len()
         );
         section.warning(last.place.clone(), message, "an odd number of keepers");
     }
-    let together = |centre: &DataCentreName| {
+    let has_majority = |centre: &DataCentreName| {
         let same = keepers
             .iter()
             .filter(|keeper| &keeper.value.data_centre == centre);
         same.count() * 2 > keepers.len()
     };
-    let several = peers
+    let spans_centres = peers
         .iter()
         .any(|peer| peer.value.data_centre != last.value.data_centre);
     if let Some(keeper) = keepers
         .iter()
-        .find(|keeper| together(&keeper.value.data_centre))
-        && several
+        .find(|keeper| has_majority(&keeper.value.data_centre))
+        && spans_centres
     {
         let message = format!(
-            "data centre {} holds most keepers: its loss stops every change",
+            "data centre {} contains most keepers: without it no change can be committed",
             keeper.value.data_centre
         );
         section.warning(
@@ -381,7 +387,7 @@
     }
 }
 
-/// What the file says of the host itself, to compare with its line in the peer list.
+/// Settings of this host outside the peer list, to compare with its element in the list.
 struct OwnHost<'a> {
     host: &'a HostName,
     data_centre: Option<&'a DataCentreName>,
@@ -390,7 +396,7 @@
 }
 
 impl OwnHost<'_> {
-    fn report(&self, section: &mut SectionReader<'_>, peers: &[PlacedValue<PeerSettings>]) {
+    fn report(&self, section: &mut SectionReader<'_>, peers: &[LocatedValue<PeerSettings>]) {
         let Some(peer) = peers.iter().find(|peer| &peer.value.name == self.host) else {
             let message = format!("`peers` does not name this host, {}", self.host);
             let expected = "a line with name, data_centre and address of this host";
@@ -401,7 +407,10 @@
             .data_centre
             .is_some_and(|centre| *centre != peer.value.data_centre)
         {
-            let message = format!("this host stands in {} here", peer.value.data_centre);
+            let message = format!(
+                "`data_centre` of this host is {} in `peers`",
+                peer.value.data_centre
+            );
             section.error(
                 peer.place.clone(),
                 message,
@@ -423,7 +432,7 @@
             listen.peers.port() == 0 || listen.peers.port() == peer.value.address.port();
         if !same_ip || !same_port {
             let message = format!(
-                "peers would look for this host at {}, but it listens on {}",
+                "peers would connect to this host at {}, but it listens on {}",
                 peer.value.address, listen.peers
             );
             section.error(
--- a/crates/daemon/src/settings/agreement.rs
+++ b/crates/daemon/src/settings/agreement.rs
@@ -1,26 +1,27 @@
-//! Timeouts of the agreement group.
+//! Settings of the agreement group of keepers.
 
 use std::time::Duration;
 
-use super::parties::YES_OR_NO;
+use super::parties::BOOLEAN_CHOICES;
 use super::reader::SectionReader;
 
-/// Settings of the agreement group of keepers.
+/// Timeouts and batch size of the agreement group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgreementSettings {
-    /// Time between two heartbeats of the leader.
+    /// Interval between heartbeats of the leader.
     pub heartbeat: Duration,
-    /// Silence after which a keeper asks for an election; a random part of up to the same again is
-    /// added. Invariant: at least three heartbeats.
+    /// Time without a heartbeat after which a keeper starts an election; a random delay of up to
+    /// the same length is added. Invariant: at least three heartbeats.
     pub election_timeout: Duration,
-    /// Time within which an operator's change is committed or answered as unknown.
+    /// Time after which the outcome of an operator's change that is not committed is reported as
+    /// unknown.
     pub commit_timeout: Duration,
-    /// Most entries that one message or one sync carries.
+    /// Maximum number of log entries in one message or one disk sync.
     pub max_batch_entries: u64,
-    /// Whether the keepers of the settings may found a group together where none of them has one.
+    /// Whether the keepers of the settings may found a group if none of them belongs to one.
     ///
-    /// Needed on the first day only. Left on, keepers whose folders were all lost would found an
-    /// empty group, which knows no claims, and a booking that was resent would run again.
+    /// Needed for the first start only. While it is on, keepers that all lost their data folders
+    /// found an empty group without claims, and a resent non-idempotent call runs again.
     pub may_found: bool,
 }
 
@@ -57,12 +58,12 @@
                 default.max_batch_entries,
                 1..=65_536,
             ),
-            may_found: section.choice("may_found", default.may_found, &YES_OR_NO),
+            may_found: section.choice("may_found", default.may_found, &BOOLEAN_CHOICES),
         };
         if settings.election_timeout < settings.heartbeat * 3 {
             section.error(
                 section.place(),
-                "`election_timeout` is shorter than three heartbeats, so one late heartbeat deposes the leader",
+                "`election_timeout` is shorter than three heartbeats, so one late heartbeat starts an election",
                 "an `election_timeout` of at least three times `heartbeat`",
             );
         }
--- a/crates/daemon/src/settings/claims.rs
+++ b/crates/daemon/src/settings/claims.rs
@@ -1,17 +1,18 @@
-//! Bounds of the claims on calls that may not be repeated.
+//! Settings of the claims on non-idempotent calls.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of the claims table.
+/// Limits of the claims table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// Time for which a key is remembered; a later resend counts as a new call.
+    /// Retention of a key; a resend after it counts as a new call.
     pub horizon: Duration,
-    /// Largest stored result in bytes; of a larger one only status and digest are kept.
+    /// Maximum size of a stored result in bytes; of a larger result only the status and the digest
+    /// are stored.
     pub max_result_bytes: u64,
-    /// Most claims that are held; further ones are refused as not run.
+    /// Maximum number of claims; further calls are refused as not run.
     pub max_claims: u64,
 }
 
--- a/crates/daemon/src/settings/digest.rs
+++ b/crates/daemon/src/settings/digest.rs
@@ -1,4 +1,5 @@
-//! Tokens as SHA-256 digests: a settings file that is read by others gives no token away.
+//! SHA-256 digests of tokens. Settings contain only digests, so that a reader of the file learns no
+//! token.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,31 +12,31 @@
 
 /// SHA-256 digest of a token.
 ///
-/// There is no `PartialEq`: digests are compared in constant time by `access`, so that the time
-/// an answer takes tells a stranger nothing about the stored digest.
+/// The type does not implement `PartialEq`: `access` compares digests in constant time, so that the
+/// response time reveals nothing about the stored digest.
 #[derive(Clone, Copy)]
 pub struct TokenDigest([u8; DIGEST_BYTES]);
 
-/// A text that is no digest.
+/// Error for a text that is not a digest.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("no SHA-256 digest")]
+#[display("not a SHA-256 digest")]
 pub struct DigestError;
 
 impl TokenDigest {
-    /// What is accepted as a digest.
+    /// Description of the accepted form, for findings.
     pub const EXPECTED: &'static str = "64 hexadecimal digits, the SHA-256 digest of the token";
 
-    /// The digest of `token`.
+    /// Computes the digest of `token`.
     pub fn of(token: &[u8]) -> Self {
         Self(Sha256::digest(token).into())
     }
 
-    /// The bytes of the digest.
+    /// Returns the 32 bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The digest as 64 hexadecimal digits.
+    /// Formats the digest as 64 hexadecimal digits.
     pub fn to_hex(self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
--- a/crates/daemon/src/settings/discovery.rs
+++ b/crates/daemon/src/settings/discovery.rs
@@ -1,18 +1,19 @@
-//! How hosts find each other where no list names them.
+//! Settings of discovery: how hosts find each other without a peer list.
 
 use std::net::SocketAddr;
 
 use super::reader::SectionReader;
 
-/// Settings of discovery.
+/// Seeds and addresses for discovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DiscoverySettings {
-    /// Addresses of hosts that were there first; empty where `peers` lists the hosts.
+    /// Addresses of the hosts that a starting host contacts first; empty if `peers` lists the
+    /// hosts.
     pub seeds: Vec<SocketAddr>,
-    /// Address at which peers are told to reach this host, where it differs from the one that it
-    /// listens on: behind a proxy or a translated address.
+    /// Address that this host announces to its peers, if it differs from the one that it listens
+    /// on, such as behind a proxy or network address translation.
     pub announce: Option<SocketAddr>,
-    /// Port on which all hosts listen for peers, in place of the ports of `seeds`.
+    /// Port on which all hosts listen for peers; replaces the ports of `seeds`.
     pub peer_port: Option<u16>,
 }
 
@@ -27,12 +28,12 @@
         }
     }
 
-    /// Whether hosts find each other.
+    /// Whether discovery is on: at least one seed is set.
     pub fn is_on(&self) -> bool {
         !self.seeds.is_empty()
     }
 
-    /// Addresses of the seeds for peers.
+    /// Addresses of the seeds with `peer_port` applied.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter().copied();
         seeds
--- a/crates/daemon/src/settings/drain.rs
+++ b/crates/daemon/src/settings/drain.rs
@@ -1,16 +1,17 @@
-//! Times of a planned stop.
+//! Settings of a planned stop.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of the graceful shutdown.
+/// Times of a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainSettings {
-    /// Time between turning unready and refusing new work, so that the balancer can look away.
+    /// Time between reporting unready and refusing new requests, so that the load balancer can stop
+    /// sending requests to this host.
     pub notice: Duration,
-    /// Longest time that running requests are waited for; what is cut off then gets an explicit
-    /// error and a record in the evidence.
+    /// Maximum wait for running requests. Requests that are aborted after it get an explicit error
+    /// and a record in the evidence.
     pub timeout: Duration,
 }
 
--- a/crates/daemon/src/settings/entry.rs
+++ b/crates/daemon/src/settings/entry.rs
@@ -1,25 +1,26 @@
-//! Bounds on what strangers can send to the callers', operators' and backend servers' faces.
+//! Limits on requests and connections of untrusted clients to the callers', operators' and backend
+//! servers' faces.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of the HTTP faces.
+/// Limits of the HTTP faces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// Most header lines of a request.
+    /// Maximum number of header lines of a request.
     pub max_header_count: u64,
-    /// Most bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: u64,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// Time within which the head of a request must have arrived.
+    /// Maximum time until the head of a request has arrived.
     pub head_timeout: Duration,
-    /// Time within which the body of a request must have arrived.
+    /// Maximum time until the body of a request has arrived.
     pub body_timeout: Duration,
-    /// Most open connections of one address.
+    /// Maximum number of open connections from one client address.
     pub max_connections_per_address: u64,
-    /// Most open connections in all.
+    /// Maximum number of open connections in total.
     pub max_connections: u64,
 }
 
@@ -47,7 +48,7 @@
                 default.max_header_count,
                 8..=1_000,
             ),
-            // hyper needs a buffer of at least 8 KiB.
+            // hyper requires a buffer of at least 8 KiB.
             max_header_bytes: section.size(
                 "max_header_bytes",
                 default.max_header_bytes,
--- a/crates/daemon/src/settings/evidence.rs
+++ b/crates/daemon/src/settings/evidence.rs
@@ -1,28 +1,29 @@
-//! Buffer and retention of the evidence.
+//! Settings of the evidence.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of the evidence.
+/// Buffer, batches and retention of the evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvidenceSettings {
-    /// Most records that an entry holds until keepers have acknowledged them; new work is refused
-    /// while the buffer is full.
+    /// Maximum number of records that an entry buffers until keepers acknowledge them; new requests
+    /// are refused while the buffer is full.
     pub max_buffer_records: u64,
-    /// Most bytes of the same buffer.
+    /// Maximum size of the same buffer in bytes.
     pub max_buffer_bytes: u64,
-    /// Most records of one batch to the keepers.
+    /// Maximum number of records in one batch to the keepers.
     pub max_batch_records: u64,
-    /// Longest time that a record of a request waits for others to share its batch.
+    /// Maximum time that a record of a request waits for further records of its batch.
     pub batch_delay: Duration,
-    /// The same for records that no caller waits for, such as a revision put in force.
+    /// The same for records that no caller waits for, such as one about a revision that came in
+    /// force.
     pub note_delay: Duration,
-    /// Time without an acknowledgement after which a batch is sent again.
+    /// Time without an acknowledgement after which a batch is resent.
     pub resend_delay: Duration,
     /// Age after which keepers drop records.
     pub retain_age: Duration,
-    /// Bytes on a keeper's disk above which the oldest records are dropped.
+    /// Size in bytes on a keeper's disk above which it drops the oldest records.
     pub retain_bytes: u64,
 }
 
--- a/crates/daemon/src/settings/leases.rs
+++ b/crates/daemon/src/settings/leases.rs
@@ -1,20 +1,20 @@
-//! Leases of backend servers, hosts and the configuration.
+//! Settings of the leases of backend servers, hosts and the configuration.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of the leases. All rest on monotonic time.
+/// Durations of the leases, all on monotonic clocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// Lease of a backend server; without a heartbeat for this long it gets no new work.
+    /// Lease of a backend server; a server without a heartbeat for this long gets no new requests.
     pub backend_server: Duration,
-    /// Lease of an entry on its configuration; one that cannot renew it refuses new work.
+    /// Lease of an entry on its configuration; an entry that cannot renew it refuses new requests.
     pub configuration: Duration,
-    /// Time between two heartbeats among hosts. Invariant: at most a third of `configuration`.
+    /// Interval between heartbeats of hosts. Invariant: at most a third of `configuration`.
     pub heartbeat: Duration,
-    /// Highest assumed difference between two monotonic clocks, in parts per million; each holder
-    /// ends its lease earlier by this part, each granter later.
+    /// Maximum assumed drift between two monotonic clocks, in parts per million. The holder ends
+    /// its lease earlier by this fraction, the granter later.
     pub clock_drift_ppm: u64,
 }
 
@@ -50,7 +50,7 @@
         if settings.configuration < settings.heartbeat * 3 {
             section.error(
                 section.place(),
-                "the `configuration` lease is shorter than three heartbeats, so one lost message ends it",
+                "the `configuration` lease is shorter than three heartbeats, so one lost message lets it expire",
                 "a `configuration` lease of at least three times `heartbeat`",
             );
         }
--- a/crates/daemon/src/settings/limits.rs
+++ b/crates/daemon/src/settings/limits.rs
@@ -1,19 +1,19 @@
-//! Admission of requests on one entry.
+//! Settings of the admission of requests on one entry.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of admission; what operators steer per customer are labels, not settings.
+/// Limits of admission. Limits per customer are labels, not settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Most requests that run at once on this entry.
+    /// Maximum number of requests that run concurrently on this entry.
     pub max_running: u64,
-    /// Most requests that wait; further ones are refused as not run.
+    /// Maximum number of queued requests; further ones are refused as not run.
     pub max_queued: u64,
-    /// Longest wait in the queue.
+    /// Maximum time in the queue.
     pub max_queue_wait: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that does not set one.
     pub default_deadline: Duration,
 }
 
--- a/crates/daemon/src/settings/listen.rs
+++ b/crates/daemon/src/settings/listen.rs
@@ -1,41 +1,42 @@
-//! Addresses that a host listens on.
+//! Settings of the addresses that a host listens on.
 
 use std::net::SocketAddr;
 
-use super::reader::{PlacedValue, SectionReader};
+use super::reader::{LocatedValue, SectionReader};
 
 const EXPECTED: &str = "an IP address with a port, such as 127.0.0.1:8080 or [::1]:8080";
 
-/// Addresses of one host. Callers, operators and backend servers may share one address; the
-/// platform and the peers have their own.
+/// Listening addresses of one host, one for each face: the interface for one kind of client.
+/// Callers, operators and backend servers may share an address; the other faces have their own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// Operators' changes and questions.
+    /// Address for operators' changes and questions.
     pub operators: SocketAddr,
-    /// Announcements of backend servers.
+    /// Address for announcements of backend servers.
     pub backend_servers: SocketAddr,
-    /// What `platform` serves, once more, for a scraper that knows one port for all hosts.
+    /// Additional address with the content of `platform`, for a scraper that uses one port for all
+    /// hosts.
     pub metrics: Option<SocketAddr>,
-    /// Liveness, readiness, metrics and dump.
+    /// Address for liveness, readiness, metrics and the dump.
     pub platform: SocketAddr,
-    /// Other hosts of the system.
+    /// Address for the other hosts of the system.
     pub peers: SocketAddr,
 }
 
-/// One address under its key.
+/// An address and the key that it was read from.
 struct NamedAddress {
     key: &'static str,
-    address: PlacedValue<SocketAddr>,
-    /// Whether the face may share its address with others that may.
-    shares: bool,
+    address: LocatedValue<SocketAddr>,
+    /// Whether the face may share its address with another such face.
+    can_share: bool,
 }
 
 impl ListenSettings {
     pub(super) fn read(section: &mut SectionReader<'_>) -> Option<Self> {
         let mut addresses = Vec::new();
-        for (key, shares) in [
+        for (key, can_share) in [
             ("callers", true),
             ("operators", true),
             ("backend_servers", true),
@@ -46,14 +47,14 @@
             addresses.extend(address.map(|address| NamedAddress {
                 key,
                 address,
-                shares,
+                can_share,
             }));
         }
         let metrics = section.optional::<SocketAddr>("metrics", EXPECTED);
         addresses.extend(metrics.map(|address| NamedAddress {
             key: "metrics",
             address,
-            shares: false,
+            can_share: false,
         }));
         report_overlaps(section, &addresses);
         let find = |key| {
@@ -70,7 +71,7 @@
         })
     }
 
-    /// The faces that carry credentials, with the key of each.
+    /// Keys and addresses of the faces whose connections carry credentials.
     pub(super) fn credential_faces(&self) -> [(&'static str, SocketAddr); 4] {
         [
             ("callers", self.callers),
@@ -84,7 +85,7 @@
 fn report_overlaps(section: &mut SectionReader<'_>, addresses: &[NamedAddress]) {
     for (index, later) in addresses.iter().enumerate() {
         for earlier in addresses.iter().take(index) {
-            let shared = later.shares && earlier.shares;
+            let shared = later.can_share && earlier.can_share;
             if shared && later.address.value == earlier.address.value {
                 continue;
             }
@@ -102,7 +103,8 @@
     }
 }
 
-/// Whether two listeners would meet: same port, and same address or one of them on all addresses.
+/// Whether two listeners conflict: they have the same port, and the same IP address or one of them
+/// listens on all addresses. Port 0 never conflicts, since the system picks a free port.
 fn overlap(left: SocketAddr, right: SocketAddr) -> bool {
     let any = left.ip().is_unspecified() || right.ip().is_unspecified();
     left.port() != 0 && left.port() == right.port() && (any || left.ip() == right.ip())
--- a/crates/daemon/src/settings/logs.rs
+++ b/crates/daemon/src/settings/logs.rs
@@ -1,19 +1,19 @@
-//! Log levels by package.
+//! Settings of the logs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use super::reader::SectionReader;
 
-/// Levels that are accepted, from the quietest.
+/// Accepted levels, least verbose first.
 const LEVELS: &str = "off, error, warn, info, debug, trace";
 
-/// Settings of the logs.
+/// Log levels by package.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Level of every package that `packages` does not name.
+    /// Level of the packages that `packages` does not contain.
     pub level: log::LevelFilter,
-    /// Levels of single packages or modules, such as `pollendrift::entry`.
+    /// Levels of individual packages or modules, such as `pollendrift::entry`.
     pub packages: BTreeMap<Arc<str>, log::LevelFilter>,
 }
 
--- a/crates/daemon/src/settings/node.rs
+++ b/crates/daemon/src/settings/node.rs
@@ -1,7 +1,7 @@
-//! YAML kept as a tree in which every key and value knows its place.
+//! Parses YAML into a tree in which every key and value has its location.
 //!
 //! The tree accepts any well-formed document, so that the sections can report all findings of a
-//! file together instead of stopping at the first value that does not fit.
+//! file together instead of stopping at the first invalid value.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{DuplicateKeyPolicy, Location, Spanned};
 
-/// Deepest nesting of a settings file; the format itself needs four.
+/// Maximum nesting depth of a settings file; valid settings need four levels.
 const MAX_DEPTH: usize = 16;
-/// Most parser events of a settings file: about 20,000 lines.
+/// Maximum number of parser events of a settings file: about 20,000 lines.
 const MAX_EVENTS: usize = 100_000;
 
-/// One value of the document.
+/// A value of the document, without its location.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum NodeValue {
-    /// Nothing was written.
+    /// An explicit null or an empty value.
     Null,
-    /// A scalar, as text.
+    /// A scalar of any type, as text.
     Scalar(Arc<str>),
-    /// A sequence.
+    /// A YAML sequence.
     List(Vec<Node>),
-    /// A mapping, in the order of the file; duplicate keys are kept for the findings.
-    Table(Vec<TableEntry>),
+    /// A YAML mapping in the order of the file, with duplicate keys, so that they can be reported.
+    Mapping(Vec<MappingPair>),
 }
 
-/// One key and its value.
+/// One key of a mapping and its value.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct TableEntry {
+pub(super) struct MappingPair {
     /// The key and its location.
     pub(super) key: Spanned<String>,
     /// The value and its location.
     pub(super) node: Node,
 }
 
-/// A value with its location.
+/// A [`NodeValue`] with its location.
 pub(super) type Node = Spanned<NodeValue>;
 
 impl<'de> Deserialize<'de> for NodeValue {
@@ -118,16 +118,20 @@
     where
         A: MapAccess<'de>,
     {
-        let mut entries = Vec::new();
+        let mut pairs = Vec::new();
         while let Some(key) = access.next_key()? {
             let node = access.next_value()?;
-            entries.push(TableEntry { key, node });
+            pairs.push(MappingPair { key, node });
         }
-        Ok(NodeValue::Table(entries))
+        Ok(NodeValue::Mapping(pairs))
     }
 }
 
-/// Parses `text`; a document that is no YAML gives one finding at the place of the error.
+/// Parses `text`.
+///
+/// # Errors
+///
+/// One finding at the place of the error if `text` is not a single well-formed YAML document.
 pub(super) fn parse(file: &Arc<str>, text: &str) -> Result<Node, FindingList> {
     let options = serde_saphyr::options! {
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
@@ -138,7 +142,7 @@
     serde_saphyr::from_str_with_options(text, options).map_err(|error| {
         let location = error.location().unwrap_or(Location::UNKNOWN);
         let text = error.render();
-        // The library ends its message with the place, which the finding already carries.
+        // The library appends the location to its message; the finding already contains it.
         let cause = text.split(" at line ").next().unwrap_or(&text);
         let mut findings = FindingList::default();
         findings.error(
@@ -150,7 +154,7 @@
     })
 }
 
-/// The place of `location` in `file`.
+/// Converts `location` to a place in `file`.
 pub(super) fn place(file: &Arc<str>, location: Location) -> Place {
     Place {
         file: Arc::clone(file),
--- a/crates/daemon/src/settings/parties.rs
+++ b/crates/daemon/src/settings/parties.rs
@@ -1,83 +1,85 @@
-//! Who belongs: hosts, customers, operators and backend servers.
+//! Settings of the parties of the system: hosts, customers, operators and backend servers.
 
 use std::net::SocketAddr;
 
 use pollendrift_coordination::base::{CustomerName, DataCentreName, HostName, OperatorName};
 
 use super::digest::TokenDigest;
-use super::reader::{PlacedValue, SectionReader};
+use super::reader::{LocatedValue, SectionReader};
 
-/// One host of the system.
+/// Settings of one host in the peer list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Its name; its certificate must bear the same one.
+    /// Host name; the certificate of the host must contain it.
     pub name: HostName,
-    /// Where it stands.
+    /// Data centre of the host.
     pub data_centre: DataCentreName,
-    /// Where it listens for peers.
+    /// Address on which the host listens for peers.
     pub address: SocketAddr,
-    /// Whether it votes in the first membership of the agreement group.
+    /// Whether the host is a voter in the initial membership of the agreement group.
     pub keeper: bool,
 }
 
-/// One customer.
+/// Settings of one customer.
 #[derive(Clone, Debug)]
 pub struct CustomerSettings {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// Digests of its tokens; several, so that a token can be replaced without a gap.
+    /// Digests of the accepted tokens. Several are allowed, so that a token can be replaced without
+    /// an interruption.
     pub tokens: Vec<TokenDigest>,
 }
 
-/// What an operator may do.
+/// Permissions of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OperatorRole {
-    /// Read the configuration, the status and the evidence.
+    /// Reads the configuration, the status and the evidence.
     Viewer,
-    /// Also change labels and selectors.
+    /// Also changes labels and selectors.
     Editor,
 }
 
-/// One operator.
+/// Settings of one operator.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// The name, which goes into the evidence.
+    /// Name of the operator, recorded in the evidence.
     pub name: OperatorName,
-    /// What the operator may do.
+    /// Permissions of the operator.
     pub role: OperatorRole,
     /// Digests of the operator's tokens.
     pub tokens: Vec<TokenDigest>,
-    /// Whether a client certificate that bears the name is accepted as well.
+    /// Whether a client certificate with the name of the operator is accepted as well.
     pub certificate: bool,
 }
 
-/// Whether backend servers must prove who they are.
+/// Whether backend servers must authenticate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendProof {
     /// An announcement needs a token.
     Required,
-    /// Anyone who reaches the address can announce a backend server.
+    /// Any client that reaches the address can announce a backend server.
     NotRequired,
 }
 
-/// How backend servers come in.
+/// Authentication of backend servers.
 #[derive(Clone, Debug)]
 pub struct BackendSettings {
-    /// Whether they must prove themselves.
+    /// Whether an announcement needs a token.
     pub proof: BackendProof,
-    /// Digests of the tokens that prove it.
+    /// Digests of the accepted tokens.
     pub tokens: Vec<TokenDigest>,
 }
 
-pub(super) const YES_OR_NO: [(&str, bool); 2] = [("true", true), ("false", false)];
+/// Accepted words of a boolean setting.
+pub(super) const BOOLEAN_CHOICES: [(&str, bool); 2] = [("true", true), ("false", false)];
 
-/// A token digest, whose it is, and where it stands.
+/// A token digest with its owner and its place in the file.
 struct OwnedDigest {
     owner: String,
-    digest: PlacedValue<TokenDigest>,
+    digest: LocatedValue<TokenDigest>,
 }
 
-/// Finds names and tokens that stand twice.
+/// Finds names and tokens that occur twice.
 #[derive(Default)]
 pub(super) struct DuplicateFinder {
     names: Vec<String>,
@@ -85,22 +87,22 @@
 }
 
 impl DuplicateFinder {
-    /// Reports `name` if the list `kind` had it before.
-    fn name(&mut self, section: &mut SectionReader<'_>, kind: &str, name: &PlacedValue<String>) {
+    /// Reports `name` if it occurred before in the list of parties of type `kind`.
+    fn name(&mut self, section: &mut SectionReader<'_>, kind: &str, name: &LocatedValue<String>) {
         let full = format!("{kind} {}", name.value);
         if self.names.contains(&full) {
-            let message = format!("{full} stands twice");
+            let message = format!("{full} is listed twice");
             section.error(name.place.clone(), message, "each name once");
         }
         self.names.push(full);
     }
 
-    /// Reports digests that another owner had before: a token must name one party.
+    /// Reports digests that occurred before: a token must identify one party only.
     fn digests(
         &mut self,
         section: &mut SectionReader<'_>,
         owner: &str,
-        digests: Vec<PlacedValue<TokenDigest>>,
+        digests: Vec<LocatedValue<TokenDigest>>,
     ) -> Vec<TokenDigest> {
         let mut values = Vec::new();
         for digest in digests {
@@ -124,14 +126,14 @@
     pub(super) fn read(
         section: &mut SectionReader<'_>,
         finder: &mut DuplicateFinder,
-    ) -> Option<PlacedValue<Self>> {
+    ) -> Option<LocatedValue<Self>> {
         let name = section.name::<String>("name");
         let data_centre = section.name("data_centre");
         let address = section.required("address", "an IP address with a port");
-        let keeper = section.choice("keeper", false, &YES_OR_NO);
+        let keeper = section.choice("keeper", false, &BOOLEAN_CHOICES);
         let name = name?;
         finder.name(section, "peer", &name);
-        Some(PlacedValue {
+        Some(LocatedValue {
             value: Self {
                 name: name.value.into(),
                 data_centre: data_centre?.value,
@@ -153,7 +155,7 @@
         let name = name?;
         finder.name(section, "customer", &name);
         if digests.is_empty() {
-            section.absent("token_sha256", TokenDigest::EXPECTED);
+            section.report_absent("token_sha256", TokenDigest::EXPECTED);
         }
         let owner = format!("customer {}", name.value);
         Some(Self {
@@ -175,11 +177,11 @@
         ];
         let role = section.choice("role", OperatorRole::Viewer, &roles);
         let digests = section.digests("token_sha256");
-        let certificate = section.choice("certificate", false, &YES_OR_NO);
+        let certificate = section.choice("certificate", false, &BOOLEAN_CHOICES);
         let name = name?;
         finder.name(section, "operator", &name);
         if digests.is_empty() && !certificate {
-            section.absent("token_sha256", "a token digest, or `certificate: true`");
+            section.report_absent("token_sha256", "a token digest, or `certificate: true`");
         }
         let owner = format!("operator {}", name.value);
         Some(Self {
@@ -201,12 +203,12 @@
         let digests = section.digests("token_sha256");
         match proof {
             BackendProof::Required if digests.is_empty() => {
-                section.absent("token_sha256", "a token digest, or `proof: not-required`");
+                section.report_absent("token_sha256", "a token digest, or `proof: not-required`");
             }
             BackendProof::Required => {}
             BackendProof::NotRequired => section.warning(
                 section.place(),
-                "backend servers need not prove who they are: whoever reaches the address can take requests",
+                "backend servers are not authenticated: any client that reaches the address can receive requests",
                 "`proof: required` with `token_sha256`",
             ),
         }
--- a/crates/daemon/src/settings/placement.rs
+++ b/crates/daemon/src/settings/placement.rs
@@ -1,20 +1,21 @@
-//! Placement of model versions that selectors name.
+//! Settings of the placement of model versions that selectors name.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of placement.
+/// Lease, timeouts and limits of placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// Lease of the right to order engines. Engines that ignore fencing numbers are ordered only
+    /// Lease of the order right on engines. Engines that ignore fencing numbers get orders only
     /// three leases after a change of the holder.
     pub lease: Duration,
-    /// Time in which a load must be announced; after it the engine is left out for as long again.
+    /// Time within which an engine must announce an ordered load; otherwise the engine is excluded
+    /// for the same time.
     pub load_timeout: Duration,
-    /// Loads that the weight store serves at a time.
+    /// Maximum number of concurrent loads from the weight store.
     pub max_loads: u64,
-    /// Time after the start in which nothing is ordered.
+    /// Time after the start during which no orders are sent.
     pub settle: Duration,
 }
 
@@ -33,16 +34,16 @@
     pub(super) fn read(section: &mut SectionReader<'_>) -> Self {
         let default = Self::default();
         let times = Duration::from_secs(1)..=Duration::from_secs(60);
-        let longest = Duration::from_secs(3_600);
+        let max_time = Duration::from_secs(3_600);
         Self {
             lease: section.duration("lease", default.lease, times),
             load_timeout: section.duration(
                 "load_timeout",
                 default.load_timeout,
-                Duration::from_secs(1)..=longest,
+                Duration::from_secs(1)..=max_time,
             ),
             max_loads: section.count("max_loads", default.max_loads, 1..=1_000),
-            settle: section.duration("settle", default.settle, Duration::ZERO..=longest),
+            settle: section.duration("settle", default.settle, Duration::ZERO..=max_time),
         }
     }
 }
--- a/crates/daemon/src/settings/quantity.rs
+++ b/crates/daemon/src/settings/quantity.rs
@@ -1,4 +1,4 @@
-//! Durations and sizes as people write them.
+//! Parses durations, sizes and numbers of a settings file.
 
 use std::time::Duration;
 
@@ -19,20 +19,21 @@
     ("GiB", 1 << 30),
 ];
 
-/// Largest number with a fraction that is read.
+/// Largest number that is accepted in decimal or exponent notation: 2^53, the end of the range in
+/// which an `f64` represents every whole number.
 const MAX_FRACTION: f64 = 9_007_199_254_740_992.0;
 
-/// A number with a unit from microseconds to days, such as `250ms` or `1.5s`.
+/// Parses a number with a unit from microseconds to days, such as `250ms` or `1.5s`.
 pub(super) fn parse_duration(text: &str) -> Option<Duration> {
-    scaled(text, &DURATION_UNITS).map(Duration::from_micros)
+    parse_scaled(text, &DURATION_UNITS).map(Duration::from_micros)
 }
 
-/// A number of bytes, with an optional binary unit, such as `64KiB`.
+/// Parses a number of bytes with an optional binary unit, such as `64KiB`.
 pub(super) fn parse_size(text: &str) -> Option<u64> {
-    scaled(text, &SIZE_UNITS)
+    parse_scaled(text, &SIZE_UNITS)
 }
 
-/// A whole number in any spelling, such as `3`, `3.0` or `3e0`.
+/// Parses a whole number in any notation, such as `3`, `3.0` or `3e0`.
 pub(super) fn parse_whole(text: &str) -> Option<u64> {
     if let Ok(whole) = text.parse() {
         return Some(whole);
@@ -41,12 +42,12 @@
     (number.fract() == 0.0).then_some(number as u64)
 }
 
-/// A number of 0 or more, without the part behind its point.
+/// Parses a non-negative number and rounds it down.
 pub(super) fn parse_rounded_down(text: &str) -> Option<u64> {
     parse_whole(text).or_else(|| Some(parse_decimal(text)?.floor() as u64))
 }
 
-fn scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_scaled(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let (number, unit) = text.split_at(number_len(text));
     let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
     if let Ok(whole) = number.parse::<u64>() {
@@ -64,7 +65,7 @@
     (0.0..=MAX_FRACTION).contains(&number).then_some(number)
 }
 
-/// Bytes at the start of `text` that belong to a number: digits, a point, an exponent.
+/// Length in bytes of the number at the start of `text`: digits, a decimal point, an exponent.
 fn number_len(text: &str) -> usize {
     let bytes = text.as_bytes();
     let is_digit = |at: usize| bytes.get(at).is_some_and(u8::is_ascii_digit);
--- a/crates/daemon/src/settings/quantity/tests.rs
+++ b/crates/daemon/src/settings/quantity/tests.rs
@@ -11,9 +11,10 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-// A platform writes a bound as a fraction or with an exponent, and the daemon refuses to start.
+// Guards against a daemon that refuses to start on a valid quantity: platforms write limits as
+// fractions or with an exponent.
 #[test]
-fn quantities_need_a_known_unit_and_must_not_overflow() {
+fn quantities_require_a_known_unit_and_must_not_overflow() {
     let durations = [
         "250ms",
         "2s",
@@ -78,9 +79,10 @@
     ");
 }
 
-// Half a retry more than the bound allows is one too many.
+// Guards against an effective limit above the written one: a fractional retry limit that is rounded
+// up allows one retry too many.
 #[test]
-fn counts_are_whole_in_any_spelling_and_bounds_are_rounded_down() {
+fn counts_accept_any_notation_of_a_whole_number_and_limits_are_rounded_down() {
     let texts = [
         "3",
         "3.0",
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of one mapping: typed values out, findings with their place collected.
+//! Reads typed values from one mapping and collects findings with their places.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -12,58 +12,61 @@
 use pollendrift_coordination::base::{FindingList, Place};
 
 use super::digest::TokenDigest;
-use super::node::{self, Node, NodeValue, TableEntry};
+use super::node::{self, MappingPair, Node, NodeValue};
 use super::quantity;
 
-/// Places and findings of one file.
+/// State of reading one file: its name, its folder and the findings.
 #[derive(Debug)]
 pub(super) struct ReadContext {
-    /// Name of the file.
+    /// Name of the file in findings.
     pub(super) file: Arc<str>,
-    /// Folder of the file; relative paths start there.
+    /// Folder of the file; relative paths in the file are resolved against it.
     pub(super) folder: PathBuf,
-    /// Everything found so far.
+    /// Errors and warnings found so far.
     pub(super) findings: FindingList,
 }
 
 impl ReadContext {
-    /// The place of `node`.
+    /// Returns the place of `node` in the file.
     pub(super) fn place(&self, node: &Node) -> Place {
         node::place(&self.file, node.referenced)
     }
 
-    /// Collects an error at `node`.
+    /// Adds an error at `node`; `expected` says which values are accepted.
     pub(super) fn error(&mut self, node: &Node, message: impl Into<String>, expected: &str) {
         let place = self.place(node);
         self.findings.error(place, message, expected);
     }
 }
 
-/// A value and the place it was read from; the place of the section where it was absent.
+/// A value and the place in the file that it was read from.
 #[derive(Clone, Debug)]
-pub(super) struct PlacedValue<T> {
-    /// The value.
+pub(super) struct LocatedValue<T> {
+    /// The parsed value.
     pub(super) value: T,
-    /// Where it stands.
+    /// Place of the value in the file.
     pub(super) place: Place,
 }
 
-/// Reader of one mapping; [`SectionReader::finish`] reports the keys that nothing asked for.
+/// Reader of one mapping. [`SectionReader::finish`] reports the keys that were never read.
 #[derive(Debug)]
 pub(super) struct SectionReader<'a> {
     context: &'a mut ReadContext,
     name: String,
     place: Place,
-    entries: BTreeMap<String, TableEntry>,
-    asked: Vec<&'static str>,
+    /// Pairs that were not read yet, by key.
+    unread: BTreeMap<String, MappingPair>,
+    /// Keys that were read or looked up so far; listed in findings about unknown keys.
+    accepted_keys: Vec<&'static str>,
 }
 
 impl<'a> SectionReader<'a> {
-    /// Reader of `node`, called `name` in findings. Anything but a mapping reads as an empty one.
+    /// Creates a reader of `node`, called `name` in findings. A node that is not a mapping counts
+    /// as an empty one; unless it is null, that is an error.
     pub(super) fn new(context: &'a mut ReadContext, name: &str, node: &Node) -> Self {
         let place = context.place(node);
-        let entries = match &node.value {
-            NodeValue::Table(entries) => unique_entries(context, entries),
+        let unread = match &node.value {
+            NodeValue::Mapping(pairs) => unique_pairs(context, pairs),
             NodeValue::Null => BTreeMap::new(),
             NodeValue::Scalar(_) | NodeValue::List(_) => {
                 context.error(node, format!("{name} is no mapping"), "`key: value` lines");
@@ -74,58 +77,59 @@
             context,
             name: name.to_owned(),
             place,
-            entries,
-            asked: Vec::new(),
+            unread,
+            accepted_keys: Vec::new(),
         }
     }
 
-    /// Where the section starts.
+    /// Place in the file where the section starts.
     pub(super) fn place(&self) -> Place {
         self.place.clone()
     }
 
-    /// Collects an error at `place`.
+    /// Adds an error at `place`; `expected` says which values are accepted.
     pub(super) fn error(&mut self, place: Place, message: impl Into<String>, expected: &str) {
         self.context.findings.error(place, message, expected);
     }
 
-    /// Collects a warning at `place`.
+    /// Adds a warning at `place`; `expected` says which values are accepted.
     pub(super) fn warning(&mut self, place: Place, message: impl Into<String>, expected: &str) {
         self.context.findings.warning(place, message, expected);
     }
 
-    /// A required value that `FromStr` parses.
+    /// Reads a required value with `FromStr`; an absent key or a value that does not parse is an
+    /// error.
     pub(super) fn required<T>(
         &mut self,
         key: &'static str,
         expected: &str,
-    ) -> Option<PlacedValue<T>>
+    ) -> Option<LocatedValue<T>>
     where
         T: FromStr,
         T::Err: Display,
     {
         if !self.has(key) {
-            self.asked.push(key);
-            self.absent(key, expected);
+            self.accepted_keys.push(key);
+            self.report_absent(key, expected);
             return None;
         }
         self.optional(key, expected)
     }
 
-    /// An optional value that `FromStr` parses.
+    /// Reads an optional value with `FromStr`; a value that does not parse is an error.
     pub(super) fn optional<T>(
         &mut self,
         key: &'static str,
         expected: &str,
-    ) -> Option<PlacedValue<T>>
+    ) -> Option<LocatedValue<T>>
     where
         T: FromStr,
         T::Err: Display,
     {
-        let node = self.take(key)?;
+        let node = self.take_node(key)?;
         let text = self.scalar(key, &node, expected)?;
         match text.parse() {
-            Ok(value) => Some(self.placed(&node, value)),
+            Ok(value) => Some(self.located(&node, value)),
             Err(error) => {
                 self.context
                     .error(&node, format!("`{key}: {text}`: {error}"), expected);
@@ -134,8 +138,8 @@
         }
     }
 
-    /// A required, non-empty name.
-    pub(super) fn name<T>(&mut self, key: &'static str) -> Option<PlacedValue<T>>
+    /// Reads a required name and checks it against [`is_name`].
+    pub(super) fn name<T>(&mut self, key: &'static str) -> Option<LocatedValue<T>>
     where
         T: From<String>,
     {
@@ -146,13 +150,13 @@
             self.error(text.place, message, expected);
             return None;
         }
-        Some(PlacedValue {
+        Some(LocatedValue {
             value: T::from(text.value),
             place: text.place,
         })
     }
 
-    /// One of the words of `choices`, or `default`.
+    /// Reads one of the words of `choices`; `default` if the key is absent or the word unknown.
     pub(super) fn choice<T>(&mut self, key: &'static str, default: T, choices: &[(&str, T)]) -> T
     where
         T: Copy,
@@ -172,7 +176,7 @@
         }
     }
 
-    /// A whole number within `range`, or `default`.
+    /// Reads a whole number within `range`; `default` if it is absent or invalid.
     pub(super) fn count(
         &mut self,
         key: &'static str,
@@ -180,11 +184,11 @@
         range: RangeInclusive<u64>,
     ) -> u64 {
         let expected = format!("a whole number from {} to {}", range.start(), range.end());
-        self.ranged(key, default, &range, &expected, quantity::parse_whole)
+        self.within_range(key, default, &range, &expected, quantity::parse_whole)
     }
 
-    /// A bound within `range`, or `default`. Of a fraction the whole part counts, so that no more is
-    /// done than it allows.
+    /// Reads an upper limit within `range`; `default` if it is absent or invalid. Fractions are
+    /// rounded down, so that the effective limit never exceeds the written one.
     pub(super) fn upper_bound(
         &mut self,
         key: &'static str,
@@ -192,7 +196,7 @@
         range: RangeInclusive<u64>,
     ) -> u64 {
         let expected = format!("a number from {} to {}", range.start(), range.end());
-        self.ranged(
+        self.within_range(
             key,
             default,
             &range,
@@ -201,7 +205,7 @@
         )
     }
 
-    /// A size in bytes within `range`, or `default`.
+    /// Reads a size in bytes within `range`; `default` if it is absent or invalid.
     pub(super) fn size(
         &mut self,
         key: &'static str,
@@ -213,10 +217,10 @@
             range.start(),
             range.end()
         );
-        self.ranged(key, default, &range, &expected, quantity::parse_size)
+        self.within_range(key, default, &range, &expected, quantity::parse_size)
     }
 
-    /// A duration within `range`, or `default`.
+    /// Reads a duration within `range`; `default` if it is absent or invalid.
     pub(super) fn duration(
         &mut self,
         key: &'static str,
@@ -228,29 +232,29 @@
             range.start(),
             range.end()
         );
-        self.ranged(key, default, &range, &expected, quantity::parse_duration)
+        self.within_range(key, default, &range, &expected, quantity::parse_duration)
     }
 
-    /// A fraction from 0 to 1, or `default`.
+    /// Reads a fraction from 0 to 1; `default` if it is absent or invalid.
     pub(super) fn fraction(&mut self, key: &'static str, default: f64) -> f64 {
         let expected = "a number from 0 to 1";
-        self.ranged(key, default, &(0.0..=1.0), expected, |text| {
+        self.within_range(key, default, &(0.0..=1.0), expected, |text| {
             text.parse().ok()
         })
     }
 
-    /// A path; a relative one starts at the folder of the file.
-    pub(super) fn path(&mut self, key: &'static str) -> Option<PlacedValue<PathBuf>> {
+    /// Reads a path; a relative one is resolved against the folder of the file.
+    pub(super) fn path(&mut self, key: &'static str) -> Option<LocatedValue<PathBuf>> {
         let text = self.optional::<String>(key, "a path")?;
-        Some(PlacedValue {
+        Some(LocatedValue {
             value: self.context.folder.join(text.value),
             place: text.place,
         })
     }
 
-    /// Digests of tokens, one or a list of them.
-    pub(super) fn digests(&mut self, key: &'static str) -> Vec<PlacedValue<TokenDigest>> {
-        let Some(node) = self.take(key) else {
+    /// Reads one token digest or a list of them.
+    pub(super) fn digests(&mut self, key: &'static str) -> Vec<LocatedValue<TokenDigest>> {
+        let Some(node) = self.take_node(key) else {
             return Vec::new();
         };
         let nodes = match node.value {
@@ -263,8 +267,8 @@
                 continue;
             };
             match text.parse() {
-                Ok(digest) => digests.push(self.placed(&node, digest)),
-                // The text is left out of the message: it may be a token pasted by mistake.
+                Ok(digest) => digests.push(self.located(&node, digest)),
+                // The message omits the text: it may be a token pasted by mistake.
                 Err(_) => self.context.error(
                     &node,
                     format!("`{key}` holds something that is no SHA-256 digest"),
@@ -275,10 +279,10 @@
         digests
     }
 
-    /// A list of addresses.
+    /// Reads a list of socket addresses; an absent key gives an empty list.
     pub(super) fn addresses(&mut self, key: &'static str) -> Vec<SocketAddr> {
         let expected = "a list of IP addresses with ports";
-        let Some(node) = self.take(key) else {
+        let Some(node) = self.take_node(key) else {
             return Vec::new();
         };
         let NodeValue::List(nodes) = &node.value else {
@@ -302,15 +306,15 @@
         addresses
     }
 
-    /// The values of a free mapping, such as levels by package, in the order of their keys.
+    /// Reads a mapping with arbitrary keys, such as log levels by package, sorted by key.
     pub(super) fn pairs(
         &mut self,
         key: &'static str,
-    ) -> Vec<(PlacedValue<String>, PlacedValue<String>)> {
-        let Some(node) = self.take(key) else {
+    ) -> Vec<(LocatedValue<String>, LocatedValue<String>)> {
+        let Some(node) = self.take_node(key) else {
             return Vec::new();
         };
-        let NodeValue::Table(entries) = &node.value else {
+        let NodeValue::Mapping(pairs) = &node.value else {
             self.context.error(
                 &node,
                 format!("`{key}` is no mapping"),
@@ -318,16 +322,16 @@
             );
             return Vec::new();
         };
-        let entries = unique_entries(self.context, entries);
+        let unique = unique_pairs(self.context, pairs);
         let mut pairs = Vec::new();
-        for entry in entries.into_values() {
-            let Some(text) = self.scalar(key, &entry.node, "one word") else {
+        for pair in unique.into_values() {
+            let Some(text) = self.scalar(key, &pair.node, "one word") else {
                 continue;
             };
-            let value = self.placed(&entry.node, text.to_string());
-            let place = node::place(&self.context.file, entry.key.referenced);
-            let key = PlacedValue {
-                value: entry.key.value,
+            let value = self.located(&pair.node, text.to_string());
+            let place = node::place(&self.context.file, pair.key.referenced);
+            let key = LocatedValue {
+                value: pair.key.value,
                 place,
             };
             pairs.push((key, value));
@@ -335,12 +339,12 @@
         pairs
     }
 
-    /// Reads the mapping under `key` with `read`; an absent one reads as empty.
+    /// Reads the mapping under `key` with `read`; an absent key counts as an empty mapping.
     pub(super) fn section<T, F>(&mut self, key: &'static str, read: F) -> T
     where
         F: FnOnce(&mut SectionReader<'_>) -> T,
     {
-        let node = self.take(key).unwrap_or_else(empty_node);
+        let node = self.take_node(key).unwrap_or_else(empty_node);
         let mut section = SectionReader::new(self.context, key, &node);
         if node.referenced.line() == 0 {
             section.place = self.place.clone();
@@ -350,12 +354,12 @@
         value
     }
 
-    /// Reads every mapping of the list under `key` with `read`.
+    /// Reads every mapping of the list under `key` with `read`; an absent key gives an empty list.
     pub(super) fn list<T, F>(&mut self, key: &'static str, mut read: F) -> Vec<T>
     where
         F: FnMut(&mut SectionReader<'_>) -> Option<T>,
     {
-        let Some(node) = self.take(key) else {
+        let Some(node) = self.take_node(key) else {
             return Vec::new();
         };
         let NodeValue::List(nodes) = &node.value else {
@@ -374,24 +378,24 @@
         items
     }
 
-    /// Whether `key` is written.
+    /// Whether the section contains `key` and it was not read yet.
     pub(super) fn has(&self, key: &str) -> bool {
-        self.entries.contains_key(key)
+        self.unread.contains_key(key)
     }
 
-    /// Collects that `key` is absent from this section.
-    pub(super) fn absent(&mut self, key: &str, expected: &str) {
+    /// Adds an error at the start of the section: `key` is absent.
+    pub(super) fn report_absent(&mut self, key: &str, expected: &str) {
         let message = format!("`{key}` is absent from {}", self.name);
         self.error(self.place.clone(), message, expected);
     }
 
-    /// Reports every key that was never asked for, with those that are accepted.
+    /// Reports every key that was never read, with the keys that are accepted.
     pub(super) fn finish(mut self) {
-        self.asked.sort_unstable();
-        self.asked.dedup();
-        let expected = self.asked.join(", ");
-        for (key, entry) in std::mem::take(&mut self.entries) {
-            let place = node::place(&self.context.file, entry.key.referenced);
+        self.accepted_keys.sort_unstable();
+        self.accepted_keys.dedup();
+        let expected = self.accepted_keys.join(", ");
+        for (key, pair) in std::mem::take(&mut self.unread) {
+            let place = node::place(&self.context.file, pair.key.referenced);
             let message = format!("unknown key `{key}` in {}", self.name);
             self.context
                 .findings
@@ -399,7 +403,7 @@
         }
     }
 
-    fn ranged<T, F>(
+    fn within_range<T, F>(
         &mut self,
         key: &'static str,
         default: T,
@@ -424,9 +428,9 @@
         }
     }
 
-    fn take(&mut self, key: &'static str) -> Option<Node> {
-        self.asked.push(key);
-        self.entries.remove(key).map(|entry| entry.node)
+    fn take_node(&mut self, key: &'static str) -> Option<Node> {
+        self.accepted_keys.push(key);
+        self.unread.remove(key).map(|pair| pair.node)
     }
 
     fn scalar(&mut self, key: &str, node: &Node, expected: &str) -> Option<Arc<str>> {
@@ -438,8 +442,8 @@
         None
     }
 
-    fn placed<T>(&self, node: &Node, value: T) -> PlacedValue<T> {
-        PlacedValue {
+    fn located<T>(&self, node: &Node, value: T) -> LocatedValue<T> {
+        LocatedValue {
             value,
             place: self.context.place(node),
         }
@@ -454,28 +458,26 @@
     )
 }
 
-/// Names stand in certificates and evidence, so they are DNS labels, with `_` besides. Lower
-/// case only: DNS compares without case, so two names that differ in it would be one host.
+/// Whether `text` is a DNS label of lower-case letters, digits, `-` and `_`: names appear in
+/// certificates and evidence. DNS ignores case, so names that differ only in case would be one
+/// host.
 fn is_name(text: &str) -> bool {
     let plain = |letter: char| letter.is_ascii_lowercase() || letter.is_ascii_digit();
     let inner = |letter: char| plain(letter) || "-_".contains(letter);
     text.len() <= 63 && text.starts_with(plain) && text.ends_with(plain) && text.chars().all(inner)
 }
 
-/// The entries by key; a key that is written twice is an error, and its first value is kept.
-fn unique_entries(
-    context: &mut ReadContext,
-    entries: &[TableEntry],
-) -> BTreeMap<String, TableEntry> {
+/// Returns the pairs by key. A key that is written twice is an error, and its first value counts.
+fn unique_pairs(context: &mut ReadContext, pairs: &[MappingPair]) -> BTreeMap<String, MappingPair> {
     let mut unique = BTreeMap::new();
-    for entry in entries {
-        if unique.contains_key(&entry.key.value) {
-            let place = node::place(&context.file, entry.key.referenced);
-            let message = format!("key `{}` is written twice", entry.key.value);
+    for pair in pairs {
+        if unique.contains_key(&pair.key.value) {
+            let place = node::place(&context.file, pair.key.referenced);
+            let message = format!("key `{}` is written twice", pair.key.value);
             context.findings.error(place, message, "each key once");
             continue;
         }
-        unique.insert(entry.key.value.clone(), entry.clone());
+        unique.insert(pair.key.value.clone(), pair.clone());
     }
     unique
 }
--- a/crates/daemon/src/settings/relay.rs
+++ b/crates/daemon/src/settings/relay.rs
@@ -1,27 +1,28 @@
-//! Serving by published routes, in the dialect of a platform.
+//! Settings of the relay: serving by published routes with the interface of a platform.
 
 use std::time::Duration;
 
-use super::parties::YES_OR_NO;
+use super::parties::BOOLEAN_CHOICES;
 use super::reader::SectionReader;
 
-/// Settings of the relay.
+/// Switch, timeouts and retry budget of the relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// Whether callers, operators and backend servers speak the platform's dialect.
+    /// Whether callers, operators and backend servers use the interface of the platform.
     pub enabled: bool,
-    /// Time after the acknowledgement of a change by which it is in force: a host that may have missed
-    /// one for longer says of no route or key that it is unknown.
+    /// Time after the acknowledgement of a change within which it comes in force. A host that may
+    /// have missed changes for longer does not report any route or key as unknown.
     pub change_within: Duration,
-    /// Time after the acknowledgement of a change by which no key that it took away is served.
+    /// Time after the acknowledgement of a change after which keys that it revoked are no longer
+    /// served.
     pub revoke_within: Duration,
-    /// Retries that all hosts together may send, as a share of first sends.
+    /// Retries that all hosts together may send, as a fraction of first attempts.
     pub retry_ratio: f64,
-    /// Retries beside that share that all hosts together may send in `retry_window`.
+    /// Additional retries that all hosts together may send in `retry_window`.
     pub retry_slack: u64,
-    /// Window of the retry budget.
+    /// Time window of the retry budget.
     pub retry_window: Duration,
-    /// Time after which a silent stage of a pipeline makes its server break off.
+    /// Time without output of a stage of a pipeline after which its server aborts the request.
     pub stall: Duration,
 }
 
@@ -44,7 +45,7 @@
         let default = Self::default();
         let times = Duration::from_millis(100)..=Duration::from_secs(600);
         Self {
-            enabled: section.choice("enabled", default.enabled, &YES_OR_NO),
+            enabled: section.choice("enabled", default.enabled, &BOOLEAN_CHOICES),
             change_within: section.duration("change_within", default.change_within, times.clone()),
             revoke_within: section.duration("revoke_within", default.revoke_within, times.clone()),
             retry_ratio: section.fraction("retry_ratio", default.retry_ratio),
--- a/crates/daemon/src/settings/retries.rs
+++ b/crates/daemon/src/settings/retries.rs
@@ -1,19 +1,20 @@
-//! Retries of calls that may be repeated.
+//! Settings of the retries of idempotent calls.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of retries.
+/// Budget and back-off of retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetrySettings {
-    /// Most attempts at one request, the first included.
+    /// Maximum number of attempts for one request, the first included.
     pub max_attempts: u64,
-    /// Retries that each first attempt earns; the budget keeps a fault from multiplying the load.
+    /// Retries that each first attempt adds to the budget; the budget prevents retries from
+    /// multiplying the load during a failure.
     pub budget_ratio: f64,
-    /// Retries that are allowed each second, however few requests there are.
+    /// Retries that are allowed each second independently of the number of requests.
     pub budget_per_second: u64,
-    /// Wait before the first retry; it doubles with each further one.
+    /// Delay before the first retry; it doubles with each further retry.
     pub backoff: Duration,
 }
 
--- a/crates/daemon/src/settings/snapshots.rs
+++ b/crates/daemon/src/settings/snapshots.rs
@@ -1,20 +1,20 @@
-//! When a keeper takes a snapshot and drops the log before it.
+//! Settings of snapshots: when a keeper takes one and drops the log before it.
 
 use std::time::Duration;
 
 use super::reader::SectionReader;
 
-/// Settings of snapshots.
+/// Thresholds for snapshots.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotSettings {
-    /// Entries after which a snapshot is taken.
+    /// Number of log entries after which a snapshot is taken.
     pub every_entries: u64,
-    /// Bytes of log after which a snapshot is taken, however few entries they are.
+    /// Log size in bytes after which a snapshot is taken, independently of the number of entries.
     pub every_bytes: u64,
-    /// Work of applying the log after which a snapshot is taken: a start on the same host has to do
-    /// that work again before the keeper answers.
+    /// Total time for applying the log entries since the last snapshot after which a new one is
+    /// taken: a restart on the same host applies them again before the keeper answers.
     pub replay_within: Duration,
-    /// Snapshots that are kept, so that a damaged one has a predecessor.
+    /// Number of retained snapshots, so that an older one can replace a damaged one.
     pub keep: u64,
 }
 
--- a/crates/daemon/src/settings/tls.rs
+++ b/crates/daemon/src/settings/tls.rs
@@ -1,36 +1,38 @@
-//! Files of the keys, and whether plain text may leave the machine.
+//! Settings of TLS: key files, and whether plain text may leave the host.
 
 use std::path::PathBuf;
 
 use super::listen::ListenSettings;
-use super::reader::{PlacedValue, SectionReader};
+use super::reader::{LocatedValue, SectionReader};
 
-/// Whether an address off loopback may carry plain text.
+/// Whether plain text is allowed on addresses other than loopback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlainText {
-    /// Plain text on loopback only.
+    /// Plain text is allowed on loopback only.
     LoopbackOnly,
-    /// Plain text anywhere; said aloud at the start and in the status.
+    /// Plain text is allowed on all addresses; a warning in the log at the start and in the status
+    /// says so.
     Allowed,
 }
 
-/// Files of the host's own certificate.
+/// Files of the host's own certificate and of the authority.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// Certificate chain of the host, PEM.
+    /// PEM file with the certificate chain of the host.
     pub certificate: PathBuf,
-    /// Private key of the host, PEM.
+    /// PEM file with the private key of the host.
     pub key: PathBuf,
-    /// Certificates of the authority that signed the hosts' and operators' certificates, PEM.
+    /// PEM file with the certificates of the authority that signs the certificates of hosts and
+    /// operators.
     pub authority: PathBuf,
 }
 
-/// Settings of TLS.
+/// Key files and the rule for plain text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// Key files; without them every face speaks plain text.
+    /// Key files; `None` if all faces use plain text.
     pub files: Option<KeyFiles>,
-    /// Whether plain text may leave the machine.
+    /// Where plain text is allowed.
     pub plain_text: PlainText,
 }
 
@@ -42,9 +44,9 @@
             ("allowed", PlainText::Allowed),
         ];
         let plain_text = section.choice("plain_text", PlainText::LoopbackOnly, &choices);
-        let any = paths.iter().any(|(_, path)| path.is_some());
+        let has_any = paths.iter().any(|(_, path)| path.is_some());
         for (key, path) in &paths {
-            report_file(section, key, path.as_ref(), any);
+            report_file(section, key, path.as_ref(), has_any);
         }
         let [certificate, key, authority] = paths.map(|(_, path)| path.map(|path| path.value));
         let files = match (certificate, key, authority) {
@@ -58,7 +60,8 @@
         Self { files, plain_text }
     }
 
-    /// Reports plain text that would leave the machine: an error unless it is allowed.
+    /// Reports faces that would send credentials in plain text off the host: a warning if plain
+    /// text is allowed, otherwise an error.
     pub(super) fn report_plain_text(
         &self,
         section: &mut SectionReader<'_>,
@@ -89,8 +92,8 @@
 fn report_file(
     section: &mut SectionReader<'_>,
     key: &'static str,
-    path: Option<&PlacedValue<PathBuf>>,
-    any: bool,
+    path: Option<&LocatedValue<PathBuf>>,
+    has_any: bool,
 ) {
     match path {
         Some(path) if !path.value.is_file() => {
@@ -98,7 +101,9 @@
             section.error(path.place.clone(), message, "a PEM file that exists");
         }
         Some(_) => {}
-        None if any => section.absent(key, "all of certificate, key and authority, or none"),
+        None if has_any => {
+            section.report_absent(key, "all of certificate, key and authority, or none")
+        }
         None => {}
     }
 }
--- a/crates/daemon/tests/settings_findings.rs
+++ b/crates/daemon/tests/settings_findings.rs
@@ -1,4 +1,4 @@
-//! Contract of the settings: what is accepted, and every finding with its place.
+//! Tests of the settings: accepted values, and findings with their places.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,8 +15,8 @@
     }
 }
 
-/// Smallest settings of one host, followed by `more`.
-fn smallest_with(more: &str) -> String {
+/// Minimal settings of one host, followed by `more`.
+fn minimal_with(more: &str) -> String {
     format!(
         "host: brest-1
 data_centre: brest
@@ -31,11 +31,12 @@
     )
 }
 
+// Guards against a changed default and against a new required setting.
 #[test]
-fn smallest_settings_are_accepted_with_every_default() {
-    assert_eq!(findings_of(&smallest_with("")), "accepted\n");
+fn minimal_settings_are_accepted_with_all_defaults() {
+    assert_eq!(findings_of(&minimal_with("")), "accepted\n");
     let file: Arc<str> = "host.yaml".into();
-    let text = smallest_with("");
+    let text = minimal_with("");
     let settings = DaemonSettings::parse(&file, PathBuf::new(), &text)
         .unwrap()
         .settings;
@@ -70,8 +71,9 @@
     ");
 }
 
+// Guards against a check that stops at the first error, or that reports an error at a wrong place.
 #[test]
-fn all_findings_of_a_file_come_together_with_their_places() {
+fn all_findings_of_a_file_are_reported_together_with_their_places() {
     let text = format!(
         "host: brest-1
 data_center: brest
@@ -116,10 +118,10 @@
     host.yaml:7:13: error: `platform` overlaps with `backend_servers` (accepted: another port)
     host.yaml:11:74: error: `keeper: yes` is not one of the choices (accepted: true, false)
     host.yaml:12:50: error: `address: localhost:7070`: invalid socket address syntax (accepted: an IP address with a port)
-    host.yaml:12:12: error: peer brest-2 stands twice (accepted: each name once)
+    host.yaml:12:12: error: peer brest-2 is listed twice (accepted: each name once)
     host.yaml:14:11: error: `name: façades du ponant` is no name (accepted: a name of 1 to 63 letters a to z, digits and, within it, `-` or `_`)
     host.yaml:17:86: error: `token_sha256` holds something that is no SHA-256 digest (accepted: 64 hexadecimal digits, the SHA-256 digest of the token)
-    host.yaml:18:11: error: customer ponant stands twice (accepted: each name once)
+    host.yaml:18:11: error: customer ponant is listed twice (accepted: each name once)
     host.yaml:18:5: error: `token_sha256` is absent from customers (accepted: 64 hexadecimal digits, the SHA-256 digest of the token)
     host.yaml:20:24: error: `role: chief` is not one of the choices (accepted: viewer, editor)
     host.yaml:20:45: error: operator mael has the token of customer ponant (accepted: a token of its own)
@@ -128,7 +130,7 @@
     host.yaml:23:16: error: `certificate`: /nonexistent/absent.pem is no file (accepted: a PEM file that exists)
     host.yaml:23:3: error: `key` is absent from tls (accepted: all of certificate, key and authority, or none)
     host.yaml:23:3: error: `authority` is absent from tls (accepted: all of certificate, key and authority, or none)
-    host.yaml:24:12: error: `election_timeout` is shorter than three heartbeats, so one late heartbeat deposes the leader (accepted: an `election_timeout` of at least three times `heartbeat`)
+    host.yaml:24:12: error: `election_timeout` is shorter than three heartbeats, so one late heartbeat starts an election (accepted: an `election_timeout` of at least three times `heartbeat`)
     host.yaml:33:22: error: key `timeout` is written twice (accepted: each key once)
     host.yaml:28:21: error: `max_header_count: many` is out of range or unreadable (accepted: a whole number from 8 to 1000)
     host.yaml:26:19: error: `max_body_bytes: 1KB` is out of range or unreadable (accepted: bytes such as 512, 64KiB or 8MiB, from 1024 to 1073741824 bytes)
@@ -143,12 +145,12 @@
     ");
 }
 
+// Guards against a panic or an endless read of a file that contains no settings, such as truncated
+// YAML, deep nesting or exponential aliases. Each gives a finding at the place of the error.
 #[test]
-fn faults_of_a_whole_file_have_a_place_too() {
-    // What the operator sees: one finding at the place of the fault, never a panic or an endless
-    // read, for files that are no settings at all.
+fn malformed_files_give_a_finding_with_a_place() {
     let deep = format!("host: {}{}", "[".repeat(64), "]".repeat(64));
-    let bomb = "a: &a [x, x]\nb: &b [*a, *a]\nhost: [*b, *b]\n";
+    let alias_bomb = "a: &a [x, x]\nb: &b [*a, *a]\nhost: [*b, *b]\n";
     let table = [
         ("empty", ""),
         ("a list", "- host"),
@@ -157,7 +159,7 @@
         ("tab", "host:\n\tname: x"),
         ("two documents", "host: a\n---\nhost: b\n"),
         ("deep", &deep),
-        ("aliases", bomb),
+        ("aliases", alias_bomb),
         ("key that is a list", "[host]: brest-1"),
     ];
     let lines: Vec<_> = table
@@ -181,9 +183,10 @@
     ");
 }
 
+// Guards against credentials in plain text on the network without the knowledge of the operator.
 #[test]
-fn plain_text_leaves_the_machine_only_when_allowed_and_then_with_a_warning() {
-    let open = smallest_with("").replace("callers: 127.0.0.1:8080", "callers: 10.0.0.1:8080");
+fn plain_text_off_loopback_is_an_error_or_if_allowed_a_warning() {
+    let open = minimal_with("").replace("callers: 127.0.0.1:8080", "callers: 10.0.0.1:8080");
     let table = [
         open.clone(),
         format!("{open}tls: {{plain_text: allowed}}\n"),
@@ -196,36 +199,40 @@
     ");
 }
 
+// Guards against keepers that tolerate fewer failures than their number suggests: no keeper, an
+// even number, or a majority in one data centre.
 #[test]
-fn keepers_that_survive_less_than_they_seem_to_are_warned_about() {
-    let alone = smallest_with("").replace("keeper: true", "keeper: false");
-    let even = smallest_with("").replace(
+fn keeper_sets_with_low_fault_tolerance_are_reported() {
+    let none = minimal_with("").replace("keeper: true", "keeper: false");
+    let even = minimal_with("").replace(
         "address: 127.0.0.1:7070}",
         "address: 127.0.0.1:7070, keeper: true}",
     );
-    let together = smallest_with("").replace("data_centre: quimper", "data_centre: brest");
-    let table = [alone, even, together];
+    let concentrated = minimal_with("").replace("data_centre: quimper", "data_centre: brest");
+    let table = [none, even, concentrated];
     insta::assert_snapshot!(table.map(|text| findings_of(&text)).join("\n"), @"
     host.yaml:1:1: error: no peer is a keeper, so no configuration can be accepted (accepted: `keeper: true` on three or five peers with a data folder)
 
-    host.yaml:8:12: warning: 4 keepers survive no more losses than one fewer (accepted: an odd number of keepers)
+    host.yaml:8:12: warning: 4 keepers tolerate no more failures than one keeper fewer (accepted: an odd number of keepers)
     host.yaml:5:12: error: this host is a keeper without a `data_folder` (accepted: `data_folder`, or `keeper: false`)
 
     accepted
-    host.yaml:6:12: warning: data centre brest holds most keepers: its loss stops every change (accepted: keepers spread over data centres)
+    host.yaml:6:12: warning: data centre brest contains most keepers: without it no change can be committed (accepted: keepers spread over data centres)
     ");
 }
 
+// Guards against a check that succeeds despite errors, and against a token in its output: an
+// operator may paste a token where its digest belongs.
 #[test]
 fn check_exits_with_two_and_never_prints_a_token() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("host.yaml");
-    let text = smallest_with("customers:\n  - {name: ponant, token_sha256: secret-token}\n");
+    let text = minimal_with("customers:\n  - {name: ponant, token_sha256: secret-token}\n");
     std::fs::write(&path, text).unwrap();
     let report = check(&path);
     assert_eq!(report.exit_code(), 2);
     assert!(!report.findings.to_string().contains("secret-token"));
     assert_eq!(check(Path::new("/nonexistent/host.yaml")).exit_code(), 2);
-    std::fs::write(&path, smallest_with("")).unwrap();
+    std::fs::write(&path, minimal_with("")).unwrap();
     assert_eq!(check(&path).exit_code(), 0);
 }
--- a/crates/daemon/tests/settings_page.rs
+++ b/crates/daemon/tests/settings_page.rs
@@ -1,5 +1,6 @@
-//! The operators' page on settings lists what is accepted, and its example is accepted.
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+//! The settings page of the operators' documentation lists every accepted option, and its example
+//! is accepted.
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -18,7 +19,7 @@
     }
 }
 
-/// Options of the page, by section.
+/// Options that the page lists, by section.
 fn page_options() -> BTreeMap<String, Vec<String>> {
     let mut sections: BTreeMap<_, Vec<_>> = BTreeMap::new();
     let mut section = String::new();
@@ -34,7 +35,7 @@
     sections
 }
 
-/// Options that the code accepts in `section`, as the finding about an unknown key lists them.
+/// Options that the code accepts in `section`, taken from the finding about an unknown key.
 fn accepted_options(section: &str) -> Vec<String> {
     let text = match section {
         "the settings" => "unknown: 1".to_owned(),
@@ -42,12 +43,13 @@
         other => format!("{other}: {{unknown: 1}}"),
     };
     let findings = findings_of(&text);
-    let about = format!("unknown key `unknown` in {section} (accepted: ");
-    let list = findings.split(&about).nth(1).unwrap();
+    let prefix = format!("unknown key `unknown` in {section} (accepted: ");
+    let list = findings.split(&prefix).nth(1).unwrap();
     let list = list.split(')').next().unwrap();
     list.split(", ").map(str::to_owned).collect()
 }
 
+// Guards against an option that is missing from the page, or listed there but not accepted.
 #[test]
 fn the_page_lists_the_options_of_every_section() {
     let sections = page_options();
@@ -57,12 +59,14 @@
     }
 }
 
+// Guards against an example that the daemon refuses. The example turns off the authentication of
+// backend servers, which gives a warning, and its data folder does not exist here.
 #[test]
-fn the_example_of_the_page_has_no_finding_but_those_that_it_asks_for() {
+fn the_example_of_the_page_has_only_the_expected_findings() {
     let example = PAGE.split("```yaml\n").nth(1).unwrap();
     let example = example.split("```").next().unwrap();
     insta::assert_snapshot!(findings_of(example), @"
-    host.yaml:18:18: warning: backend servers need not prove who they are: whoever reaches the address can take requests (accepted: `proof: required` with `token_sha256`)
+    host.yaml:18:18: warning: backend servers are not authenticated: any client that reaches the address can receive requests (accepted: `proof: required` with `token_sha256`)
     host.yaml:9:14: error: `data_folder`: /nonexistent/data is no folder (accepted: a folder that exists)
     ");
 }
