--- a/crates/daemon/src/access.rs
+++ b/crates/daemon/src/access.rs
@@ -1,8 +1,8 @@
-//! Who may come in: tokens, certificates, TLS on every face, and keys that change while running.
+//! Authentication: tokens, certificates, TLS on all faces, and reload of keys without a restart.
 //!
-//! Callers prove a customer by token. Operators prove a name by token or certificate. Hosts prove
-//! themselves to each other by certificates of one authority, each bound to the name that the
-//! settings give the host. No secret is kept: of tokens only digests are known.
+//! A face is an interface of the daemon for one kind of client. Callers authenticate as a customer
+//! by token, operators by token or certificate. Hosts authenticate to each other by certificates of
+//! one authority, each bound to the host name in the settings. Only digests of tokens are stored.
 
 mod acceptor;
 mod control;
--- a/crates/daemon/src/access/acceptor.rs
+++ b/crates/daemon/src/access/acceptor.rs
@@ -1,4 +1,4 @@
-//! Handshakes of the HTTP faces.
+//! Accepts connections on the HTTP faces.
 
 use std::io;
 use std::sync::Arc;
@@ -9,7 +9,8 @@
 
 use super::control::{AccessControl, FaceKind};
 
-/// Accepts connections on one face; the certificate, if one was shown, goes into each request.
+/// Accepts connections on one face and adds the client certificate, if there is one, to the
+/// extensions of each request.
 #[derive(Debug)]
 pub struct FaceAcceptor {
     control: Arc<AccessControl>,
@@ -17,7 +18,7 @@
 }
 
 impl FaceAcceptor {
-    /// An acceptor for `face`.
+    /// Creates an acceptor for `face`.
     pub fn new(control: Arc<AccessControl>, face: FaceKind) -> Self {
         Self { control, face }
     }
@@ -34,7 +35,8 @@
                 .map_err(io::Error::other)?;
             let mut extensions = Extensions::new();
             if let Some(count) = control.count_connection(face) {
-                // Every request of the connection holds the count; the last one to go ends it.
+                // All requests of the connection share the guard; dropping the last one decrements
+                // the count.
                 extensions.insert(Arc::new(count));
             }
             if let Some(certificate) = stream.certificate() {
--- a/crates/daemon/src/access/control.rs
+++ b/crates/daemon/src/access/control.rs
@@ -1,4 +1,4 @@
-//! Access control of one daemon: what is in force now, and how it changes while running.
+//! Access control of one daemon: current credentials and keys, and their reload.
 
 use std::path::Path;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -18,97 +18,98 @@
 use crate::settings::{DaemonSettings, KeyFiles, OperatorSettings};
 use crate::telemetry::{MetricRegistry, RefusedConnection};
 
-/// Kind of a listening face, which decides what the other side must prove in the handshake.
+/// Kind of a listening face; determines which client certificate the handshake requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaceKind {
-    /// Callers and backend servers: the host proves itself, the other side shows a token later.
+    /// Callers and backend servers: no client certificate; clients send a token in each request.
     Callers,
-    /// Operators, alone or on one address with callers: a certificate is asked for, not required.
+    /// Operators, alone or on one address with callers: a client certificate is optional.
     Operators,
-    /// Peers: a certificate of the authority is required.
+    /// Peers: a client certificate of the authority is required.
     Peers,
 }
 
-/// State for the dump and the status; no secrets.
+/// State for the dump and the status; contains no secrets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct AccessStatus {
-    /// Whether the faces speak TLS.
+    /// Whether the faces use TLS.
     pub tls: bool,
-    /// How often keys and tokens were taken into force, the start included.
+    /// Number of successful loads of keys and tokens, the start included.
     pub generation: u64,
-    /// Why the last change was not taken; empty if it was.
+    /// Error of the last reload; empty if it succeeded.
     pub refused: String,
 }
 
-/// Everything that is in force together.
+/// Credentials and keys of one generation.
 #[derive(Debug)]
 struct AccessState {
     credentials: CredentialTable,
     certified_operators: Vec<OperatorSettings>,
     keys: Option<KeyMaterial>,
     files: Option<KeyFiles>,
-    /// Change times of the key files as they were read.
-    stamps: Vec<Option<SystemTime>>,
+    /// Modification times of the key files before they were read.
+    modified: Vec<Option<SystemTime>>,
     generation: u64,
 }
 
-/// Access control of one daemon. Each connection takes what is in force at its start.
+/// Access control of one daemon. A connection uses the credentials and keys that are current at its
+/// start.
 #[derive(Debug)]
 pub struct AccessControl {
     state: RwLock<Arc<AccessState>>,
-    refused: RwLock<String>,
-    handshake_limit: Duration,
+    reload_error: RwLock<String>,
+    handshake_timeout: Duration,
     metrics: Option<Arc<MetricRegistry>>,
 }
 
 impl AccessControl {
-    /// Access as `settings` say.
+    /// Loads the credentials and keys of `settings`.
     ///
     /// # Errors
     ///
-    /// If the key files can't be used.
+    /// If a key file is unusable.
     pub fn new(settings: &DaemonSettings) -> Result<Self, AccessError> {
         let state = AccessState::load(settings, 1)?;
         Ok(Self {
             state: RwLock::new(Arc::new(state)),
-            refused: RwLock::default(),
-            handshake_limit: settings.entry.head_timeout,
+            reload_error: RwLock::default(),
+            handshake_timeout: settings.entry.head_timeout,
             metrics: None,
         })
     }
 
-    /// Counts connections and refusals in `metrics`.
+    /// Sets the registry that counts connections and refusals.
     #[must_use]
     pub fn with_metrics(mut self, metrics: Arc<MetricRegistry>) -> Self {
         self.metrics = Some(metrics);
         self
     }
 
-    /// Takes customers, operators, backend tokens and keys of `settings` into force, all or none;
-    /// called on SIGHUP.
+    /// Replaces customers, operators, tokens of backend servers and keys by those of `settings`,
+    /// all together or none; called on SIGHUP.
     ///
     /// # Errors
     ///
-    /// If the key files can't be used; what was in force stays.
+    /// If a key file is unusable; the former state stays current.
     pub fn reload(&self, settings: &DaemonSettings) -> Result<(), AccessError> {
         let generation = self.state().generation + 1;
-        self.take(AccessState::load(settings, generation))
+        self.apply(AccessState::load(settings, generation))
     }
 
-    /// Reads the key files again if any of them changed; called on a slow tick. Returns whether
-    /// new keys are in force.
+    /// Reads the key files again if any of them changed; called on a slow tick. Returns whether new
+    /// keys were loaded.
     ///
     /// # Errors
     ///
-    /// If the files can't be used, such as a certificate whose key has not arrived yet; what was
-    /// in force stays, and the next tick tries again.
+    /// If a file is unusable, such as a certificate whose key has not been replaced yet; the former
+    /// keys stay current, and the next tick tries again.
     pub fn refresh_keys(&self) -> Result<bool, AccessError> {
         let state = self.state();
         let Some(files) = &state.files else {
             return Ok(false);
         };
-        let stamps = stamps(files);
-        if stamps == state.stamps {
+        let modified = modification_times(files);
+        if modified == state.modified {
             return Ok(false);
         }
         let refreshed = KeyMaterial::load(files).map(|keys| AccessState {
@@ -116,21 +117,23 @@
             certified_operators: state.certified_operators.clone(),
             keys: Some(keys),
             files: Some(files.clone()),
-            stamps,
+            modified,
             generation: state.generation + 1,
         });
-        self.take(refreshed).map(|()| true)
+        self.apply(refreshed).map(|()| true)
     }
 
-    /// The customer who bears the token of `headers`.
+    /// Finds the customer that the token in `headers` belongs to, and counts a refusal if there is
+    /// none.
     pub fn customer(&self, headers: &HeaderMap) -> Option<CustomerName> {
         let customer = self.state().credentials.customer(headers).cloned();
         self.count_token(FaceKind::Callers, customer.is_some());
         customer
     }
 
-    /// The operator who bears the token of `headers`, or whom the connection's `certificate`
-    /// proves. A wrong token is refused, whatever the certificate says.
+    /// Finds the operator that the token in `headers` belongs to, or without an `Authorization`
+    /// header the operator of the client `certificate`. A wrong token is refused regardless of the
+    /// certificate. Counts a refusal if there is no such operator.
     pub fn operator(
         &self,
         headers: &HeaderMap,
@@ -141,7 +144,7 @@
         operator
     }
 
-    /// Whether an announcement with `headers` may be taken.
+    /// Whether an announcement with `headers` is accepted; counts a refusal if not.
     pub fn admits_backend_server(&self, headers: &HeaderMap) -> bool {
         let admitted = self.state().credentials.admits_backend_server(headers);
         if !admitted {
@@ -150,11 +153,12 @@
         admitted
     }
 
-    /// Does the handshake of a connection that came in on `face`.
+    /// Performs the TLS handshake of an incoming connection on `face`; without keys the connection
+    /// stays plain text.
     ///
     /// # Errors
     ///
-    /// If the other side does not prove what the face requires, or takes too long.
+    /// If the handshake fails, such as for lack of a required certificate, or times out.
     pub async fn accept(
         &self,
         face: FaceKind,
@@ -165,15 +169,15 @@
             return Ok(FaceStream::Plain(stream));
         };
         let acceptor = TlsAcceptor::from(keys.server(face));
-        let handshake = timeout(self.handshake_limit, acceptor.accept(stream));
-        let stream = self.finished(handshake.await);
+        let handshake = timeout(self.handshake_timeout, acceptor.accept(stream));
+        let stream = self.handshake_result(handshake.await);
         if stream.is_err() {
             self.count_refusal(face.name(), "handshake");
         }
         Ok(FaceStream::Tls(Box::new(TlsStream::Server(stream?))))
     }
 
-    /// Counts a connection on `face` for as long as the guard lives.
+    /// Counts an open connection on `face` until the guard is dropped; `None` without metrics.
     pub fn count_connection(&self, face: FaceKind) -> Option<ConnectionCount> {
         let metrics = self.metrics.clone()?;
         metrics.connection_opened(face.name());
@@ -192,11 +196,13 @@
         }
     }
 
-    /// Does the handshake of a connection to `host`, whose certificate must bear its name.
+    /// Performs the TLS handshake of a connection to `host`, whose certificate must contain its
+    /// name; without keys the connection stays plain text.
     ///
     /// # Errors
     ///
-    /// If the other side is not `host`, does not accept this host, or takes too long.
+    /// If the certificate is not that of `host`, the other side refuses this host, or the handshake
+    /// times out.
     pub async fn connect(
         &self,
         host: &HostName,
@@ -209,37 +215,41 @@
         let name = server_name(host.as_str(), HOST_DOMAIN)
             .ok_or_else(|| AccessError::HostName { host: host.clone() })?;
         let connector = TlsConnector::from(keys.client());
-        let handshake = timeout(self.handshake_limit, connector.connect(name, stream));
-        let stream = self.finished(handshake.await)?;
+        let handshake = timeout(self.handshake_timeout, connector.connect(name, stream));
+        let stream = self.handshake_result(handshake.await)?;
         Ok(FaceStream::Tls(Box::new(TlsStream::Client(stream))))
     }
 
-    /// Checks that a peer's connection is that of `host`, the name that it gives itself. Without
-    /// keys every name passes: the settings allow that on loopback only, or say it aloud.
+    /// Checks that the certificate of a peer's connection belongs to `host`, the name that the peer
+    /// reports. Without keys all names are accepted: the settings allow plain text on loopback
+    /// only, or elsewhere with a warning.
     ///
     /// # Errors
     ///
-    /// [`AccessError::ForeignHost`] if the certificate bears another name or there is none.
+    /// [`AccessError::ForeignHost`] if the certificate contains another name or there is none.
     pub fn check_peer(&self, stream: &FaceStream, host: &HostName) -> Result<(), AccessError> {
         if self.state().keys.is_none() {
             return Ok(());
         }
-        let proved = |certificate: CertificateIdentity| certificate.proves_host(host);
-        if stream.certificate().is_some_and(proved) {
+        let is_host = |certificate: CertificateIdentity| certificate.proves_host(host);
+        if stream.certificate().is_some_and(is_host) {
             return Ok(());
         }
         self.count_refusal(FaceKind::Peers.name(), "foreign-host");
         Err(AccessError::ForeignHost { host: host.clone() })
     }
 
-    /// State for the dump and the status.
+    /// Returns the state for the dump and the status.
     pub fn status(&self) -> AccessStatus {
         let state = self.state();
-        let refused = self.refused.read().unwrap_or_else(PoisonError::into_inner);
+        let error = self
+            .reload_error
+            .read()
+            .unwrap_or_else(PoisonError::into_inner);
         AccessStatus {
             tls: state.keys.is_some(),
             generation: state.generation,
-            refused: refused.clone(),
+            refused: error.clone(),
         }
     }
 
@@ -248,23 +258,27 @@
         Arc::clone(&state)
     }
 
-    fn take(&self, loaded: Result<AccessState, AccessError>) -> Result<(), AccessError> {
-        let mut refused = self.refused.write().unwrap_or_else(PoisonError::into_inner);
+    /// Makes a loaded state current, or records the error and keeps the current state.
+    fn apply(&self, loaded: Result<AccessState, AccessError>) -> Result<(), AccessError> {
+        let mut reload_error = self
+            .reload_error
+            .write()
+            .unwrap_or_else(PoisonError::into_inner);
         match loaded {
             Ok(new) => {
-                refused.clear();
+                reload_error.clear();
                 let mut state = self.state.write().unwrap_or_else(PoisonError::into_inner);
                 *state = Arc::new(new);
                 Ok(())
             }
             Err(error) => {
-                *refused = error.to_string();
+                *reload_error = error.to_string();
                 Err(error)
             }
         }
     }
 
-    fn finished<T>(
+    fn handshake_result<T>(
         &self,
         handshake: Result<std::io::Result<T>, tokio::time::error::Elapsed>,
     ) -> Result<T, AccessError> {
@@ -272,7 +286,7 @@
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => Err(AccessError::Handshake { error }),
             Err(_) => Err(AccessError::HandshakeTimeout {
-                limit: self.handshake_limit,
+                limit: self.handshake_timeout,
             }),
         }
     }
@@ -289,7 +303,7 @@
     }
 }
 
-/// One open connection, counted until this is dropped.
+/// Guard of one counted connection; dropping it decrements the count.
 #[derive(Debug)]
 pub struct ConnectionCount {
     metrics: Arc<MetricRegistry>,
@@ -319,8 +333,8 @@
 
     fn load(settings: &DaemonSettings, generation: u64) -> Result<Self, AccessError> {
         let files = settings.tls.files.as_ref();
-        // Taken before the files are read: a change in between is read again, not missed.
-        let stamps = files.map(stamps).unwrap_or_default();
+        // Read before the files, so that a change in between causes another load and is not missed.
+        let modified = files.map(modification_times).unwrap_or_default();
         let certified = settings
             .operators
             .iter()
@@ -330,13 +344,14 @@
             certified_operators: certified.cloned().collect(),
             keys: files.map(KeyMaterial::load).transpose()?,
             files: files.cloned(),
-            stamps,
+            modified,
             generation,
         })
     }
 }
 
-fn stamps(files: &KeyFiles) -> Vec<Option<SystemTime>> {
+/// Modification times of the certificate, key and authority; `None` for a file that is unreadable.
+fn modification_times(files: &KeyFiles) -> Vec<Option<SystemTime>> {
     let modified = |path: &Path| {
         std::fs::metadata(path)
             .and_then(|data| data.modified())
--- a/crates/daemon/src/access/credentials.rs
+++ b/crates/daemon/src/access/credentials.rs
@@ -1,4 +1,4 @@
-//! Tokens: who bears one is found by its digest, in time that does not depend on the digest.
+//! Table of tokens. A token is looked up by its digest, in time that does not depend on the digest.
 
 use std::collections::HashMap;
 use std::hash::{Hash, Hasher};
@@ -11,15 +11,17 @@
 use super::identity::OperatorIdentity;
 use crate::settings::{BackendProof, DaemonSettings, TokenDigest};
 
+/// Authentication scheme of the `Authorization` header, in lower case, with the space after it.
 const SCHEME: &str = "bearer ";
 
-/// Longest token that is looked at, in bytes: hashing a longer one would be work for a stranger.
+/// Maximum length of a token in bytes. Longer ones are not hashed, so that untrusted clients can't
+/// cause that work.
 const MAX_TOKEN_BYTES: usize = 1_024;
 
-/// A digest as the key of a table.
+/// A digest as the key of a hash table.
 ///
-/// The table's own hash is keyed by a secret of this process and equality takes constant time, so
-/// the time of a look-up tells a stranger nothing about the digests in it.
+/// The hash is keyed by a random value of this process and digests are compared in constant time,
+/// so the time of a look-up reveals nothing about the stored digests.
 #[derive(Clone, Copy, Debug)]
 struct DigestKey(TokenDigest);
 
@@ -40,7 +42,7 @@
     }
 }
 
-/// Tokens of customers, operators and backend servers.
+/// Token digests of customers, operators and backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct CredentialTable {
     customers: HashMap<DigestKey, CustomerName>,
@@ -50,7 +52,7 @@
 }
 
 impl CredentialTable {
-    /// The tokens of `settings`.
+    /// Builds the table from the token digests in `settings`.
     pub fn new(settings: &DaemonSettings) -> Self {
         let mut table = Self {
             backend_proof_required: settings.backend_servers.proof == BackendProof::Required,
@@ -74,38 +76,39 @@
         table
     }
 
-    /// The customer who bears the token of `headers`.
+    /// Returns the customer that the token in `headers` belongs to.
     pub fn customer(&self, headers: &HeaderMap) -> Option<&CustomerName> {
-        self.customers.get(&presented(headers)?)
+        self.customers.get(&digest_key(headers)?)
     }
 
-    /// The operator who bears the token of `headers`.
+    /// Returns the operator that the token in `headers` belongs to.
     pub fn operator(&self, headers: &HeaderMap) -> Option<&OperatorIdentity> {
-        self.operators.get(&presented(headers)?)
+        self.operators.get(&digest_key(headers)?)
     }
 
-    /// Whether an announcement with `headers` may be taken.
+    /// Whether `headers` contain a token of the backend servers, or none is required.
     pub fn admits_backend_server(&self, headers: &HeaderMap) -> bool {
         if !self.backend_proof_required {
             return true;
         }
-        presented(headers).is_some_and(|key| self.backend_servers.contains_key(&key))
+        digest_key(headers).is_some_and(|key| self.backend_servers.contains_key(&key))
     }
 }
 
-/// The token of an `Authorization: Bearer` header; `None` if there is none, or more than one.
+/// Returns the token of the `Authorization: Bearer` header; `None` if there is no such header, more
+/// than one, or the token is empty or too long.
 pub fn bearer_token(headers: &HeaderMap) -> Option<&[u8]> {
     let mut values = headers.get_all(AUTHORIZATION).iter();
     let value = values.next()?.as_bytes();
-    // Two headers could name two parties to two readers.
+    // With two headers, two components could identify two different parties.
     if values.next().is_some() {
         return None;
     }
     let (scheme, token) = value.split_at_checked(SCHEME.len())?;
-    let plausible = !token.is_empty() && token.len() <= MAX_TOKEN_BYTES;
-    (scheme.eq_ignore_ascii_case(SCHEME.as_bytes()) && plausible).then_some(token)
+    let has_valid_length = !token.is_empty() && token.len() <= MAX_TOKEN_BYTES;
+    (scheme.eq_ignore_ascii_case(SCHEME.as_bytes()) && has_valid_length).then_some(token)
 }
 
-fn presented(headers: &HeaderMap) -> Option<DigestKey> {
+fn digest_key(headers: &HeaderMap) -> Option<DigestKey> {
     bearer_token(headers).map(|token| DigestKey(TokenDigest::of(token)))
 }
--- a/crates/daemon/src/access/identity.rs
+++ b/crates/daemon/src/access/identity.rs
@@ -1,4 +1,4 @@
-//! Names that a certificate proves.
+//! Identities of hosts and operators in certificates.
 
 use pollendrift_coordination::base::{HostName, OperatorName};
 use rustls::client::verify_server_name;
@@ -7,26 +7,27 @@
 
 use crate::settings::{OperatorRole, OperatorSettings};
 
-/// Domain of host certificates: host `brest-1` proves `brest-1.hosts.pollendrift`.
+/// Domain of host certificates: the certificate of host `brest-1` contains the DNS name
+/// `brest-1.hosts.pollendrift`.
 ///
-/// Hosts and operators have domains of their own. Without them, an operator who is named like a
-/// host could join the agreement group.
+/// Hosts and operators have separate domains. Otherwise an operator with the name of a host could
+/// join the agreement group.
 pub const HOST_DOMAIN: &str = "hosts.pollendrift";
 
-/// Domain of operator certificates.
+/// Domain of operator certificates; see [`HOST_DOMAIN`].
 pub const OPERATOR_DOMAIN: &str = "operators.pollendrift";
 
-/// An operator who proved the name.
+/// An authenticated operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorIdentity {
-    /// The name, which goes into the evidence.
+    /// Name of the operator, recorded in the evidence.
     pub name: OperatorName,
-    /// What the operator may do.
+    /// Permissions of the operator.
     pub role: OperatorRole,
 }
 
 impl OperatorIdentity {
-    /// The identity that `settings` describe.
+    /// Returns the identity of the operator in `settings`.
     pub fn of(settings: &OperatorSettings) -> Self {
         Self {
             name: settings.name.clone(),
@@ -35,14 +36,14 @@
     }
 }
 
-/// Certificate of the other side, whose chain and dates TLS has verified.
+/// Certificate of the other side. TLS has verified its chain and validity period.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateIdentity {
     certificate: CertificateDer<'static>,
 }
 
 impl CertificateIdentity {
-    /// The identity of the end of a verified chain.
+    /// Creates the identity from the end-entity certificate of a verified chain.
     pub(super) fn new(certificate: CertificateDer<'static>) -> Self {
         Self { certificate }
     }
@@ -66,7 +67,7 @@
     }
 }
 
-/// The name `name` in `domain`; `None` if that is no DNS name.
+/// Returns the DNS name of `name` in `domain`; `None` if it is invalid.
 pub(super) fn server_name(name: &str, domain: &str) -> Option<ServerName<'static>> {
     ServerName::try_from(format!("{name}.{domain}")).ok()
 }
--- a/crates/daemon/src/access/keys.rs
+++ b/crates/daemon/src/access/keys.rs
@@ -1,4 +1,5 @@
-//! `pollendrift keys`: a development authority and certificates of hosts and operators.
+//! Creates a development authority and certificates of hosts and operators for
+//! `pollendrift keys`.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -21,55 +22,56 @@
 const AUTHORITY_FILE: &str = "authority.pem";
 const AUTHORITY_KEY_FILE: &str = "authority.key";
 
-/// Files that hold a key are read by their owner only.
+/// File mode of private keys: only the owner can read them.
 const KEY_MODE: u32 = 0o600;
+/// File mode of certificates: all users can read them.
 const CERTIFICATE_MODE: u32 = 0o644;
 
-/// Why keys were not made.
+/// Error of [`KeyFolder`].
 #[derive(Debug, Display, Error, From)]
 pub enum KeysError {
-    /// A file can't be read or written; one that exists is never overwritten.
+    /// A file can't be read, can't be written, or exists already and is not overwritten.
     #[display("{}: {error}", path.display())]
     #[from(ignore)]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// A certificate can't be made, such as for a name that is no DNS name.
+    /// A certificate can't be created, such as for a name that is not a DNS name.
     #[display("certificate: {_0}")]
     Certificate(rcgen::Error),
 }
 
-/// Time within which certificates are good.
+/// Validity period of certificates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// First moment.
+    /// Start of the period.
     pub from: WallTime,
-    /// Last moment.
+    /// End of the period.
     pub until: WallTime,
 }
 
-/// Whose certificate to make.
+/// Subject of a certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CertificateRequest {
-    /// A host: proves itself to callers and operators under its addresses, to peers by its name.
+    /// A host. Callers and operators verify its addresses, peers verify its name.
     Host {
-        /// Its name in the settings.
+        /// Name of the host in the settings.
         name: String,
-        /// Its addresses.
+        /// IP addresses of the host.
         addresses: Vec<IpAddr>,
     },
-    /// An operator.
+    /// An operator, with a certificate for clients only.
     Operator {
-        /// The name in the settings.
+        /// Name of the operator in the settings.
         name: String,
     },
 }
 
-/// A folder with an authority and the certificates that it signed.
+/// Folder with an authority and the certificates that it signed.
 #[derive(Debug)]
 pub struct KeyFolder {
     folder: PathBuf,
@@ -77,11 +79,11 @@
 }
 
 impl KeyFolder {
-    /// Opens the authority in `folder`, or makes one that is good for `validity`.
+    /// Opens the authority in `folder`, or creates one that is valid for `validity`.
     ///
     /// # Errors
     ///
-    /// If the folder can't be used or its authority can't be read.
+    /// If the folder can't be created, or the authority can't be read or written.
     pub fn open(folder: &Path, validity: Validity) -> Result<Self, KeysError> {
         fs::create_dir_all(folder).map_err(|error| file_error(folder, error))?;
         let key_path = folder.join(AUTHORITY_KEY_FILE);
@@ -107,17 +109,17 @@
         })
     }
 
-    /// Makes a key and a certificate that is good for `validity`, and writes both.
+    /// Creates a key and a certificate that is valid for `validity`, and writes both to files.
     ///
     /// # Errors
     ///
-    /// If a file of that name exists or can't be written, or the name can't be certified.
+    /// If one of the files exists or can't be written, or the name is not a DNS name.
     pub fn issue(
         &self,
         request: &CertificateRequest,
         validity: Validity,
     ) -> Result<KeyFiles, KeysError> {
-        let params = end_params(request, validity)?;
+        let params = leaf_params(request, validity)?;
         let key = KeyPair::generate()?;
         let certificate = params.signed_by(&key, &self.issuer)?;
         let name = match request {
@@ -136,7 +138,7 @@
 }
 
 fn authority_params(validity: Validity) -> CertificateParams {
-    let mut params = dated(CertificateParams::default(), validity);
+    let mut params = with_validity(CertificateParams::default(), validity);
     params
         .distinguished_name
         .push(DnType::CommonName, AUTHORITY_NAME);
@@ -148,7 +150,7 @@
     params
 }
 
-fn end_params(
+fn leaf_params(
     request: &CertificateRequest,
     validity: Validity,
 ) -> Result<CertificateParams, KeysError> {
@@ -156,7 +158,7 @@
         CertificateRequest::Host { name, addresses } => (name, HOST_DOMAIN, addresses.as_slice()),
         CertificateRequest::Operator { name } => (name, OPERATOR_DOMAIN, &[][..]),
     };
-    let mut params = dated(
+    let mut params = with_validity(
         CertificateParams::new([format!("{name}.{domain}")])?,
         validity,
     );
@@ -177,7 +179,9 @@
     Ok(params)
 }
 
-fn dated(mut params: CertificateParams, validity: Validity) -> CertificateParams {
+/// Sets the validity period; dates after the year 9999, which X.509 can't represent, are limited to
+/// its last day.
+fn with_validity(mut params: CertificateParams, validity: Validity) -> CertificateParams {
     let last = date_time_ymd(9999, 12, 31);
     let date = |time: WallTime| {
         let since_epoch = Duration::from_millis(time.0).try_into().ok()?;
@@ -188,7 +192,7 @@
     params
 }
 
-/// Writes a file that must not exist: a key that is in use is never replaced by mistake.
+/// Writes a new file. Fails if it exists, so that a key in use is never replaced by mistake.
 fn write_new(path: &Path, text: &str, mode: u32) -> Result<(), KeysError> {
     let mut options = OpenOptions::new();
     options.write(true).create_new(true).mode(mode);
--- a/crates/daemon/src/access/material.rs
+++ b/crates/daemon/src/access/material.rs
@@ -1,4 +1,4 @@
-//! Keys and certificates as read from the files of the settings.
+//! TLS configurations from the key files of the settings.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -16,48 +16,49 @@
 use super::control::FaceKind;
 use crate::settings::KeyFiles;
 
-/// Why someone did not come in, or why keys can't be used. No message holds a secret.
+/// Error of a handshake or of the key files. No message contains a secret.
 #[derive(Debug, Display, Error)]
 pub enum AccessError {
-    /// A file holds no usable keys.
+    /// A key file is unusable.
     #[display("{}: {message}", path.display())]
     KeyFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Cause of the error.
         message: String,
     },
-    /// The TLS handshake failed: no certificate, a foreign one, an expired one, or no TLS at all.
+    /// The TLS handshake failed: the certificate is missing, expired or of another authority, or
+    /// the other side does not use TLS.
     #[display("TLS handshake: {error}")]
     Handshake {
-        /// What the library says.
+        /// Error of the TLS library.
         #[error(source)]
         error: std::io::Error,
     },
-    /// The other side took too long for the handshake.
+    /// The TLS handshake timed out.
     #[display("TLS handshake took longer than {limit:?}")]
     HandshakeTimeout {
-        /// The limit.
+        /// Timeout of the handshake.
         limit: std::time::Duration,
     },
-    /// A host name that can't stand in a certificate.
-    #[display("{host} is no name that a certificate can bear")]
+    /// The host name is not valid in a certificate.
+    #[display("host name {host} is not valid in a certificate")]
     HostName {
-        /// The name.
+        /// Name of the host.
         host: HostName,
     },
-    /// The certificate is good, but of another host.
+    /// The certificate is valid but belongs to another host, or there is none.
     #[display("the certificate is not that of host {host}")]
     ForeignHost {
-        /// The host that was expected.
+        /// Name of the expected host.
         host: HostName,
     },
-    /// Key files were expected and there are none.
+    /// The settings contain no key files.
     #[display("no key files in the settings")]
     NoKeys,
 }
 
-/// Configurations that are made of one reading of the key files.
+/// TLS configurations of all faces from one reading of the key files.
 #[derive(Clone, Debug)]
 pub struct KeyMaterial {
     callers: Arc<ServerConfig>,
@@ -66,7 +67,7 @@
     client: Arc<ClientConfig>,
 }
 
-/// Contents of the key files.
+/// Parsed contents of the key files.
 struct KeyContents {
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -76,11 +77,11 @@
 }
 
 impl KeyMaterial {
-    /// Reads the files.
+    /// Reads the key files and builds the configurations.
     ///
     /// # Errors
     ///
-    /// [`AccessError::KeyFile`] naming the file that can't be used.
+    /// [`AccessError::KeyFile`] with the path of an unusable file.
     pub fn load(files: &KeyFiles) -> Result<Self, AccessError> {
         let contents = KeyContents::read(files)?;
         let optional = contents.client_verifier(|builder| builder.allow_unauthenticated())?;
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Configuration of a listening face.
+    /// Returns the server configuration of a face.
     pub(super) fn server(&self, face: FaceKind) -> Arc<ServerConfig> {
         let config = match face {
             FaceKind::Callers => &self.callers,
@@ -103,7 +104,7 @@
         Arc::clone(config)
     }
 
-    /// Configuration of connections to other hosts.
+    /// Returns the client configuration for connections to other hosts.
     pub(super) fn client(&self) -> Arc<ClientConfig> {
         Arc::clone(&self.client)
     }
@@ -156,8 +157,8 @@
         let mut config = builder
             .with_single_cert(self.chain.clone(), self.key.clone_key())
             .map_err(|error| unusable(&self.files.key, error))?;
-        // A resumed session would skip the certificate: one that has expired since, or whose
-        // authority was taken out, would still come in. Every connection proves itself anew.
+        // Session resumption skips the check of the certificate, so a client whose certificate has
+        // expired, or whose authority was removed, would still be accepted.
         config.session_storage = Arc::new(rustls::server::NoServerSessionStorage {});
         config.send_tls13_tickets = 0;
         Ok(Arc::new(config))
@@ -184,7 +185,7 @@
     let read = CertificateDer::pem_file_iter(path).and_then(Iterator::collect::<Result<Vec<_>, _>>);
     let chain = read.map_err(|error| unusable(path, error))?;
     if chain.is_empty() {
-        return Err(unusable(path, "holds no certificate"));
+        return Err(unusable(path, "contains no certificate"));
     }
     Ok(chain)
 }
--- a/crates/daemon/src/access/stream.rs
+++ b/crates/daemon/src/access/stream.rs
@@ -1,4 +1,4 @@
-//! A connection on a face, in TLS or in plain text.
+//! Connection on a face with or without TLS.
 
 use std::io;
 use std::pin::Pin;
@@ -10,23 +10,23 @@
 
 use super::identity::CertificateIdentity;
 
-/// A connection on a face.
+/// Connection on a face after the handshake.
 #[derive(Debug)]
 pub enum FaceStream {
-    /// Plain text: the settings have no keys.
+    /// Plain text, if the settings contain no keys.
     Plain(TcpStream),
-    /// TLS.
+    /// TLS connection, as server or client.
     Tls(Box<TlsStream<TcpStream>>),
 }
 
 impl FaceStream {
-    /// The verified certificate of the other side; `None` if it showed none.
+    /// Returns the verified certificate of the other side; `None` if it sent none.
     pub fn certificate(&self) -> Option<CertificateIdentity> {
         let Self::Tls(stream) = self else { return None };
         let (_, session) = stream.get_ref();
         let chain = session.peer_certificates()?;
-        let end = chain.first()?;
-        Some(CertificateIdentity::new(end.clone().into_owned()))
+        let leaf = chain.first()?;
+        Some(CertificateIdentity::new(leaf.clone().into_owned()))
     }
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -313,16 +313,15 @@
         &self.node
     }
 
-    /// Resolves once this host's keeper has stopped because its disk is full. Dropped and started
-    /// again, the daemon goes on from what is on the disk.
+    /// Resolves once this host's keeper has stopped because its disk is full. Dropped and started again,
+    /// the daemon goes on from what is on the disk.
     pub async fn disk_full(&self) {
         self.node.disk_full().await;
     }
 
     /// A planned stop: asks the balancer to move away, then refuses new work, lets what runs
-    /// finish, and closes. True if everything finished within the drain timeout, which counts by
-    /// the steady clock: no lease rests on it, and a host that was suspended cuts nobody off for
-    /// that.
+    /// finish, and closes. True if everything finished within the drain timeout, which counts by the
+    /// steady clock: no lease rests on it, and a host that was suspended cuts nobody off for that.
     pub async fn drain(mut self) -> bool {
         self.life.advance(LifeStep::Leaving);
         if let Some(recorder) = self.context.recorder.get() {
--- a/crates/daemon/src/faces.rs
+++ b/crates/daemon/src/faces.rs
@@ -1,4 +1,4 @@
-//! Which handler serves which path of a listening address.
+//! Routing of requests on a listening address to the handlers of its faces.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 /// Handlers of all faces.
 #[derive(Clone, Debug)]
 pub struct FaceRouter {
-    /// Callers' face.
+    /// Handler of the callers' face.
     pub entry: Arc<EntryHandler>,
-    /// Operators' face.
+    /// Handler of the operators' face.
     pub operators: Arc<OperatorHandler>,
-    /// Backend servers' face.
+    /// Handler of the backend servers' face.
     pub announcements: Arc<AnnouncementHandler>,
-    /// Handlers in a platform's dialect, in place of all others.
+    /// Handlers with the interface of a platform; if set, they replace all other handlers.
     pub relay: Option<RelayFaces>,
 }
 
 impl FaceRouter {
-    /// A handler that serves only `faces`.
+    /// Creates a handler that serves only `faces`.
     pub fn for_faces(&self, faces: FaceSet) -> FaceHandler {
         FaceHandler {
             router: self.clone(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Serves the faces of one listening address.
+/// Handler of the requests on one listening address.
 #[derive(Debug)]
 pub struct FaceHandler {
     router: FaceRouter,
@@ -62,11 +62,11 @@
             || path.starts_with(BACKEND_PREFIX)
             || !self.faces.callers
         {
-            let answer = text_response(
+            let response = text_response(
                 StatusCode::NOT_FOUND,
                 "this address does not serve that path\n",
             );
-            return Box::pin(std::future::ready(answer));
+            return Box::pin(std::future::ready(response));
         }
         Arc::clone(&self.router.entry).handle(request, peer)
     }
--- a/crates/daemon/src/keys.rs
+++ b/crates/daemon/src/keys.rs
@@ -1,4 +1,4 @@
-//! `pollendrift keys`: a development authority and the certificates that it signs.
+//! Command `pollendrift keys`: creates a development authority and certificates signed by it.
 
 use std::net::IpAddr;
 use std::path::PathBuf;
@@ -44,7 +44,7 @@
     })
 }
 
-/// Makes what is asked for; never overwrites a file.
+/// Creates the requested certificates; never overwrites a file.
 pub(crate) fn make(options: &KeyOptions) -> ExitCode {
     match issue_all(options) {
         Ok(()) => ExitCode::SUCCESS,
@@ -76,7 +76,7 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or(Duration::ZERO);
     let wall = |time: Duration| WallTime(u64::try_from(time.as_millis()).unwrap_or(u64::MAX));
-    // A day back, for hosts whose clocks are behind.
+    // The period starts one day ago, for hosts whose clocks are behind.
     Validity {
         from: wall(now.saturating_sub(DAY)),
         until: wall(now + DAY * days),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! Command line of the daemon.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,8 +1,8 @@
-//! Operators' face: changes of labels and selectors, and questions about what is in force and what
-//! happened. `docs/interfaces/operators.md` describes it.
+//! Operators' face: changes of labels and selectors, and questions about the configuration, the
+//! evidence and the state of the daemon. `docs/interfaces/operators.md` describes it.
 //!
-//! A question that only a keeper can answer is passed to one, which answers after a quorum-checked
-//! read.
+//! A question that only a keeper can answer is sent to one, which answers after a read barrier: a
+//! quorum confirms that its state is current.
 
 mod changes;
 mod problem;
@@ -28,25 +28,26 @@
 use crate::settings::OperatorRole;
 use problem::OperatorProblem;
 
+/// Prefix of all paths of this face.
 const PREFIX: &str = "/operator/v1/";
 
-/// What handlers of operators' requests share.
+/// Shared state of the handlers of operators' requests.
 pub struct OperatorContext {
-    /// What callers' requests share.
+    /// Shared state of the handlers of callers' requests.
     pub entry: Arc<EntryContext>,
-    /// This host's part in the agreed state.
+    /// Access of this host to the replicated state.
     pub node: Arc<AgreedNode>,
-    /// Who may come in.
+    /// Authentication of operators.
     pub access: Arc<AccessControl>,
-    /// Answers questions that need a keeper, or passes them to one.
+    /// Answers questions that need a keeper, or sends them to one.
     pub question_handler: Arc<KeeperQuestionHandler>,
-    /// Parts of the dump.
+    /// Sources of the dump, one for each part.
     pub dump: Vec<Arc<dyn DumpSource>>,
-    /// Warnings about the settings, said aloud in the status.
+    /// Warnings about the settings, shown in the status.
     pub warnings: Vec<String>,
 }
 
-/// Answers operators.
+/// Handler of operators' requests.
 pub struct OperatorHandler {
     context: Arc<OperatorContext>,
 }
@@ -60,7 +61,7 @@
 }
 
 impl OperatorHandler {
-    /// A handler over `context`.
+    /// Creates a handler with the shared state `context`.
     pub fn new(context: Arc<OperatorContext>) -> Self {
         Self { context }
     }
@@ -94,7 +95,7 @@
         let query = query::QueryPairs::of(request.uri().query().unwrap_or(""));
         match (request.method(), path.as_str()) {
             (&Method::POST, "changes") if operator.role == OperatorRole::Editor => {
-                changes::change(context, operator, request).await
+                changes::change_configuration(context, operator, request).await
             }
             (&Method::POST, "changes") => Err(OperatorProblem::forbidden()),
             (&Method::POST, "explain") => questions::explain(context, request).await,
@@ -120,7 +121,7 @@
     }
 }
 
-/// A JSON value, or null if it can't be encoded.
+/// Converts `value` to JSON; null if it can't be encoded.
 fn value_of<T>(value: T) -> Value
 where
     T: serde::Serialize,
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -17,10 +17,11 @@
 use crate::agreed::AgreedState;
 use crate::keeper::SubmitError;
 
+/// Maximum size of the request body in bytes.
 const MAX_CHANGE_BYTES: usize = 8 << 20;
 
-/// Acts on a change; a resend under the same change id gets its first answer.
-pub(super) async fn change(
+/// Submits a change of the configuration. A resend with the same change id gets the first answer.
+pub(super) async fn change_configuration(
     context: &Arc<OperatorContext>,
     operator: &OperatorIdentity,
     request: Request<Incoming>,
@@ -49,13 +50,14 @@
             return Err(OperatorProblem::unknown(format!("{reason}; {advice}")));
         }
     };
-    record(context, &change, &answer);
+    record_change(context, &change, &answer);
     let reply = ChangeReply::from(answer);
     let status = StatusCode::from_u16(reply.status()).unwrap_or(StatusCode::OK);
     Ok(json_response(status, &reply))
 }
 
-fn record(context: &OperatorContext, change: &ChangeRequest, answer: &ChangeAnswer) {
+/// Records the change and its outcome in the evidence.
+fn record_change(context: &OperatorContext, change: &ChangeRequest, answer: &ChangeAnswer) {
     let (revision, reason) = match answer {
         ChangeAnswer::Accepted { revision, .. } => (Some(*revision), String::new()),
         ChangeAnswer::Conflict(conflict) => (None, conflict.to_string()),
@@ -77,7 +79,7 @@
     context.entry.recorder.note(event);
 }
 
-/// Documents in which the change differs from what this host holds.
+/// Keys of the objects that differ between the change and the configuration of this host.
 fn touched(context: &OperatorContext, change: &ChangeRequest) -> Vec<Arc<str>> {
     let Ok(parsed) = ParsedConfiguration::parse(change.change_id.as_str(), &change.text) else {
         return Vec::new();
--- a/crates/daemon/src/operators/problem.rs
+++ b/crates/daemon/src/operators/problem.rs
@@ -1,10 +1,10 @@
-//! Refusals to operators: problem details that say whether the request ran.
+//! Refusals to operators: problem details (RFC 9457) with the outcome of the request.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use pollendrift_border::{ProblemReport, ProblemReportOutcome};
 use pollendrift_http::{ReadFailure, ResponseBody, json_response};
 
-/// A refusal to an operator.
+/// Refusal to an operator, sent as `application/problem+json`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OperatorProblem {
     pub(super) status: StatusCode,
--- a/crates/daemon/src/operators/query.rs
+++ b/crates/daemon/src/operators/query.rs
@@ -1,18 +1,18 @@
-//! Query strings of questions.
+//! Query strings of operators' questions.
 
 use std::borrow::Cow;
 use std::str::FromStr;
 
 use super::problem::OperatorProblem;
 
-/// Pairs of a query string, decoded.
+/// Decoded key-value pairs of a query string, in their order.
 #[derive(Clone, Debug, Default)]
 pub(super) struct QueryPairs {
     pairs: Vec<(String, String)>,
 }
 
 impl QueryPairs {
-    /// Reads a query string; a repeated key counts once, the last one.
+    /// Decodes a query string. Of a repeated key, look-ups return the last value.
     pub(super) fn of(text: &str) -> Self {
         let pairs = form_urlencoded::parse(text.as_bytes());
         let owned =
@@ -22,11 +22,12 @@
         }
     }
 
+    /// Whether `key` has a value that is not empty.
     pub(super) fn has(&self, key: &str) -> bool {
         self.text(key).is_some()
     }
 
-    /// The value of `key`, if it is not empty.
+    /// Returns the value of `key`; `None` if it is absent or empty.
     pub(super) fn text(&self, key: &str) -> Option<&str> {
         let found = self.pairs.iter().rev().find(|(name, _)| name == key);
         found
@@ -34,7 +35,11 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The value of `key` as a number.
+    /// Parses the value of `key` as a number; `None` if it is absent or empty.
+    ///
+    /// # Errors
+    ///
+    /// A refusal if the value is not a number of the type `T`.
     pub(super) fn number<T>(&self, key: &str) -> Result<Option<T>, OperatorProblem>
     where
         T: FromStr,
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -1,4 +1,4 @@
-//! Questions that keepers answer, and those that every host answers itself.
+//! Operators' questions: those that only keepers answer, and those that every host answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,65 +24,70 @@
 use crate::peers::{PeerAnswer, PeerHub, PeerQuestion};
 use crate::state::SharedState;
 
+/// Maximum size of the body of an explain request in bytes.
 const MAX_EXPLAIN_BYTES: usize = 256 * 1024;
+/// Number of changes in an answer if the question sets no limit.
 const DEFAULT_HISTORY: usize = 100;
+/// Number of evidence records in an answer if the question sets no limit.
 const DEFAULT_RECORDS: usize = 100;
+/// Maximum number of evidence records in an answer.
 const MAX_RECORDS: usize = 1_000;
-/// Time that one keeper has for an answer.
-const KEEPER_PATIENCE: Duration = Duration::from_secs(3);
+/// Timeout of a question to one keeper.
+const KEEPER_TIMEOUT: Duration = Duration::from_secs(3);
 const JSON: &str = "application/json";
 const JSON_LINES: &str = "application/jsonl";
 
 /// A question that only a keeper can answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeeperQuestion {
-    /// A configuration; `None` asks for the one in force.
+    /// A revision of the configuration.
     Configuration {
-        /// Its revision.
+        /// The revision; `None` for the one in force.
         revision: Option<Revision>,
     },
     /// Accepted changes, newest first.
     History {
-        /// Only revisions below this one.
+        /// Exclusive upper limit of the revisions; `None` starts at the newest.
         before: Option<Revision>,
-        /// At most so many.
+        /// Maximum number of changes.
         limit: usize,
     },
-    /// What was in force at a time.
+    /// The configuration that was in force at a time.
     InForceAt {
-        /// The time.
+        /// Wall-clock time.
         time: WallTime,
     },
-    /// Evidence records.
+    /// Evidence records that match a filter.
     Evidence {
-        /// Which ones.
+        /// Filter of the records.
         filter: Box<EvidenceFilter>,
-        /// At most so many.
+        /// Maximum number of records.
         limit: usize,
     },
-    /// The whole evidence of one keeper.
+    /// All evidence of one keeper.
     EvidenceExport,
 }
 
-/// A keeper's answer, ready to be sent on.
+/// HTTP response of a keeper, which the requesting host forwards to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeeperAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header; `text/plain` marks a refusal.
     pub content_type: String,
-    /// Body.
+    /// Response body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
+/// Body of an answer with evidence records.
 #[derive(Serialize)]
 struct RecordList {
     records: Vec<EvidenceRecord>,
 }
 
 impl KeeperQuestion {
-    /// The question behind a path under `/operator/v1/`.
+    /// Parses the question in a path below `/operator/v1/` and a query string.
     pub(super) fn of(path: &str, query: &QueryPairs) -> Result<Self, OperatorProblem> {
         let revision = |key: &str| Ok(query.number::<u64>(key)?.map(Revision));
         match path {
@@ -104,7 +109,7 @@
             path => match path.strip_prefix("evidence/requests/") {
                 Some(id) => Ok(Self::Evidence {
                     filter: Box::new(EvidenceFilter {
-                        request: Some(unescaped(id).as_str().into()),
+                        request: Some(percent_decode(id).as_str().into()),
                         ..EvidenceFilter::default()
                     }),
                     limit: MAX_RECORDS,
@@ -181,10 +186,11 @@
     }
 }
 
-/// Longest wait for a quorum before evidence is read.
-const BARRIER_PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of the read barrier before evidence is read.
+const BARRIER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers keepers' questions on a host with a keeper; passes them to one elsewhere.
+/// Answers [`KeeperQuestion`]s: on a host with a keeper itself, on other hosts by sending them to a
+/// keeper.
 pub struct KeeperQuestionHandler {
     hub: PeerHub,
     keepers: KeeperList,
@@ -214,7 +220,8 @@
         }
     }
 
-    /// Answers a question here or at a keeper.
+    /// Answers a question of an operator. Without a keeper on this host, tries all keepers in
+    /// order.
     pub(super) async fn ask(
         &self,
         question: KeeperQuestion,
@@ -229,15 +236,16 @@
             .map_err(|error| OperatorProblem::bad_query(error.to_string()))?;
         let mut reason = "the settings name no keeper".to_owned();
         for keeper in self.keepers.hosts() {
-            let ask = PeerQuestion::Operator(bytes.clone().into());
-            match self.hub.call(&keeper, ask, 0, KEEPER_PATIENCE).await {
+            let question = PeerQuestion::Operator(bytes.clone().into());
+            match self.hub.call(&keeper, question, 0, KEEPER_TIMEOUT).await {
                 Ok(PeerAnswer::Operator(answer)) => {
                     return serde_json::from_slice(&answer.0)
                         .map_err(|error| OperatorProblem::unavailable(error.to_string()));
                 }
-                Ok(PeerAnswer::NotRun { reason: why } | PeerAnswer::Unknown { reason: why }) => {
-                    reason = why
-                }
+                Ok(
+                    PeerAnswer::NotRun { reason: refusal }
+                    | PeerAnswer::Unknown { reason: refusal },
+                ) => reason = refusal,
                 Ok(_) => reason = "keeper answered another question".to_owned(),
                 Err(error) => reason = error.to_string(),
             }
@@ -245,7 +253,7 @@
         Err(OperatorProblem::unavailable(reason))
     }
 
-    /// Answers another host's question.
+    /// Answers a question that another host sent, encoded as JSON.
     pub async fn serve(&self, question: &[u8]) -> PeerAnswer {
         let not_run = |reason: String| PeerAnswer::NotRun { reason };
         let question = match serde_json::from_slice(question) {
@@ -261,6 +269,7 @@
         }
     }
 
+    /// Answers a question from the state and the files of the keeper on this host.
     async fn answer(&self, question: KeeperQuestion) -> Result<KeeperAnswer, String> {
         let shared = self.shared.as_ref().ok_or("this host has no keeper")?;
         match question {
@@ -289,40 +298,43 @@
         }
     }
 
-    /// The files, with everything that was agreed before now.
+    /// Returns the evidence files after copying all records into them that were replicated before
+    /// the call.
     ///
-    /// Failure: records reach the files a moment after keepers agreed on them, so an answer of the
-    /// files alone misses requests whose callers have their whole answer. Catching up first closes
-    /// that gap. Without a quorum the files are given as they are: an inspector reads them then
-    /// too.
+    /// Records reach the files shortly after they are replicated, so without the copy the files can
+    /// lack requests whose callers have their complete response. Without a quorum the files may lack
+    /// the newest records; they are returned all the same, since auditors read them then too.
     async fn current_files(&self, shared: &SharedState) -> Result<EvidenceFiles, String> {
         let files = self
             .files
             .clone()
             .ok_or_else(|| "this host has no evidence files".to_owned())?;
-        let barrier = tokio::time::timeout(BARRIER_PATIENCE, self.client.read_barrier()).await;
+        let barrier = tokio::time::timeout(BARRIER_TIMEOUT, self.client.read_barrier()).await;
         if !matches!(barrier, Ok(Ok(_))) {
-            log::warn!("evidence is read without the newest records: no quorum answers");
+            log::warn!("evidence may lack the newest records: the read barrier failed");
         }
         let (copied, state) = (files.clone(), shared.clone());
         if let Err(reason) = blocking(move || copied.copy(&state)).await {
-            log::error!(reason:% = reason; "evidence files lack the newest records");
+            log::error!(reason:% = reason; "failed to copy the newest records to the evidence files");
         }
         Ok(files)
     }
 }
 
+/// Runs `work` on a thread for blocking tasks.
 async fn blocking<F, T, E>(work: F) -> Result<T, String>
 where
     F: FnOnce() -> Result<T, E> + Send + 'static,
     T: Send + 'static,
     E: ToString + Send + 'static,
 {
-    let done = tokio::task::spawn_blocking(work).await;
-    done.map_err(|error| error.to_string())?
+    let result = tokio::task::spawn_blocking(work).await;
+    result
+        .map_err(|error| error.to_string())?
         .map_err(|error| error.to_string())
 }
 
+/// Answers a question from the replicated state.
 fn read_state(shared: &SharedState, question: &KeeperQuestion) -> KeeperAnswer {
     shared.read(|state| {
         let changes = state.changes();
@@ -351,7 +363,7 @@
     })
 }
 
-/// `POST /operator/v1/explain`, by the configuration that this host serves.
+/// `POST /operator/v1/explain`, answered from the current configuration of this host.
 pub(super) async fn explain(
     context: &Arc<OperatorContext>,
     request: Request<Incoming>,
@@ -385,22 +397,22 @@
                 reason: configuration
                     .allows(selector, &server.facts)
                     .err()
-                    .map(|why| why.to_string()),
+                    .map(|reason| reason.to_string()),
             })
             .collect();
     }
     Ok(json_response(StatusCode::OK, &view))
 }
 
-/// `GET /operator/v1/in-force` without a time: what each daemon serves now.
+/// `GET /operator/v1/in-force` without a time: the revision that is in force on each daemon.
 pub(super) fn in_force_now(context: &OperatorContext) -> Response<ResponseBody> {
     let now = context.entry.clock.now();
-    let heard = context.node.feed().in_force();
+    let revisions = context.node.feed().in_force();
     let mut hosts: Vec<HostName> = context.node.hub().hosts();
     hosts.push(context.entry.host.clone());
     hosts.sort();
     let daemons = hosts.into_iter().map(|host| {
-        let found = heard.iter().find(|peer| peer.host == host);
+        let found = revisions.iter().find(|peer| peer.host == host);
         let age = found.map(|peer| now.since(peer.heard_at).as_millis());
         DaemonRevision {
             revision: found.map(|peer| peer.revision),
@@ -417,7 +429,8 @@
     )
 }
 
-fn unescaped(text: &str) -> String {
+/// Decodes the percent-encoding of a path segment.
+fn percent_decode(text: &str) -> String {
     let pair = format!("id={}", text.replace('+', "%2B"));
     form_urlencoded::parse(pair.as_bytes())
         .map(|(_, value)| value.into_owned())
--- a/crates/daemon/src/operators/status.rs
+++ b/crates/daemon/src/operators/status.rs
@@ -1,4 +1,4 @@
-//! `GET /operator/v1/status` and `GET /operator/v1/dump`: the state of this daemon, for people.
+//! `GET /operator/v1/status` and `GET /operator/v1/dump`: the state of this daemon.
 
 use http::{Response, StatusCode};
 use pollendrift_http::{ResponseBody, json_response};
@@ -8,7 +8,7 @@
 use crate::agreed::AgreedState;
 use crate::keeper::KeeperStatus;
 
-/// The state of this daemon, its keeper and its peers.
+/// Returns the state of this daemon, its keeper and its peers.
 pub(super) fn status(context: &OperatorContext) -> Response<ResponseBody> {
     let entry = &context.entry;
     let configuration = context.node.configuration();
@@ -29,9 +29,9 @@
     let body = json!({
         "host": value_of(&entry.host),
         "unready": entry.unready_reason(),
-        "revision": configuration.as_ref().ok().map(|held| held.revision().0),
+        "revision": configuration.as_ref().ok().map(|current| current.revision().0),
         "configuration": configuration.err().map(|stale| stale.to_string()),
-        "life": context.node.incarnation().map(|life| life.0),
+        "life": context.node.incarnation().map(|incarnation| incarnation.0),
         "backend_servers": entry.fleet.serving(entry.clock.now()).len(),
         "access": value_of(context.access.status()),
         "evidence": entry.recorder.get().map(|recorder| value_of(recorder.status())),
@@ -42,7 +42,7 @@
     json_response(StatusCode::OK, &body)
 }
 
-/// Every table of this process.
+/// Returns the tables of this process, by the name of their source.
 pub(super) fn dump(context: &OperatorContext) -> Response<ResponseBody> {
     let parts = context
         .dump
@@ -51,7 +51,7 @@
     json_response(StatusCode::OK, &parts.collect::<Map<String, Value>>())
 }
 
-/// State of the keeper; redundancy is known to the leader only.
+/// Formats the state of a keeper. Only the leader knows the redundancy; it is null elsewhere.
 pub(crate) fn keeper_state(status: KeeperStatus) -> Value {
     let redundancy = status.redundancy.as_deref();
     json!({
--- a/crates/daemon/tests/access_faces.rs
+++ b/crates/daemon/tests/access_faces.rs
@@ -1,5 +1,6 @@
-//! Contract of access: each wrong credential, expired certificate and foreign name is refused.
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+//! Tests of access control: wrong credentials, expired certificates and certificates with other
+//! names are refused.
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const YEAR: u64 = 365 * 86_400_000;
-const GOOD: Validity = Validity {
+const VALID: Validity = Validity {
     from: WallTime(30 * YEAR),
     until: WallTime(130 * YEAR),
 };
@@ -23,7 +24,7 @@
     from: WallTime(30 * YEAR),
     until: WallTime(31 * YEAR),
 };
-const NOT_YET: Validity = Validity {
+const NOT_YET_VALID: Validity = Validity {
     from: WallTime(120 * YEAR),
     until: WallTime(130 * YEAR),
 };
@@ -64,14 +65,14 @@
         name: name.into(),
         addresses: vec!["127.0.0.1".parse().unwrap()],
     };
-    let authority = KeyFolder::open(folder, GOOD).unwrap();
+    let authority = KeyFolder::open(folder, VALID).unwrap();
     authority.issue(&request, validity).unwrap()
 }
 
 fn issue_operator(folder: &Path, name: &str) -> KeyFiles {
     let request = CertificateRequest::Operator { name: name.into() };
-    let authority = KeyFolder::open(folder, GOOD).unwrap();
-    authority.issue(&request, GOOD).unwrap()
+    let authority = KeyFolder::open(folder, VALID).unwrap();
+    authority.issue(&request, VALID).unwrap()
 }
 
 fn bearer(value: &'static str) -> HeaderMap {
@@ -88,7 +89,7 @@
     (client, listener.accept().await.unwrap().0)
 }
 
-/// Both ends of a connection: what `client` and `server` make of it.
+/// Connects `client` to `server` and returns the outcome at the client and at the server.
 async fn connected(client: &AccessControl, server: &AccessControl, face: FaceKind) -> [String; 2] {
     let (client_end, server_end) = tcp_pair().await;
     let brest: HostName = "brest-1".into();
@@ -97,12 +98,12 @@
             .connect(&brest, client_end)
             .await
             .map_err(|error| error.to_string())?;
-        // In TLS 1.3 the client learns only by reading that its certificate was refused.
-        let word = async {
+        // In TLS 1.3 the client sees the refusal of its certificate only when it reads.
+        let exchange = async {
             stream.write_all(b"hello").await?;
             stream.read_u8().await
         };
-        word.await.map_err(|error| error.to_string())
+        exchange.await.map_err(|error| error.to_string())
     };
     let serving = async {
         let mut stream = server
@@ -123,8 +124,8 @@
     [outcome(called), outcome(served)]
 }
 
-/// The result without the parts that the clock or the order of packets decides: an end learns of
-/// a refusal by an alert, a reset or the end of the stream.
+/// Formats a result without the parts that depend on the clock or the order of packets: a refusal
+/// arrives as an alert, a reset or the end of the stream.
 fn outcome<T>(result: Result<T, String>) -> String {
     let Err(error) = result else {
         return "accepted".into();
@@ -136,19 +137,19 @@
     "refused by the other side".into()
 }
 
+// Guards against a process that impersonates a host. A process connects to the peers' face of
+// brest-1 as brest-2; the server accepts only a valid certificate of brest-2 by its authority, and
+// the client accepts only such a certificate of brest-1.
 #[tokio::test]
-async fn peers_come_in_only_with_the_certificate_of_their_own_name() {
-    // What happens: a process connects to the peers' face of brest-1 and calls itself brest-2.
-    // Only the certificate of brest-2, of the right authority and within its dates, comes in; and
-    // a client accepts only the certificate of brest-1 behind the address of brest-1.
+async fn peers_are_accepted_only_with_a_valid_certificate_of_their_name() {
     let folder = tempfile::tempdir().unwrap();
     let other = tempfile::tempdir().unwrap();
     let issue_in =
         |name: &str, host: &str, validity| issue(&folder.path().join(name), host, validity);
-    // One authority for all: the same authority key in each folder.
-    let authority = |name: &str| {
+    // Copies the same authority into each folder.
+    let copy_authority = |name: &str| {
         let source = folder.path().join("first");
-        KeyFolder::open(&source, GOOD).unwrap();
+        KeyFolder::open(&source, VALID).unwrap();
         let target = folder.path().join(name);
         std::fs::create_dir_all(&target).unwrap();
         for file in ["authority.pem", "authority.key"] {
@@ -156,10 +157,10 @@
         }
     };
     for name in ["good", "expired", "early", "foreign", "operator"] {
-        authority(name);
+        copy_authority(name);
     }
-    let server = control_with(issue_in("good", "brest-1", GOOD));
-    let client = control_with(issue_in("good", "brest-2", GOOD));
+    let server = control_with(issue_in("good", "brest-1", VALID));
+    let client = control_with(issue_in("good", "brest-2", VALID));
     let table = [
         ("brest-2 itself", &client, &server),
         (
@@ -169,12 +170,12 @@
         ),
         (
             "not yet good",
-            &control_with(issue_in("early", "brest-2", NOT_YET)),
+            &control_with(issue_in("early", "brest-2", NOT_YET_VALID)),
             &server,
         ),
         (
             "another host",
-            &control_with(issue_in("foreign", "brest-3", GOOD)),
+            &control_with(issue_in("foreign", "brest-3", VALID)),
             &server,
         ),
         (
@@ -184,7 +185,7 @@
         ),
         (
             "another authority",
-            &control_with(issue(other.path(), "brest-2", GOOD)),
+            &control_with(issue(other.path(), "brest-2", VALID)),
             &server,
         ),
         (
@@ -195,12 +196,12 @@
         (
             "server is another host",
             &client,
-            &control_with(issue_in("foreign", "brest-9", GOOD)),
+            &control_with(issue_in("foreign", "brest-9", VALID)),
         ),
         (
             "server of another authority",
             &client,
-            &control_with(issue(other.path(), "brest-1", GOOD)),
+            &control_with(issue(other.path(), "brest-1", VALID)),
         ),
     ];
     let mut lines = Vec::new();
@@ -239,20 +240,22 @@
     "#);
 }
 
+// Guards against requests in plain text on a TLS face, and against clients that hold a connection
+// open without a handshake.
 #[tokio::test]
-async fn plain_text_and_silence_are_refused_on_a_tls_face() {
+async fn a_tls_face_refuses_plain_text_and_silent_clients() {
     let folder = tempfile::tempdir().unwrap();
     let mut settings = settings();
-    settings.tls.files = Some(issue(folder.path(), "brest-1", GOOD));
+    settings.tls.files = Some(issue(folder.path(), "brest-1", VALID));
     settings.entry.head_timeout = Duration::from_millis(20);
     let server = AccessControl::new(&settings).unwrap();
     let mut lines = Vec::new();
-    for (name, word) in [
+    for (name, bytes) in [
         ("plain text", &b"GET / HTTP/1.1\r\n\r\n"[..]),
         ("silence", b""),
     ] {
         let (mut client, server_end) = tcp_pair().await;
-        client.write_all(word).await.unwrap();
+        client.write_all(bytes).await.unwrap();
         let refused = server.accept(FaceKind::Callers, server_end).await;
         lines.push(format!("{name}: {}", refused.unwrap_err()));
     }
@@ -262,10 +265,12 @@
     ");
 }
 
+// Guards against a certificate that admits an operator for whom the settings do not allow it, or
+// that outweighs a wrong token.
 #[tokio::test]
-async fn operators_come_in_by_token_or_by_a_certificate_of_their_name() {
+async fn operators_authenticate_by_token_or_by_certificate() {
     let folder = tempfile::tempdir().unwrap();
-    let server = control_with(issue(folder.path(), "brest-1", GOOD));
+    let server = control_with(issue(folder.path(), "brest-1", VALID));
     let mut lines = Vec::new();
     for name in ["nolwenn", "mael", "brest-1"] {
         let client = control_with(issue_operator(folder.path(), name));
@@ -300,8 +305,10 @@
     "#);
 }
 
+// Guards against a token that is accepted for another type of party, and against malformed or
+// repeated headers that authenticate anyone.
 #[test]
-fn tokens_name_one_party_and_anything_else_names_none() {
+fn a_token_identifies_one_party_and_other_headers_identify_none() {
     let control = AccessControl::new(&settings()).unwrap();
     let mut twice = bearer("Bearer ponant-new");
     twice.append(
@@ -347,16 +354,16 @@
     "#);
 }
 
+// Guards against an outage while key files are replaced one by one: as long as only the certificate
+// is new and does not match the key, the server must continue with the former pair.
 #[tokio::test]
-async fn keys_change_while_running_and_broken_ones_change_nothing() {
-    // What happens: the certificate of brest-1 expires soon and is replaced. First only half of
-    // it arrives, and connections go on with the old one; then all of it does.
+async fn changed_keys_are_loaded_and_unusable_keys_are_not() {
     let folder = tempfile::tempdir().unwrap();
-    let files = issue(folder.path(), "brest-1", GOOD);
+    let files = issue(folder.path(), "brest-1", VALID);
     let server = control_with(files.clone());
-    let client = control_with(issue(folder.path(), "brest-2", GOOD));
+    let client = control_with(issue(folder.path(), "brest-2", VALID));
     let mut lines = vec![format!("unchanged: {:?}", server.refresh_keys().ok())];
-    let renewed = issue(folder.path(), "brest-9", GOOD);
+    let renewed = issue(folder.path(), "brest-9", VALID);
     let replace = |from: &PathBuf, to: &PathBuf, seconds: u64| {
         std::fs::copy(from, to).unwrap();
         let time = SystemTime::UNIX_EPOCH + Duration::from_secs(4_000_000_000 + seconds);
@@ -395,8 +402,10 @@
     "#);
 }
 
+// Guards against a partial reload: new customers must not become current if the key files are
+// unusable.
 #[test]
-fn a_reload_takes_all_or_nothing() {
+fn a_reload_replaces_everything_or_nothing() {
     let control = AccessControl::new(&settings()).unwrap();
     let mut changed = settings();
     changed.customers.clear();
@@ -405,19 +414,20 @@
         key: "/nonexistent/a.key".into(),
         authority: "/nonexistent/authority.pem".into(),
     });
-    let known = || control.customer(&bearer("Bearer ponant-new")).is_some();
+    let is_known = || control.customer(&bearer("Bearer ponant-new")).is_some();
     assert!(control.reload(&changed).is_err());
-    assert!(known());
+    assert!(is_known());
     changed.tls.files = None;
     assert!(control.reload(&changed).is_ok());
-    assert!(!known());
+    assert!(!is_known());
 }
 
+// Guards against private keys that other users can read, and against the loss of a key in use.
 #[test]
-fn key_files_are_for_their_owner_and_never_overwritten() {
+fn key_files_are_readable_by_their_owner_only_and_never_overwritten() {
     use std::os::unix::fs::PermissionsExt;
     let folder = tempfile::tempdir().unwrap();
-    let files = issue(folder.path(), "brest-1", GOOD);
+    let files = issue(folder.path(), "brest-1", VALID);
     let mode = std::fs::metadata(&files.key).unwrap().permissions().mode();
     assert_eq!(mode & 0o077, 0);
     let before = std::fs::read(&files.key).unwrap();
@@ -425,15 +435,16 @@
         name: "brest-1".into(),
         addresses: Vec::new(),
     };
-    let again = KeyFolder::open(folder.path(), GOOD)
+    let again = KeyFolder::open(folder.path(), VALID)
         .unwrap()
-        .issue(&request, GOOD);
+        .issue(&request, VALID);
     assert!(again.is_err());
     assert_eq!(std::fs::read(&files.key).unwrap(), before);
 }
 
+// Guards against a handshake on a host whose settings contain no keys.
 #[tokio::test]
-async fn without_keys_a_face_speaks_plain_text() {
+async fn a_face_without_keys_uses_plain_text() {
     let control = AccessControl::new(&settings()).unwrap();
     let (_client, server_end) = tcp_pair().await;
     let stream = control.accept(FaceKind::Peers, server_end).await.unwrap();
