--- a/crates/daemon/src/access/credentials.rs
+++ b/crates/daemon/src/access/credentials.rs
@@ -9,7 +9,7 @@
 use subtle::ConstantTimeEq;
 
 use super::identity::OperatorIdentity;
-use crate::settings::{BackendProof, DaemonSettings, TokenDigest};
+use crate::settings::{BackendAuthentication, DaemonSettings, TokenDigest};
 
 /// Authentication scheme of the `Authorization` header, in lower case, with the space after it.
 const SCHEME: &str = "bearer ";
@@ -48,14 +48,15 @@
     customers: HashMap<DigestKey, CustomerName>,
     operators: HashMap<DigestKey, OperatorIdentity>,
     backend_servers: HashMap<DigestKey, ()>,
-    backend_proof_required: bool,
+    backend_token_required: bool,
 }
 
 impl CredentialTable {
     /// Builds the table from the token digests in `settings`.
     pub fn new(settings: &DaemonSettings) -> Self {
         let mut table = Self {
-            backend_proof_required: settings.backend_servers.proof == BackendProof::Required,
+            backend_token_required: settings.backend_servers.proof
+                == BackendAuthentication::Required,
             ..Self::default()
         };
         for customer in &settings.customers {
@@ -88,7 +89,7 @@
 
     /// Whether `headers` contain a token of the backend servers, or none is required.
     pub fn admits_backend_server(&self, headers: &HeaderMap) -> bool {
-        if !self.backend_proof_required {
+        if !self.backend_token_required {
             return true;
         }
         digest_key(headers).is_some_and(|key| self.backend_servers.contains_key(&key))
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -42,7 +42,8 @@
 pub use listen::ListenSettings;
 pub use logs::LogSettings;
 pub use parties::{
-    BackendProof, BackendSettings, CustomerSettings, OperatorRole, OperatorSettings, PeerSettings,
+    BackendAuthentication, BackendSettings, CustomerSettings, OperatorRole, OperatorSettings,
+    PeerSettings,
 };
 pub use placement::PlacementSettings;
 pub use relay::RelaySettings;
--- a/crates/daemon/src/settings/parties.rs
+++ b/crates/daemon/src/settings/parties.rs
@@ -54,7 +54,7 @@
 
 /// Whether backend servers must authenticate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendProof {
+pub enum BackendAuthentication {
     /// An announcement needs a token.
     Required,
     /// Any client that reaches the address can announce a backend server.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 pub struct BackendSettings {
     /// Whether an announcement needs a token.
-    pub proof: BackendProof,
+    pub proof: BackendAuthentication,
     /// Digests of the accepted tokens.
     pub tokens: Vec<TokenDigest>,
 }
@@ -107,9 +107,9 @@
         let mut values = Vec::new();
         for digest in digests {
             values.push(digest.value);
-            let same =
+            let is_same =
                 |known: &&OwnedDigest| known.digest.value.as_bytes() == digest.value.as_bytes();
-            if let Some(known) = self.digests.iter().find(same) {
+            if let Some(known) = self.digests.iter().find(is_same) {
                 let message = format!("{owner} has the token of {}", known.owner);
                 section.error(digest.place.clone(), message, "a token of its own");
             }
@@ -195,18 +195,18 @@
 
 impl BackendSettings {
     pub(super) fn read(section: &mut SectionReader<'_>, finder: &mut DuplicateFinder) -> Self {
-        let proofs = [
-            ("required", BackendProof::Required),
-            ("not-required", BackendProof::NotRequired),
+        let choices = [
+            ("required", BackendAuthentication::Required),
+            ("not-required", BackendAuthentication::NotRequired),
         ];
-        let proof = section.choice("proof", BackendProof::Required, &proofs);
+        let proof = section.choice("proof", BackendAuthentication::Required, &choices);
         let digests = section.digests("token_sha256");
         match proof {
-            BackendProof::Required if digests.is_empty() => {
+            BackendAuthentication::Required if digests.is_empty() => {
                 section.report_absent("token_sha256", "a token digest, or `proof: not-required`");
             }
-            BackendProof::Required => {}
-            BackendProof::NotRequired => section.warning(
+            BackendAuthentication::Required => {}
+            BackendAuthentication::NotRequired => section.warning(
                 section.place(),
                 "backend servers are not authenticated: any client that reaches the address can receive requests",
                 "`proof: required` with `token_sha256`",
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -271,7 +271,7 @@
                 // The message omits the text: it may be a token pasted by mistake.
                 Err(_) => self.context.error(
                     &node,
-                    format!("`{key}` holds something that is no SHA-256 digest"),
+                    format!("`{key}` contains a value that is no SHA-256 digest"),
                     TokenDigest::EXPECTED,
                 ),
             }
--- a/crates/daemon/src/settings/relay.rs
+++ b/crates/daemon/src/settings/relay.rs
@@ -10,7 +10,7 @@
 pub struct RelaySettings {
     /// Whether callers, operators and backend servers use the interface of the platform.
     pub enabled: bool,
-    /// Time after the acknowledgement of a change within which it comes in force. A host that may
+    /// Time after the acknowledgement of a change within which it comes into force. A host that may
     /// have missed changes for longer does not report any route or key as unknown.
     pub change_within: Duration,
     /// Time after the acknowledgement of a change after which keys that it revoked are no longer
--- a/crates/daemon/tests/access_faces.rs
+++ b/crates/daemon/tests/access_faces.rs
@@ -90,7 +90,11 @@
 }
 
 /// Connects `client` to `server` and returns the outcome at the client and at the server.
-async fn connected(client: &AccessControl, server: &AccessControl, face: FaceKind) -> [String; 2] {
+async fn connect_ends(
+    client: &AccessControl,
+    server: &AccessControl,
+    face: FaceKind,
+) -> [String; 2] {
     let (client_end, server_end) = tcp_pair().await;
     let brest: HostName = "brest-1".into();
     let calling = async {
@@ -156,11 +160,11 @@
             std::fs::copy(source.join(file), target.join(file)).unwrap();
         }
     };
-    for name in ["good", "expired", "early", "foreign", "operator"] {
+    for name in ["valid", "expired", "early", "foreign", "operator"] {
         copy_authority(name);
     }
-    let server = control_with(issue_in("good", "brest-1", VALID));
-    let client = control_with(issue_in("good", "brest-2", VALID));
+    let server = control_with(issue_in("valid", "brest-1", VALID));
+    let client = control_with(issue_in("valid", "brest-2", VALID));
     let table = [
         ("brest-2 itself", &client, &server),
         (
@@ -169,7 +173,7 @@
             &server,
         ),
         (
-            "not yet good",
+            "not yet valid",
             &control_with(issue_in("early", "brest-2", NOT_YET_VALID)),
             &server,
         ),
@@ -206,7 +210,7 @@
     ];
     let mut lines = Vec::new();
     for (name, client, server) in table {
-        let [called, served] = connected(client, server, FaceKind::Peers).await;
+        let [called, served] = connect_ends(client, server, FaceKind::Peers).await;
         lines.push(format!("{name}\n  client: {called}\n  server: {served}"));
     }
     insta::assert_snapshot!(lines.join("\n"), @r#"
@@ -216,7 +220,7 @@
     expired
       client: refused by the other side
       server: TLS handshake: invalid peer certificate: certificate expired
-    not yet good
+    not yet valid
       client: refused by the other side
       server: TLS handshake: invalid peer certificate: certificate not valid yet
     another host
@@ -382,13 +386,13 @@
     ));
     lines.push(format!(
         "client: {}",
-        connected(&client, &server, FaceKind::Peers).await[0]
+        connect_ends(&client, &server, FaceKind::Peers).await[0]
     ));
     replace(&renewed.key, &files.key, 2);
     lines.push(format!("whole: {:?}", server.refresh_keys().ok()));
     lines.push(format!(
         "client: {}",
-        connected(&client, &server, FaceKind::Peers).await[0]
+        connect_ends(&client, &server, FaceKind::Peers).await[0]
     ));
     lines.push(format!("{:?}", server.status()));
     insta::assert_snapshot!(lines.join("\n"), @r#"
--- a/crates/daemon/tests/settings_findings.rs
+++ b/crates/daemon/tests/settings_findings.rs
@@ -120,7 +120,7 @@
     host.yaml:12:50: error: `address: localhost:7070`: invalid socket address syntax (accepted: an IP address with a port)
     host.yaml:12:12: error: peer brest-2 is listed twice (accepted: each name once)
     host.yaml:14:11: error: `name: façades du ponant` is no name (accepted: a name of 1 to 63 letters a to z, digits and, within it, `-` or `_`)
-    host.yaml:17:86: error: `token_sha256` holds something that is no SHA-256 digest (accepted: 64 hexadecimal digits, the SHA-256 digest of the token)
+    host.yaml:17:86: error: `token_sha256` contains a value that is no SHA-256 digest (accepted: 64 hexadecimal digits, the SHA-256 digest of the token)
     host.yaml:18:11: error: customer ponant is listed twice (accepted: each name once)
     host.yaml:18:5: error: `token_sha256` is absent from customers (accepted: 64 hexadecimal digits, the SHA-256 digest of the token)
     host.yaml:20:24: error: `role: chief` is not one of the choices (accepted: viewer, editor)
