--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -302,8 +302,8 @@
     /// the call.
     ///
     /// Records reach the files shortly after they are replicated, so without the copy the files can
-    /// lack requests whose callers have their complete response. Without a quorum the files may lack
-    /// the newest records; they are returned all the same, since auditors read them then too.
+    /// lack requests whose callers have their complete response. Without a quorum the files may
+    /// lack the newest records; they are returned all the same, since auditors read them then too.
     async fn current_files(&self, shared: &SharedState) -> Result<EvidenceFiles, String> {
         let files = self
             .files
