--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -209,7 +209,7 @@
             entry: Arc::clone(&context),
             node: Arc::clone(&node),
             access: Arc::clone(&access),
-            desk: Arc::clone(node.desk()),
+            question_handler: Arc::clone(node.question_handler()),
             dump: dump.clone(),
             warnings,
         });
