--- a/crates/daemon/src/announcements.rs
+++ b/crates/daemon/src/announcements.rs
@@ -15,7 +15,7 @@
 
 use crate::access::AccessControl;
 use crate::clock::{TimeSource, millis};
-use crate::fleet::{AnnounceError, BackendFleet, HeldAnnouncement};
+use crate::fleet::{AnnounceError, AnnouncementNumber, BackendFleet};
 
 /// Path of announcement requests.
 pub const ANNOUNCEMENT_PATH: &str = "/backend/v1/announcements";
@@ -81,8 +81,8 @@
     }
 
     fn reply(&self, announcement: &Announcement) -> AnnouncementReply {
-        let held = self.fleet.held(&announcement.server);
-        let held = held.unwrap_or(HeldAnnouncement {
+        let held = self.fleet.announcement_number(&announcement.server);
+        let held = held.unwrap_or(AnnouncementNumber {
             incarnation: announcement.incarnation,
             sequence: announcement.sequence,
         });
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -29,9 +29,9 @@
 use crate::evidence::run_recorder;
 use crate::faces::FaceRouter;
 use crate::fleet::BackendFleet;
-use crate::lifecycle::{LifeControl, LifeStep};
-use crate::node::{AgreedNode, NodeError, NodeParts};
-use crate::observe::{ObservedTables, observe};
+use crate::gauges::{GaugeSources, run_gauges};
+use crate::lifecycle::{LifecycleControl, LifecycleStep};
+use crate::node::{ClusterNode, NodeError, NodeParts};
 use crate::operators::{OperatorContext, OperatorHandler};
 use crate::placement::{PlacementParts, run_placement};
 use crate::platform::{DumpSource, PlatformHandler};
@@ -100,8 +100,8 @@
     servers: Vec<HttpServer>,
     context: Arc<EntryContext>,
     access: Arc<AccessControl>,
-    node: Arc<AgreedNode>,
-    life: LifeControl,
+    node: Arc<ClusterNode>,
+    life: LifecycleControl,
     drain: DrainSettings,
     tasks: Vec<JoinHandle<()>>,
 }
@@ -150,10 +150,10 @@
             clock: Arc::clone(&clock),
             nonce: ProcessNonce(rand::random()),
         };
-        let node = Arc::new(AgreedNode::start(settings, parts).await?);
+        let node = Arc::new(ClusterNode::start(settings, parts).await?);
         let agreed: Arc<dyn AgreedState> = Arc::clone(&node) as Arc<dyn AgreedState>;
         let gate = Arc::new(admission_gate(settings, Arc::clone(&clock)));
-        let life = LifeControl::default();
+        let life = LifecycleControl::default();
         let context = Arc::new(EntryContext {
             host: settings.host.clone(),
             incarnation: clock.wall().0,
@@ -260,7 +260,7 @@
             agreed: Arc::clone(&agreed),
             clock: Arc::clone(&clock),
         };
-        let observed = ObservedTables {
+        let gauges = GaugeSources {
             fleet: Arc::clone(&fleet),
             node: Arc::clone(&node),
             recorder: Arc::clone(&recorder),
@@ -268,7 +268,7 @@
         };
         let relay_tasks = relay.map(|relay| start_relay(settings, relay, &node, &agreed));
         let mut tasks = vec![
-            tokio::spawn(observe(observed, Arc::clone(&metrics))),
+            tokio::spawn(run_gauges(gauges, Arc::clone(&metrics))),
             tokio::spawn(run_placement(placement)),
             tokio::spawn(tick_loop(
                 fleet,
@@ -309,7 +309,7 @@
     }
 
     /// This host's part in the agreed state.
-    pub fn node(&self) -> &Arc<AgreedNode> {
+    pub fn node(&self) -> &Arc<ClusterNode> {
         &self.node
     }
 
@@ -323,12 +323,12 @@
     /// finish, and closes. True if everything finished within the drain timeout, which counts by the
     /// steady clock: no lease rests on it, and a host that was suspended cuts nobody off for that.
     pub async fn drain(mut self) -> bool {
-        self.life.advance(LifeStep::Leaving);
+        self.life.advance(LifecycleStep::Leaving);
         if let Some(recorder) = self.context.recorder.get() {
-            recorder.stop_waiting();
+            recorder.flush_for_shutdown();
         }
         tokio::time::sleep(self.drain.notice).await;
-        self.life.advance(LifeStep::Closed);
+        self.life.advance(LifecycleStep::Closed);
         let deadline = Instant::now() + self.drain.timeout;
         let servers = std::mem::take(&mut self.servers);
         let connections = async {
@@ -338,7 +338,7 @@
         };
         let evidence = async {
             if let Some(recorder) = self.context.recorder.get() {
-                recorder.settle().await;
+                recorder.flush().await;
             }
         };
         in_time(deadline, "connections", connections).await
--- a/crates/daemon/src/daemon/sources.rs
+++ b/crates/daemon/src/daemon/sources.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 use crate::operators::keeper_state;
 use crate::platform::{DumpSource, MetricSource};
 use crate::telemetry::{MetricRegistry, RecorderSlot};
@@ -41,7 +41,7 @@
 }
 
 pub(super) struct NodeDump {
-    pub(super) node: Arc<AgreedNode>,
+    pub(super) node: Arc<ClusterNode>,
 }
 
 impl DumpSource for NodeDump {
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -15,7 +15,7 @@
 use crate::agreed::AgreedState;
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::lifecycle::{LifeStep, LifeWatch};
+use crate::lifecycle::{LifecycleStep, LifecycleWatch};
 use crate::resend::ResendPolicy;
 use crate::streams::StreamStore;
 use crate::tasks::TaskGroup;
@@ -50,7 +50,7 @@
     /// How drafts run.
     pub drafts: DraftSettings,
     /// Whether new work is taken.
-    pub lifecycle: LifeWatch,
+    pub lifecycle: LifecycleWatch,
     /// Admits requests.
     pub gate: Arc<AdmissionGate>,
     /// Streams that can go on at another entry.
@@ -81,7 +81,7 @@
 impl EntryContext {
     /// Why the balancer should send nothing here; `None` if it should.
     pub fn unready_reason(&self) -> Option<String> {
-        if self.lifecycle.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifecycleStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
         if let Err(stale) = self.agreed.configuration() {
@@ -122,7 +122,7 @@
             };
             return Err(Refusal::unauthorized(detail));
         };
-        if self.lifecycle.step() == LifeStep::Closed {
+        if self.lifecycle.step() == LifecycleStep::Closed {
             return Err(Refusal::not_ready("it is stopping as planned"));
         }
         Ok(customer)
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -143,7 +143,7 @@
         let Some(open) = &self.open else {
             return;
         };
-        if tokio::time::timeout(STORE_PATIENCE, open.begun())
+        if tokio::time::timeout(STORE_PATIENCE, open.wait_for_start_record())
             .await
             .is_err()
         {
--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -32,11 +32,11 @@
 const LIFE_PAUSE: Duration = Duration::from_millis(20);
 
 /// Gives batches to the agreement group.
-pub struct AgreedSink {
+pub struct AgreementSink {
     agreed: Arc<dyn AgreedState>,
 }
 
-impl EvidenceSink for AgreedSink {
+impl EvidenceSink for AgreementSink {
     fn store(&self, batch: KeeperBatch) -> StoreFuture {
         let agreed = Arc::clone(&self.agreed);
         Box::pin(async move {
@@ -73,8 +73,8 @@
     };
     let buffer = EvidenceBuffer::new(writer, buffer_bounds(&settings), [HostName::from(GROUP)]);
     let running = Arc::new(EvidenceRecorder::new(buffer, clock));
-    recorder.open(Arc::clone(&running));
-    let sink = sink.unwrap_or_else(|| Box::new(AgreedSink { agreed }));
+    recorder.set_recorder(Arc::clone(&running));
+    let sink = sink.unwrap_or_else(|| Box::new(AgreementSink { agreed }));
     running.run(sink.as_ref()).await;
 }
 
@@ -109,10 +109,10 @@
 }
 
 /// Whether all records of a drop are on their way; it is tried again later if they are not.
-fn note_plan(recorder: &EvidenceRecorder, plan: &RetentionPlan) -> bool {
+fn record_plan(recorder: &EvidenceRecorder, plan: &RetentionPlan) -> bool {
     plan.records.iter().all(|record| {
         let event = EvidenceEvent::RetentionApplied(record.clone());
-        recorder.note(event).is_ok()
+        recorder.record_in_background(event).is_ok()
     })
 }
 
@@ -169,7 +169,7 @@
             ticks.tick().await;
             let files = self.clone();
             let state = shared.clone();
-            let copied = tokio::task::spawn_blocking(move || files.copy(&state)).await;
+            let copied = tokio::task::spawn_blocking(move || files.copy_records(&state)).await;
             match copied {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => {
@@ -182,7 +182,7 @@
     }
 
     /// Drops old records for as long as the process lives.
-    pub async fn retain(
+    pub async fn run_retention(
         self,
         policy: RetentionPolicy,
         recorder: Arc<RecorderSlot>,
@@ -192,7 +192,7 @@
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            if let Err(error) = self.retain_once(clock.wall(), policy, &recorder).await {
+            if let Err(error) = self.apply_retention(clock.wall(), policy, &recorder).await {
                 log::error!(error:% = error; "old evidence is not dropped");
             }
         }
@@ -202,7 +202,7 @@
     ///
     /// # Errors
     /// The files can't be read or changed.
-    pub async fn retain_once(
+    pub async fn apply_retention(
         &self,
         now: WallTime,
         policy: RetentionPolicy,
@@ -217,10 +217,10 @@
         else {
             return Ok(false);
         };
-        if !note_plan(recorder, &plan) {
+        if !record_plan(recorder, &plan) {
             return Ok(false);
         }
-        recorder.settle().await;
+        recorder.flush().await;
         self.on_disk(move |journal| journal.apply(plan)).await?;
         Ok(true)
     }
@@ -240,7 +240,7 @@
     ///
     /// # Errors
     /// The files can't be written.
-    pub fn copy(&self, shared: &SharedState) -> Result<(), JournalError> {
+    pub fn copy_records(&self, shared: &SharedState) -> Result<(), JournalError> {
         loop {
             let next = self.lock().next();
             let records: Vec<IndexedRecord> = shared.read(|state| {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -393,7 +393,8 @@
             revision
         };
         let event = RevisionInForce { revision };
-        self.recorder.note(EvidenceEvent::RevisionInForce(event));
+        self.recorder
+            .record_in_background(EvidenceEvent::RevisionInForce(event));
     }
 
     /// Sends every peer the revision that this host serves. Peers with an older revision ask a
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -69,7 +69,7 @@
 
 /// Number of the newest announcement that is held of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldAnnouncement {
+pub struct AnnouncementNumber {
     /// Life of the server's process.
     pub incarnation: u64,
     /// Number within that life.
@@ -245,10 +245,10 @@
     }
 
     /// Number of the newest announcement that is held of `server`.
-    pub fn held(&self, server: &str) -> Option<HeldAnnouncement> {
+    pub fn announcement_number(&self, server: &str) -> Option<AnnouncementNumber> {
         let state = self.lock();
         let held = &state.leases.get(&ServerName::from(server))?.announce;
-        Some(HeldAnnouncement {
+        Some(AnnouncementNumber {
             incarnation: held.incarnation.0,
             sequence: held.sequence.0,
         })
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -106,13 +106,13 @@
     }
 
     /// Takes what a survey of engines found.
-    pub(crate) fn take_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
+    pub(crate) fn merge_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
         self.lock().survey.merge(now, notes);
     }
 
     /// Servers of `workers` that this host heard of first, itself or by a host that follows it: it asks them
     /// for their state.
-    pub(crate) fn in_area(&self, workers: &[Arc<WorkerView>]) -> Vec<Arc<WorkerView>> {
+    pub(crate) fn own_and_followers(&self, workers: &[Arc<WorkerView>]) -> Vec<Arc<WorkerView>> {
         let state = self.lock();
         let is_in_area = |worker: &&Arc<WorkerView>| {
             let lease = state.leases.get(&worker.server);
@@ -132,7 +132,7 @@
     }
 
     /// Whether a server of a published service may get new work now; asked right before each send.
-    pub(crate) fn may_take(&self, now: MonotonicTime, server: &ServerName) -> bool {
+    pub(crate) fn worker_may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let state = self.lock();
         let worker = state.workers.get(server);
         worker.is_some_and(|worker| state.is_there(now, worker))
--- a/crates/daemon/src/observe.rs
+++ b/crates/daemon/src/gauges.rs
@@ -7,18 +7,18 @@
 
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 use crate::telemetry::{MetricRegistry, RecorderSlot};
 
 /// Time between two readings.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// What is read.
-pub struct ObservedTables {
+pub struct GaugeSources {
     /// Backend servers.
     pub fleet: Arc<BackendFleet>,
     /// Configuration, claims and the keeper.
-    pub node: Arc<AgreedNode>,
+    pub node: Arc<ClusterNode>,
     /// Evidence that waits.
     pub recorder: Arc<RecorderSlot>,
     /// The present time.
@@ -26,7 +26,7 @@
 }
 
 /// Reads the tables every second for as long as the daemon runs.
-pub async fn observe(tables: ObservedTables, metrics: Arc<MetricRegistry>) {
+pub async fn run_gauges(tables: GaugeSources, metrics: Arc<MetricRegistry>) {
     let mut ticks = tokio::time::interval(PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -35,7 +35,7 @@
     }
 }
 
-fn read(tables: &ObservedTables, metrics: &MetricRegistry) {
+fn read(tables: &GaugeSources, metrics: &MetricRegistry) {
     let serving = tables.fleet.serving(tables.clock.now()).len();
     metrics.backend_servers(count(serving));
     let (revision, lease) = tables.node.feed().lease();
--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -130,7 +130,7 @@
         if pass_on {
             self.surveys.enqueue(now, results.clone());
         }
-        self.fleet.take_survey(now, results);
+        self.fleet.merge_survey(now, results);
     }
 
     /// Sends a peer the full announcements that it requested.
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -8,7 +8,7 @@
 
 /// Step of a daemon's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeStep {
+pub enum LifecycleStep {
     /// It takes new work.
     Serving,
     /// It takes new work, but asks the balancer for none.
@@ -19,41 +19,41 @@
 
 /// Follows the step of a daemon's life.
 #[derive(Clone, Debug)]
-pub struct LifeWatch {
-    step: watch::Receiver<LifeStep>,
+pub struct LifecycleWatch {
+    step: watch::Receiver<LifecycleStep>,
 }
 
 /// Sets the step of a daemon's life.
 #[derive(Debug)]
-pub struct LifeControl {
-    step: watch::Sender<LifeStep>,
+pub struct LifecycleControl {
+    step: watch::Sender<LifecycleStep>,
 }
 
-impl Default for LifeControl {
+impl Default for LifecycleControl {
     fn default() -> Self {
         Self {
-            step: watch::Sender::new(LifeStep::Serving),
+            step: watch::Sender::new(LifecycleStep::Serving),
         }
     }
 }
 
-impl LifeControl {
+impl LifecycleControl {
     /// Moves to `step`; a life never goes back.
-    pub fn advance(&self, step: LifeStep) {
+    pub fn advance(&self, step: LifecycleStep) {
         self.step.send_replace(step);
     }
 
     /// A watch on the step.
-    pub fn watch(&self) -> LifeWatch {
-        LifeWatch {
+    pub fn watch(&self) -> LifecycleWatch {
+        LifecycleWatch {
             step: self.step.subscribe(),
         }
     }
 }
 
-impl LifeWatch {
+impl LifecycleWatch {
     /// The present step.
-    pub fn step(&self) -> LifeStep {
+    pub fn step(&self) -> LifecycleStep {
         *self.step.borrow()
     }
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -68,7 +68,7 @@
 }
 
 /// This host's part in the agreed state; dropping it ends it at once, as a crash does.
-pub struct AgreedNode {
+pub struct ClusterNode {
     feed: Arc<ConfigurationFeed>,
     client: KeeperClient,
     /// Taken at the planned stop.
@@ -96,7 +96,7 @@
     pub nonce: ProcessNonce,
 }
 
-impl AgreedNode {
+impl ClusterNode {
     /// Starts links, the keeper where the settings name one, and the configuration feed.
     ///
     /// # Errors
@@ -195,7 +195,7 @@
         if let Some(shared) = &shared {
             if let Some(files) = files {
                 tasks.push(tokio::spawn(files.clone().run(shared.clone())));
-                tasks.push(tokio::spawn(files.retain(
+                tasks.push(tokio::spawn(files.run_retention(
                     retention_policy(&settings.evidence),
                     Arc::clone(&parts.recorder),
                     Arc::clone(&parts.clock),
@@ -308,7 +308,7 @@
     }
 }
 
-impl Drop for AgreedNode {
+impl Drop for ClusterNode {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -316,7 +316,7 @@
     }
 }
 
-impl AgreedState for AgreedNode {
+impl AgreedState for ClusterNode {
     fn configuration(&self) -> Result<Arc<Configuration>, StaleConfiguration> {
         self.feed.current()
     }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -23,7 +23,7 @@
 
 use crate::access::{AccessControl, CertificateIdentity, OperatorIdentity};
 use crate::entry::EntryContext;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 use crate::platform::DumpSource;
 use crate::settings::OperatorRole;
 use problem::OperatorProblem;
@@ -35,7 +35,7 @@
     /// What callers' requests share.
     pub entry: Arc<EntryContext>,
     /// This host's part in the agreed state.
-    pub node: Arc<AgreedNode>,
+    pub node: Arc<ClusterNode>,
     /// Who may come in.
     pub access: Arc<AccessControl>,
     /// Answers questions that need a keeper, or passes them to one.
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -74,7 +74,7 @@
         reason: reason.into(),
     });
     // The change itself is in the replicated history too, which names operator, time and content.
-    context.entry.recorder.note(event);
+    context.entry.recorder.record_in_background(event);
 }
 
 /// Documents in which the change differs from what this host holds.
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -304,7 +304,7 @@
             log::warn!("evidence is read without the newest records: no quorum answers");
         }
         let (copied, state) = (files.clone(), shared.clone());
-        if let Err(reason) = blocking(move || copied.copy(&state)).await {
+        if let Err(reason) = blocking(move || copied.copy_records(&state)).await {
             log::error!(reason:% = reason; "evidence files lack the newest records");
         }
         Ok(files)
--- a/crates/daemon/src/placement.rs
+++ b/crates/daemon/src/placement.rs
@@ -5,7 +5,7 @@
 
 mod order;
 mod right;
-mod wanted;
+mod targets;
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -23,8 +23,8 @@
 use crate::settings::PlacementSettings;
 
 use order::send_order;
-pub(crate) use right::RightKeeper;
-use wanted::{EngineSpans, WantedPlacement};
+pub(crate) use right::OrderRightRenewer;
+use targets::{EngineSpans, TargetSelection};
 
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(200);
@@ -60,7 +60,7 @@
 struct EnginePlacer {
     parts: PlacementParts,
     table: PlacementTable,
-    right: RightKeeper,
+    right: OrderRightRenewer,
     spans: EngineSpans,
     seen: BTreeSet<ServerName>,
     client: HttpClient,
@@ -69,7 +69,7 @@
 impl EnginePlacer {
     fn new(parts: PlacementParts) -> Self {
         let table = PlacementTable::new(table_settings(&parts.settings), parts.clock.now());
-        let right = RightKeeper::new(parts.host.clone(), parts.settings.lease);
+        let right = OrderRightRenewer::new(parts.host.clone(), parts.settings.lease);
         Self {
             parts,
             table,
@@ -88,7 +88,7 @@
         }
         let right = self
             .right
-            .keep(self.parts.agreed.as_ref(), self.parts.clock.as_ref())
+            .renew_if_due(self.parts.agreed.as_ref(), self.parts.clock.as_ref())
             .await;
         if let Some(right) = right {
             self.table.grant(self.parts.clock.now(), right);
@@ -102,7 +102,7 @@
         let Ok(configuration) = self.parts.agreed.configuration() else {
             return false;
         };
-        let wanted = WantedPlacement::new(&configuration);
+        let wanted = TargetSelection::new(&configuration);
         if wanted.is_empty() {
             return false;
         }
--- a/crates/daemon/src/placement/right.rs
+++ b/crates/daemon/src/placement/right.rs
@@ -19,13 +19,13 @@
 const RENEW_PARTS: u32 = 3;
 
 /// Asks for the right when it is time to.
-pub(crate) struct RightKeeper {
+pub(crate) struct OrderRightRenewer {
     host: HostName,
     lease: Duration,
     ask_at: MonotonicTime,
 }
 
-impl RightKeeper {
+impl OrderRightRenewer {
     pub(crate) fn new(host: HostName, lease: Duration) -> Self {
         Self {
             host,
@@ -36,7 +36,7 @@
 
     /// The right, if it was granted or renewed just now. Its end is counted from before the
     /// request was sent, so this host stops before the keepers let another one have it.
-    pub(crate) async fn keep(
+    pub(crate) async fn renew_if_due(
         &mut self,
         agreed: &dyn AgreedState,
         clock: &dyn TimeSource,
--- a/crates/daemon/src/placement/wanted.rs
+++ b/crates/daemon/src/placement/targets.rs
@@ -14,7 +14,7 @@
 use crate::fleet::FleetEngine;
 
 /// Selectors that name a model with a version, and what else bears on placement.
-pub(super) struct WantedPlacement<'held> {
+pub(super) struct TargetSelection<'held> {
     configuration: &'held Configuration,
     /// Selectors in the order in which they are tried, each with its weights.
     selectors: Vec<(WeightsId, &'held Selector)>,
@@ -28,7 +28,7 @@
     longest: BTreeMap<ServerName, u32>,
 }
 
-impl<'held> WantedPlacement<'held> {
+impl<'held> TargetSelection<'held> {
     pub(super) fn new(configuration: &'held Configuration) -> Self {
         let mut selectors = Vec::new();
         let mut open = BTreeSet::new();
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -39,7 +39,7 @@
     HandlerFuture, HttpHandler, ReadFailure, ResponseBody, full_body, read_bounded, read_within,
 };
 
-use crate::lifecycle::LifeStep;
+use crate::lifecycle::LifecycleStep;
 
 pub(crate) use context::{RelayContext, RelayParts};
 pub(crate) use start::{relay_faces, start_relay};
@@ -93,7 +93,7 @@
             }
             Err(fault) => context.refuse(&refused(RefusalKind::Malformed, fault.reason), None),
         };
-        if context.lifecycle.step() != LifeStep::Serving {
+        if context.lifecycle.step() != LifecycleStep::Serving {
             // Makes the caller open its next connection to a host that keeps running.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
@@ -116,7 +116,7 @@
     meter: &RequestMeter,
 ) -> Result<Response<ResponseBody>, Refused> {
     let arrived = context.clock.now();
-    if context.lifecycle.step() == LifeStep::Closed {
+    if context.lifecycle.step() == LifecycleStep::Closed {
         let stopping = refused(RefusalKind::NotRun, "this host is stopping as planned");
         return Err(stopping.retry_after(RETRY_STOPPING));
     }
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -16,7 +16,7 @@
 use crate::agreed::AgreedState;
 use crate::clock::{TimeSource, since_boot};
 use crate::fleet::BackendFleet;
-use crate::lifecycle::{LifeStep, LifeWatch};
+use crate::lifecycle::{LifecycleStep, LifecycleWatch};
 use crate::settings::RelaySettings;
 use crate::telemetry::MetricRegistry;
 
@@ -34,7 +34,7 @@
     pub(crate) agreed: Arc<dyn AgreedState>,
     pub(crate) fleet: Arc<BackendFleet>,
     pub(crate) clock: Arc<dyn TimeSource>,
-    pub(crate) lifecycle: LifeWatch,
+    pub(crate) lifecycle: LifecycleWatch,
     pub(crate) metrics: Arc<MetricRegistry>,
     pub(crate) seed: u64,
 }
@@ -47,7 +47,7 @@
     pub(super) fleet: Arc<BackendFleet>,
     pub(super) pool: ConnectionPool,
     pub(super) clock: Arc<dyn TimeSource>,
-    pub(super) lifecycle: LifeWatch,
+    pub(super) lifecycle: LifecycleWatch,
     pub(super) metrics: Arc<MetricRegistry>,
     loads: Mutex<ServerLoads>,
     chains: Mutex<ChainTable>,
@@ -102,7 +102,7 @@
 
     /// Returns the reason why the load balancer should send no requests here; `None` if it should.
     pub(crate) fn unready_reason(&self) -> Option<String> {
-        if self.lifecycle.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifecycleStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
         self.routes.unavailable_reason(self.clock.now())
--- a/crates/daemon/src/relay/control.rs
+++ b/crates/daemon/src/relay/control.rs
@@ -21,7 +21,7 @@
 use super::publish::Publisher;
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 
 /// Largest body of an announcement or a document, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 8 << 20;
@@ -36,7 +36,7 @@
     pub(crate) dialect: PlatformDialect,
     pub(crate) fleet: Arc<BackendFleet>,
     pub(crate) publisher: Publisher,
-    pub(crate) node: Arc<AgreedNode>,
+    pub(crate) node: Arc<ClusterNode>,
     pub(super) heartbeats: HeartbeatAssigner,
     pub(crate) clock: Arc<dyn TimeSource>,
 }
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -230,7 +230,7 @@
             .cloned()
             .collect();
         let fleet = &self.context.fleet;
-        let may_take_work = |server: &ServerName| fleet.may_take(now, server);
+        let may_take_work = |server: &ServerName| fleet.worker_may_take_work(now, server);
         let health = self.context.health();
         let is_healthy = |server: &ServerName| !health.is_suspected(now, server);
         let reserved = self.context.chains().reserve(
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -24,7 +24,7 @@
 use super::control::{BODY_TIMEOUT, MAX_BODY_BYTES};
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 
 /// Time without a keeper's answer after which a host refuses heartbeats: the time of two questions.
 /// Heartbeats to such a host reach no other host, so the leases of running servers would expire.
@@ -39,7 +39,7 @@
 pub(crate) struct HeartbeatHandler {
     pub(crate) dialect: PlatformDialect,
     pub(crate) fleet: Arc<BackendFleet>,
-    pub(crate) node: Arc<AgreedNode>,
+    pub(crate) node: Arc<ClusterNode>,
     pub(crate) clock: Arc<dyn TimeSource>,
 }
 
@@ -109,7 +109,7 @@
 
 /// Assigns a host to each server that announces itself to this keeper.
 pub(super) struct HeartbeatAssigner {
-    node: Arc<AgreedNode>,
+    node: Arc<ClusterNode>,
     state: Mutex<AssignerState>,
 }
 
@@ -120,7 +120,7 @@
 }
 
 impl HeartbeatAssigner {
-    pub(super) fn new(node: Arc<AgreedNode>) -> Self {
+    pub(super) fn new(node: Arc<ClusterNode>) -> Self {
         let state = AssignerState {
             table: AssignmentTable::new(AssignmentSettings::default()),
             hosts: Vec::new(),
@@ -153,7 +153,7 @@
 
 impl AssignerState {
     /// Refreshes the list of hosts that receive heartbeats and have a link to this host.
-    fn refresh_hosts(&mut self, now: MonotonicTime, node: &AgreedNode) {
+    fn refresh_hosts(&mut self, now: MonotonicTime, node: &ClusterNode) {
         let is_fresh = |at: MonotonicTime| now.since(at) < HOST_REFRESH_PERIOD;
         if self.refreshed_at.is_some_and(is_fresh) {
             return;
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -30,7 +30,7 @@
 use crate::fleet::WorkerView;
 use crate::lease_broadcast::LeaseBroadcaster;
 use crate::peers::PeerHub;
-use crate::placement::RightKeeper;
+use crate::placement::OrderRightRenewer;
 
 /// Time between two ticks of the placer.
 const PLACEMENT_TICK: Duration = Duration::from_millis(200);
@@ -75,7 +75,7 @@
 
 struct LayerPlacer {
     parts: PlacerParts,
-    right: RightKeeper,
+    right: OrderRightRenewer,
     pools: BTreeMap<PoolKey, EnginePool>,
     orders: BTreeMap<ServerName, OrderCount>,
     client: ConnectionPool,
@@ -102,7 +102,7 @@
 
 impl LayerPlacer {
     fn new(parts: PlacerParts) -> Self {
-        let right = RightKeeper::new(parts.host.clone(), parts.lease);
+        let right = OrderRightRenewer::new(parts.host.clone(), parts.lease);
         Self {
             parts,
             right,
@@ -129,7 +129,7 @@
         self.update_pools(&table, &workers);
         let right = self
             .right
-            .keep(self.parts.agreed.as_ref(), context.clock.as_ref())
+            .renew_if_due(self.parts.agreed.as_ref(), context.clock.as_ref())
             .await;
         let now = context.clock.now();
         if let Some(right) = right {
@@ -158,7 +158,7 @@
     async fn survey(&mut self, workers: &[Arc<WorkerView>]) {
         let context = Arc::clone(&self.parts.context);
         let now = context.clock.now();
-        let area = context.fleet.in_area(workers);
+        let area = context.fleet.own_and_followers(workers);
         let mut probed = Vec::new();
         if now < self.right_until {
             let own_area: BTreeSet<&ServerName> =
@@ -193,7 +193,7 @@
                 }
             }
         }
-        context.fleet.take_survey(context.clock.now(), results);
+        context.fleet.merge_survey(context.clock.now(), results);
     }
 
     /// Whether an engine did not answer its latest probe by this host or another keeper.
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -151,8 +151,9 @@
     {
         let fleet = &self.context.fleet;
         let suspects = self.context.health().suspects(now);
-        let may_take =
-            |server: &ServerName| fleet.may_take(now, server) && !suspects.contains(server);
+        let may_take = |server: &ServerName| {
+            fleet.worker_may_take_work(now, server) && !suspects.contains(server)
+        };
         work(&ChainRepair {
             request: &self.request,
             lost,
--- a/crates/daemon/src/relay/start.rs
+++ b/crates/daemon/src/relay/start.rs
@@ -14,13 +14,13 @@
 use crate::agreed::AgreedState;
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 use crate::settings::DaemonSettings;
 
 /// Builds the HTTP handlers for the clients that speak the platform's dialect.
 pub(crate) fn relay_faces(
     relay: &Arc<RelayContext>,
-    node: &Arc<AgreedNode>,
+    node: &Arc<ClusterNode>,
     fleet: &Arc<BackendFleet>,
     clock: &Arc<dyn TimeSource>,
 ) -> RelayFaces {
@@ -55,7 +55,7 @@
 pub(crate) fn start_relay(
     settings: &DaemonSettings,
     relay: Arc<RelayContext>,
-    node: &AgreedNode,
+    node: &ClusterNode,
     agreed: &Arc<dyn AgreedState>,
 ) -> Vec<JoinHandle<()>> {
     if !settings.is_keeper() {
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -10,8 +10,8 @@
 
 pub use instruments::{INSTRUMENTS, InstrumentKind, InstrumentSpec};
 pub use journal::{EvidenceJournal, JournalError, RetentionPlan};
-pub use lines::{LineAppender, LineBudget, LineSettings, line_of};
-pub use logs::{LogControl, LogError, log_field, log_to};
+pub use lines::{LineAppender, LineBudget, LineSettings, format_line};
+pub use logs::{LogControl, LogError, log_config, log_field};
 pub use metrics::{MetricError, MetricRegistry, RefusedConnection, RequestEnd};
 pub use recorder::{EvidenceRecorder, EvidenceSink, OpenRequest, SinkError, StoreFuture};
 pub use slot::RecorderSlot;
--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -89,18 +89,18 @@
             self.info.take(now, self.settings.info_lines)
         };
         if !fits {
-            self.leave_out();
+            self.count_dropped();
         }
         fits
     }
 
     /// Counts a line that was left out.
-    pub fn leave_out(&mut self) {
+    pub fn count_dropped(&mut self) {
         self.left_out = self.left_out.saturating_add(1);
     }
 
     /// Lines left out since they were last asked for.
-    pub fn take_left_out(&mut self) -> u64 {
+    pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.left_out)
     }
 }
@@ -157,14 +157,14 @@
         if !budget.take(now, record.level()) {
             return Ok(());
         }
-        let left_out = budget.take_left_out();
+        let left_out = budget.take_dropped();
         if left_out > 0 && !self.push(left_out_line(left_out)) {
             for _ in 0..left_out {
-                budget.leave_out();
+                budget.count_dropped();
             }
         }
-        if !self.push(line_of(record)) {
-            budget.leave_out();
+        if !self.push(format_line(record)) {
+            budget.count_dropped();
         }
         Ok(())
     }
@@ -217,7 +217,7 @@
 
 /// The line of a record: `t` is the wall-clock time in milliseconds, `l` the level, `m` what
 /// happened; the rest are the record's own fields.
-pub fn line_of(record: &Record<'_>) -> String {
+pub fn format_line(record: &Record<'_>) -> String {
     let level = record.level().as_str().to_ascii_lowercase();
     let message = quoted(&record.args().to_string());
     let time = wall_millis();
--- a/crates/daemon/src/telemetry/logs.rs
+++ b/crates/daemon/src/telemetry/logs.rs
@@ -53,7 +53,7 @@
     ///
     /// If the levels can't be used or logs were started before.
     pub fn start(settings: &LogSettings) -> Result<Self, LogError> {
-        let config = log_to(settings, lines()?)?;
+        let config = log_config(settings, lines()?)?;
         let handle = log4rs::init_config(config)?;
         Ok(Self { handle })
     }
@@ -64,7 +64,7 @@
     ///
     /// If the levels can't be used; the old ones stay.
     pub fn change(&self, settings: &LogSettings) -> Result<(), LogError> {
-        self.handle.set_config(log_to(settings, lines()?)?);
+        self.handle.set_config(log_config(settings, lines()?)?);
         Ok(())
     }
 }
@@ -74,7 +74,7 @@
 /// # Errors
 ///
 /// If a package name is no path of modules.
-pub fn log_to(settings: &LogSettings, appender: Box<dyn Append>) -> Result<Config, LogError> {
+pub fn log_config(settings: &LogSettings, appender: Box<dyn Append>) -> Result<Config, LogError> {
     let loggers = settings.packages.iter().map(|(package, level)| {
         // Settings may name a package as Cargo does; a module path has `_` for `-`.
         Logger::builder().build(package.replace('-', "_"), *level)
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -124,7 +124,10 @@
     /// # Errors
     ///
     /// [`BufferError`] if even the spare room is used.
-    pub fn note(&self, event: EvidenceEvent) -> Result<SequenceNumber, BufferError> {
+    pub fn record_in_background(
+        &self,
+        event: EvidenceEvent,
+    ) -> Result<SequenceNumber, BufferError> {
         let noted = self
             .buffer()
             .note(self.clock.now(), self.clock.wall(), event);
@@ -133,22 +136,22 @@
     }
 
     /// Waits until enough keepers have stored record `sequence`.
-    pub async fn stored(&self, sequence: SequenceNumber) {
+    pub async fn wait_until_stored(&self, sequence: SequenceNumber) {
         let mut durable = self.durable.subscribe();
         // The sender lives as long as this recorder, so the wait can't fail.
         let _ = durable.wait_for(|durable| *durable >= sequence).await;
     }
 
     /// Waits until everything that is recorded now is stored; for a planned stop.
-    pub async fn settle(&self) {
+    pub async fn flush(&self) {
         self.buffer().make_all_due(self.clock.now());
         self.recorded.notify_one();
         let last = self.status().head.sequence;
-        self.stored(last).await;
+        self.wait_until_stored(last).await;
     }
 
     /// Sends records as they come from now on, for a host that leaves.
-    pub fn stop_waiting(&self) {
+    pub fn flush_for_shutdown(&self) {
         self.buffer().flush_for_shutdown(self.clock.now());
         self.recorded.notify_one();
     }
@@ -162,21 +165,21 @@
     pub async fn run(&self, sink: &dyn EvidenceSink) {
         let mut sending = FuturesUnordered::new();
         loop {
-            for batch in self.due() {
+            for batch in self.due_batches() {
                 let keeper = batch.keeper.clone();
                 let storing = sink.store(batch);
                 sending.push(async move { (keeper, storing.await) });
             }
             let pause = self.pause();
             tokio::select! {
-                Some((keeper, result)) = sending.next() => self.answered(&keeper, result),
+                Some((keeper, result)) = sending.next() => self.handle_answer(&keeper, result),
                 () = self.recorded.notified() => {}
                 () = sleep(pause) => {}
             }
         }
     }
 
-    fn due(&self) -> Vec<KeeperBatch> {
+    fn due_batches(&self) -> Vec<KeeperBatch> {
         match self
             .buffer()
             .due_batches(self.clock.now(), self.clock.wall())
@@ -194,9 +197,9 @@
         due.map_or(IDLE, |due| due.since(self.clock.now()).min(IDLE))
     }
 
-    fn answered(&self, keeper: &HostName, result: Result<SequenceNumber, SinkError>) {
+    fn handle_answer(&self, keeper: &HostName, result: Result<SequenceNumber, SinkError>) {
         match result {
-            Ok(through) => self.note_stored(keeper, through),
+            Ok(through) => self.acknowledge(keeper, through),
             Err(SinkError::Superseded) => {
                 // Two lives of one host would write two histories. The older one is the one that
                 // was cut off without knowing it; from here on it refuses.
@@ -208,7 +211,7 @@
         }
     }
 
-    fn note_stored(&self, keeper: &HostName, through: SequenceNumber) {
+    fn acknowledge(&self, keeper: &HostName, through: SequenceNumber) {
         let mut buffer = self.buffer();
         let writer = buffer.status().head.writer;
         buffer.acknowledge(keeper, &writer, through);
@@ -238,8 +241,8 @@
 impl OpenRequest {
     /// Waits until the beginning is stored. The first byte of the answer waits for this: a caller
     /// never holds a part of an answer of which nothing is on record.
-    pub async fn begun(&self) {
-        self.recorder.stored(self.begun).await;
+    pub async fn wait_for_start_record(&self) {
+        self.recorder.wait_until_stored(self.begun).await;
     }
 
     /// Changes what the end will say, such as one more attempt.
@@ -259,7 +262,7 @@
     pub async fn finish(mut self) {
         let recorder = Arc::clone(&self.recorder);
         if let Some(sequence) = self.record_end() {
-            recorder.stored(sequence).await;
+            recorder.wait_until_stored(sequence).await;
         }
     }
 
--- a/crates/daemon/src/telemetry/slot.rs
+++ b/crates/daemon/src/telemetry/slot.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sets the recorder and gives it what happened before; a second recorder is passed over.
-    pub fn open(&self, recorder: Arc<EvidenceRecorder>) {
+    pub fn set_recorder(&self, recorder: Arc<EvidenceRecorder>) {
         let mut early = self.early();
         if self.recorder.set(Arc::clone(&recorder)).is_err() {
             return;
@@ -58,16 +58,16 @@
         let early = std::mem::take(&mut *early);
         let omitted = early.omitted.map(EvidenceEvent::RefusalsOmitted);
         for event in early.events.into_iter().chain(omitted) {
-            note(&recorder, event);
+            record_in_background(&recorder, event);
         }
         self.opened.send_replace(true);
     }
 
     /// Records something that no caller causes.
-    pub fn note(&self, event: EvidenceEvent) {
+    pub fn record_in_background(&self, event: EvidenceEvent) {
         let mut early = self.early();
         if let Some(recorder) = self.recorder.get() {
-            note(recorder, event);
+            record_in_background(recorder, event);
         } else if early.events.len() < MAX_EARLY_EVENTS {
             early.events.push(event);
         } else {
@@ -85,8 +85,8 @@
             return;
         };
         match sequence {
-            Some(sequence) => recorder.stored(sequence).await,
-            None => recorder.settle().await,
+            Some(sequence) => recorder.wait_until_stored(sequence).await,
+            None => recorder.flush().await,
         }
     }
 
@@ -116,8 +116,8 @@
     }
 }
 
-fn note(recorder: &EvidenceRecorder, event: EvidenceEvent) {
-    if let Err(error) = recorder.note(event) {
+fn record_in_background(recorder: &EvidenceRecorder, event: EvidenceEvent) {
+    if let Err(error) = recorder.record_in_background(event) {
         log::error!("an event is not on record: {error}");
     }
 }
--- a/crates/daemon/tests/outer_telemetry.rs
+++ b/crates/daemon/tests/outer_telemetry.rs
@@ -8,7 +8,8 @@
 
 use log::{Level, Record};
 use pollendrift::telemetry::{
-    EvidenceJournal, INSTRUMENTS, MetricRegistry, RefusedConnection, RequestEnd, line_of, log_field,
+    EvidenceJournal, INSTRUMENTS, MetricRegistry, RefusedConnection, RequestEnd, format_line,
+    log_field,
 };
 use pollendrift_coordination::base::{Incarnation, SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
@@ -74,7 +75,7 @@
 
 /// The line without its time, which differs at each run.
 fn line(record: &Record<'_>) -> String {
-    let line = line_of(record);
+    let line = format_line(record);
     let (time, rest) = line.split_once(',').expect("a time");
     let digits = time.strip_prefix("{\"t\":").expect("a time");
     assert!(digits.parse::<u64>().is_ok(), "{digits}");
--- a/crates/daemon/tests/telemetry_journal.rs
+++ b/crates/daemon/tests/telemetry_journal.rs
@@ -253,16 +253,16 @@
     let clock: Arc<dyn TimeSource> = Arc::new(SystemClock::default());
     let slot = RecorderSlot::new(Arc::clone(&clock));
     let now = WallTime(8 * DAY);
-    assert!(!files.retain_once(now, policy, &slot).await.unwrap());
+    assert!(!files.apply_retention(now, policy, &slot).await.unwrap());
     let writer = ChainWriter {
         host: "brest-1".into(),
         incarnation: Incarnation(2),
     };
     let buffer = EvidenceBuffer::new(writer, BufferSettings::default(), ["keepers".into()]);
     let recorder = Arc::new(EvidenceRecorder::new(buffer, clock));
-    slot.open(Arc::clone(&recorder));
+    slot.set_recorder(Arc::clone(&recorder));
     let retained = {
-        let dropping = files.retain_once(now, policy, &slot);
+        let dropping = files.apply_retention(now, policy, &slot);
         tokio::pin!(dropping);
         while recorder.status().records == 0 {
             assert!(futures_util::poll!(&mut dropping).is_pending());
@@ -278,5 +278,5 @@
     let left = files.find(&EvidenceFilter::default(), 100).unwrap();
     let left: Vec<_> = left.iter().map(|record| record.sequence.0).collect();
     assert_eq!((retained, left), (true, vec![4, 5, 6, 7, 8]));
-    assert!(!files.retain_once(now, policy, &slot).await.unwrap());
+    assert!(!files.apply_retention(now, policy, &slot).await.unwrap());
 }
--- a/crates/daemon/tests/telemetry_lines.rs
+++ b/crates/daemon/tests/telemetry_lines.rs
@@ -95,9 +95,9 @@
         .count();
     assert!(written < 10_000);
     assert!(budget.take(now, Level::Warn));
-    let left_out = usize::try_from(budget.take_left_out()).expect("a small number");
+    let left_out = usize::try_from(budget.take_dropped()).expect("a small number");
     assert_eq!(left_out, 10_000 - written);
-    assert_eq!(budget.take_left_out(), 0);
+    assert_eq!(budget.take_dropped(), 0);
     let later = MonotonicTime::from_millis(2_000);
     assert!(budget.take(later, Level::Info));
 }
--- a/crates/daemon/tests/telemetry_pages.rs
+++ b/crates/daemon/tests/telemetry_pages.rs
@@ -9,7 +9,8 @@
 use log4rs::encode::json::JsonEncoder;
 use pollendrift::settings::LogSettings;
 use pollendrift::telemetry::{
-    INSTRUMENTS, InstrumentKind, MetricRegistry, RefusedConnection, RequestEnd, log_field, log_to,
+    INSTRUMENTS, InstrumentKind, MetricRegistry, RefusedConnection, RequestEnd, log_config,
+    log_field,
 };
 use pollendrift_coordination::evidence::{
     BufferSettings, ChainWriter, EvidenceBuffer, OutcomeKind,
@@ -145,7 +146,7 @@
     settings
         .packages
         .insert("pollendrift::entry".into(), LevelFilter::Error);
-    let config = log_to(&settings, Box::new(appender)).unwrap();
+    let config = log_config(&settings, Box::new(appender)).unwrap();
     let logger = log4rs::Logger::new(config);
     for (target, level) in [
         ("pollendrift::keeper", Level::Info),
--- a/crates/daemon/tests/telemetry_recorder.rs
+++ b/crates/daemon/tests/telemetry_recorder.rs
@@ -130,12 +130,12 @@
     let (recorder, keepers) = (recorder(64), FakeKeepers::new(100, Ok(())));
     let mut open = recorder.begin(begun("r1")).unwrap();
     while_running(&recorder, &keepers, async {
-        open.begun().await;
+        open.wait_for_start_record().await;
         assert_eq!(keepers.stored(), ["begun"]);
         open.update(|end| end.outcome = OutcomeKind::Complete);
         open.finish().await;
         assert_eq!(keepers.stored(), ["begun", "finished complete"]);
-        recorder.settle().await;
+        recorder.flush().await;
     })
     .await;
     assert_eq!(recorder.status().records, 0);
@@ -150,7 +150,7 @@
     while_running(&recorder, &keepers, async {
         let mut asked = keepers.asked.subscribe();
         asked.wait_for(|asked| *asked > 0).await.unwrap();
-        let released = open.begun();
+        let released = open.wait_for_start_record();
         tokio::pin!(released);
         let now = futures_util::poll!(&mut released);
         assert!(now.is_pending());
@@ -169,7 +169,7 @@
     for _ in 0..3 {
         let open = recorder.begin(begun("r1")).unwrap();
         drop(open);
-        while_running(&recorder, &keepers, recorder.settle()).await;
+        while_running(&recorder, &keepers, recorder.flush()).await;
     }
     assert_eq!(
         keepers.stored(),
@@ -223,7 +223,7 @@
         let early = slot.refuse(refused());
         tokio::pin!(early);
         assert!(futures_util::poll!(&mut early).is_pending());
-        slot.open(Arc::clone(&recorder));
+        slot.set_recorder(Arc::clone(&recorder));
         while_running(&recorder, &keepers, early).await;
     }
     assert_eq!(keepers.stored(), ["refused not-run"]);
@@ -242,8 +242,8 @@
         tokio::pin!(early);
         assert!(futures_util::poll!(&mut early).is_pending());
     }
-    slot.open(Arc::clone(&recorder));
-    while_running(&recorder, &keepers, recorder.settle()).await;
+    slot.set_recorder(Arc::clone(&recorder));
+    while_running(&recorder, &keepers, recorder.flush()).await;
     let stored = keepers.stored();
     assert_eq!(
         (stored.len(), stored.last().unwrap().as_str()),
