--- a/crates/daemon/src/evidence.rs
+++ b/crates/daemon/src/evidence.rs
@@ -1,4 +1,4 @@
-//! The way of evidence: from this process through the agreement group into keepers' files.
+//! Path of the evidence: from this process through the agreement group to the keepers' files.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,18 +20,19 @@
     SinkError, StoreFuture,
 };
 
-/// The agreement group as the one keeper of a buffer: its word is that of a majority that synced.
+/// Name of the agreement group as the only keeper of a buffer. Its acknowledgement means that a
+/// majority of the keepers has synced the records.
 const GROUP: &str = "keepers";
-/// Records that one append takes.
+/// Maximum number of records in one append.
 const APPEND_RECORDS: usize = 1_024;
-/// Time between two looks for new records.
+/// Time between two checks for new records.
 const COPY_PERIOD: Duration = Duration::from_millis(200);
-/// Time between two looks for old records.
+/// Time between two checks for records to drop.
 const RETENTION_PERIOD: Duration = Duration::from_secs(600);
-/// Pause before a process without a life asks again.
-const LIFE_PAUSE: Duration = Duration::from_millis(20);
+/// Time between two checks whether this process has an incarnation.
+const INCARNATION_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// Gives batches to the agreement group.
+/// Submits evidence batches to the agreement group.
 pub struct AgreementSink {
     agreed: Arc<dyn AgreedState>,
 }
@@ -46,7 +47,7 @@
                     replicated_through(&answer).ok_or(SinkError::Superseded)
                 }
                 Ok(_) => Err(SinkError::Later {
-                    reason: "keepers answered another command".to_owned(),
+                    reason: "unexpected answer of the keepers to an evidence batch".to_owned(),
                 }),
                 Err(error) => Err(SinkError::Later {
                     reason: error.to_string(),
@@ -56,8 +57,8 @@
     }
 }
 
-/// Waits for this process's life, then records for as long as the process lives, through the
-/// agreement group unless there is another `sink`.
+/// Waits for the incarnation of this process, then sends evidence for as long as the process runs:
+/// to `sink` if there is one, otherwise to the agreement group.
 pub async fn run_recorder(
     recorder: Arc<RecorderSlot>,
     host: HostName,
@@ -66,28 +67,25 @@
     sink: Option<Box<dyn EvidenceSink>>,
     clock: Arc<dyn TimeSource>,
 ) {
-    let life = wait_for_life(&agreed).await;
-    let writer = ChainWriter {
-        host,
-        incarnation: life,
-    };
-    let buffer = EvidenceBuffer::new(writer, buffer_bounds(&settings), [HostName::from(GROUP)]);
+    let incarnation = wait_for_incarnation(&agreed).await;
+    let writer = ChainWriter { host, incarnation };
+    let buffer = EvidenceBuffer::new(writer, buffer_settings(&settings), [HostName::from(GROUP)]);
     let running = Arc::new(EvidenceRecorder::new(buffer, clock));
     recorder.set_recorder(Arc::clone(&running));
     let sink = sink.unwrap_or_else(|| Box::new(AgreementSink { agreed }));
     running.run(sink.as_ref()).await;
 }
 
-async fn wait_for_life(agreed: &Arc<dyn AgreedState>) -> Incarnation {
+async fn wait_for_incarnation(agreed: &Arc<dyn AgreedState>) -> Incarnation {
     loop {
-        if let Some(life) = agreed.incarnation() {
-            return life;
+        if let Some(incarnation) = agreed.incarnation() {
+            return incarnation;
         }
-        tokio::time::sleep(LIFE_PAUSE).await;
+        tokio::time::sleep(INCARNATION_POLL_PERIOD).await;
     }
 }
 
-fn buffer_bounds(settings: &EvidenceSettings) -> BufferSettings {
+fn buffer_settings(settings: &EvidenceSettings) -> BufferSettings {
     let size = |count: u64| usize::try_from(count).unwrap_or(usize::MAX);
     BufferSettings {
         max_records: size(settings.max_buffer_records),
@@ -100,7 +98,7 @@
     }
 }
 
-/// What the settings say of old records.
+/// Converts the retention settings.
 pub(crate) fn retention_policy(settings: &EvidenceSettings) -> RetentionPolicy {
     RetentionPolicy {
         max_age: settings.retain_age,
@@ -108,7 +106,8 @@
     }
 }
 
-/// Whether all records of a drop are on their way; it is tried again later if they are not.
+/// Records a planned drop; false if the buffer refuses a record, and the drop is then retried
+/// later.
 fn record_plan(recorder: &EvidenceRecorder, plan: &RetentionPlan) -> bool {
     plan.records.iter().all(|record| {
         let event = EvidenceEvent::RetentionApplied(record.clone());
@@ -131,14 +130,14 @@
         EvidenceJournal::open(host, folder).map(Self::new)
     }
 
-    /// Files that are open already.
+    /// Wraps an open journal.
     pub fn new(journal: EvidenceJournal) -> Self {
         Self {
             journal: Arc::new(Mutex::new(journal)),
         }
     }
 
-    /// Records that match `filter`, at most `limit`; reads files, so it blocks.
+    /// Returns up to `limit` records that match `filter`; blocks on the disk.
     ///
     /// # Errors
     /// The files can't be read.
@@ -150,7 +149,7 @@
         self.lock().find(filter, limit)
     }
 
-    /// The whole evidence of this keeper as JSON lines; reads files, so it blocks.
+    /// Returns all evidence of this keeper as JSON lines; blocks on the disk.
     ///
     /// # Errors
     /// The files can't be read.
@@ -160,8 +159,8 @@
         Ok(lines)
     }
 
-    /// Copies agreed records into the files for as long as the process lives, or until the disk
-    /// fails: the log holds the records until then, and a restart copies what is missing.
+    /// Copies replicated records to the files until the process ends or the disk fails. After a
+    /// disk failure the log still contains the records, and a restart copies the missing ones.
     pub async fn run(self, shared: SharedState) {
         let mut ticks = tokio::time::interval(COPY_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -173,7 +172,7 @@
             match copied {
                 Ok(Ok(())) => {}
                 Ok(Err(error)) => {
-                    log::error!(error:% = error; "evidence files stopped");
+                    log::error!(error:% = error; "evidence can't be copied to files; copying stopped");
                     return;
                 }
                 Err(_) => return,
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Drops old records for as long as the process lives.
+    /// Drops records beyond the retention limits for as long as the process runs.
     pub async fn run_retention(
         self,
         policy: RetentionPolicy,
@@ -193,12 +192,13 @@
         loop {
             ticks.tick().await;
             if let Err(error) = self.apply_retention(clock.wall(), policy, &recorder).await {
-                log::error!(error:% = error; "old evidence is not dropped");
+                log::error!(error:% = error; "dropping old evidence files failed");
             }
         }
     }
 
-    /// Drops what is old at `now`, once the records of the drop are stored; true if anything was.
+    /// Drops segments beyond the retention limits at `now`, after the records of the drop are
+    /// stored; true if a segment was dropped.
     ///
     /// # Errors
     /// The files can't be read or changed.
@@ -236,7 +236,7 @@
             .unwrap_or(Err(JournalError::Failed))
     }
 
-    /// Copies every agreed record that this host's state holds into the files; blocks on the disk.
+    /// Copies all new records of this host's replicated state to the files; blocks on the disk.
     ///
     /// # Errors
     /// The files can't be written.
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -1,4 +1,4 @@
-//! `pollendrift run`: one daemon from its settings to its planned stop.
+//! `pollendrift run`: runs one daemon from its settings to its planned stop.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -12,12 +12,12 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::sleep;
 
-/// Time between two starts of a host whose disk is full.
-const ROOM_PAUSE: Duration = Duration::from_millis(500);
-/// Exit code of settings that are refused.
+/// Pause between two start attempts of a host whose disk is full.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Exit code for invalid settings.
 const EXIT_FINDINGS: u8 = 2;
 
-/// Runs the daemon; exits 0 after a planned stop that interrupted nothing.
+/// Runs the daemon; exits with 0 after a planned stop in which all requests finished.
 pub(crate) fn run(path: &Path) -> ExitCode {
     let loaded = match DaemonSettings::load(path) {
         Ok(loaded) => loaded,
@@ -27,16 +27,17 @@
         Ok(runtime) => runtime,
         Err(error) => return fail(&error),
     };
-    let ended = runtime.block_on(serve(path, loaded));
+    let result = runtime.block_on(serve(path, loaded));
     log::logger().flush();
-    match ended {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => fail(error.as_ref()),
     }
 }
 
-/// On one core, threads that take turns cost more than they bring.
+/// Returns a single-threaded runtime on one core, where switching between threads costs more than
+/// it gains.
 fn runtime_builder() -> Builder {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     if cores == 1 {
@@ -62,29 +63,30 @@
     for warning in &warnings {
         log::warn!("{warning}");
     }
-    let mut signals = StopSignals::new()?;
+    let mut signals = ProcessSignals::new()?;
     let start = || start_daemon(&settings, &warnings);
-    let Some(mut daemon) = start_with_room(start, StartError::is_disk_full, &mut signals).await?
+    let Some(mut daemon) =
+        start_with_retries(start, StartError::is_disk_full, &mut signals).await?
     else {
         return Ok(true);
     };
     log::info!(host:% = settings.host; "serving");
     loop {
         tokio::select! {
-            wanted = signals.next() => match wanted {
-                Wanted::Stop => break,
-                Wanted::Reload => reload(path, &daemon, &logs),
+            action = signals.next() => match action {
+                SignalAction::Stop => break,
+                SignalAction::Reload => reload(path, &daemon, &logs),
             },
             () = daemon.disk_full() => {
-                log::error!(host:% = settings.host; "disk is full; the keeper starts again once it has room");
-                // Its tasks end before its addresses and its folder are free.
+                log::error!(host:% = settings.host; "disk is full; the daemon restarts when space is free");
+                // Its tasks must end before its addresses and its folder can be used again.
                 drop(daemon);
-                sleep(ROOM_PAUSE).await;
-                let Some(again) = start_with_room(start, |_| true, &mut signals).await? else {
+                sleep(RETRY_PAUSE).await;
+                let Some(restarted) = start_with_retries(start, |_| true, &mut signals).await? else {
                     return Ok(true);
                 };
-                daemon = again;
-                log::info!(host:% = settings.host; "serving again");
+                daemon = restarted;
+                log::info!(host:% = settings.host; "serving again after a restart");
             }
         }
     }
@@ -97,9 +99,9 @@
                 log::info!(finished = finished; "stopped");
                 return Ok(finished);
             }
-            wanted = signals.next() => match wanted {
-                Wanted::Stop => log::warn!("already leaving; what runs is not cut short"),
-                Wanted::Reload => log::warn!("leaving; settings are not read again"),
+            action = signals.next() => match action {
+                SignalAction::Stop => log::warn!("stop is already in progress; running requests are not aborted"),
+                SignalAction::Reload => log::warn!("stop is in progress; settings are not reloaded"),
             },
         }
     }
@@ -116,15 +118,15 @@
     RouterDaemon::start_with(settings, warnings.to_vec(), extras).await
 }
 
-/// Starts the daemon, trying again while an error is passing; `None` if it is told to stop meanwhile.
+/// Starts the daemon and retries after transient errors; `None` if a stop signal arrives meanwhile.
 ///
-/// Failure: the disks of keepers fill, and have room again seconds later. Symptom: each of these keepers
-/// was lost until somebody restarted it, so a few short faults in a row left no quorum. Ended in place of
-/// this wait, the process would be started again and again while its disk is full.
-async fn start_with_room<D, S, P, F>(
+/// The disk of a keeper may be full for a few seconds. Without the retries each such keeper would
+/// be lost until a manual restart, so a few short faults in succession would leave no quorum. If
+/// the process ended instead of waiting, it would be restarted repeatedly while its disk is full.
+async fn start_with_retries<D, S, P, F>(
     start: S,
-    is_passing: P,
-    signals: &mut StopSignals,
+    is_transient: P,
+    signals: &mut ProcessSignals,
 ) -> Result<Option<D>, StartError>
 where
     S: Fn() -> F,
@@ -134,51 +136,51 @@
     loop {
         match start().await {
             Ok(daemon) => return Ok(Some(daemon)),
-            Err(error) if is_passing(&error) => {
-                log::warn!(error:% = error; "not started; trying again");
+            Err(error) if is_transient(&error) => {
+                log::warn!(error:% = error; "daemon not started; retrying");
             }
             Err(error) => return Err(error),
         }
         tokio::select! {
-            () = sleep(ROOM_PAUSE) => {}
-            wanted = signals.next() => if wanted == Wanted::Stop {
+            () = sleep(RETRY_PAUSE) => {}
+            action = signals.next() => if action == SignalAction::Stop {
                 return Ok(None);
             },
         }
     }
 }
 
-/// Takes tokens, keys and log levels into force; all other settings need a restart.
+/// Reloads tokens, keys and log levels; all other settings need a restart.
 fn reload(path: &Path, daemon: &RouterDaemon, logs: &LogControl) {
     let loaded = match DaemonSettings::load(path) {
         Ok(loaded) => loaded,
         Err(findings) => {
-            log::error!("settings not taken, the old ones stay:\n{findings}");
+            log::error!("settings not reloaded, the old settings stay in use:\n{findings}");
             return;
         }
     };
     if let Err(error) = daemon.access().reload(&loaded.settings) {
-        log::error!("tokens and keys not taken, the old ones stay: {error}");
+        log::error!("tokens and keys not reloaded, the old ones stay in use: {error}");
     }
-    if let Err(error) = logs.change(&loaded.settings.logs) {
-        log::error!("log levels not taken, the old ones stay: {error}");
+    if let Err(error) = logs.apply(&loaded.settings.logs) {
+        log::error!("log levels not reloaded, the old ones stay in use: {error}");
     }
-    log::info!("settings read again");
+    log::info!("settings reloaded");
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
+enum SignalAction {
     Stop,
     Reload,
 }
 
-struct StopSignals {
+struct ProcessSignals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-impl StopSignals {
+impl ProcessSignals {
     fn new() -> std::io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -187,11 +189,11 @@
         })
     }
 
-    async fn next(&mut self) -> Wanted {
+    async fn next(&mut self) -> SignalAction {
         tokio::select! {
-            _ = self.terminate.recv() => Wanted::Stop,
-            _ = self.interrupt.recv() => Wanted::Stop,
-            _ = self.hangup.recv() => Wanted::Reload,
+            _ = self.terminate.recv() => SignalAction::Stop,
+            _ = self.interrupt.recv() => SignalAction::Stop,
+            _ = self.hangup.recv() => SignalAction::Reload,
         }
     }
 }
--- a/crates/daemon/src/run/tests.rs
+++ b/crates/daemon/src/run/tests.rs
@@ -7,7 +7,7 @@
 use pollendrift::node::NodeError;
 use pollendrift_store::StoreError;
 
-use super::{StopSignals, start_with_room};
+use super::{ProcessSignals, start_with_retries};
 
 fn disk_full() -> StartError {
     let error = StoreError::DiskFull {
@@ -17,34 +17,34 @@
     StartError::from(NodeError::from(KeeperError::from(error)))
 }
 
-fn address_taken() -> StartError {
+fn address_in_use() -> StartError {
     StartError::Listen {
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         error: io::ErrorKind::AddrInUse.into(),
     }
 }
 
-// A disk is full when the process starts: it waits for room in place of ending, which would have it
-// started again and again. Any other error ends it as before.
+// Guards against a process that ends because its disk is full at the start: it would be restarted
+// repeatedly. Any other error must still end the start.
 #[tokio::test]
-async fn a_start_waits_for_room_on_the_disk_and_for_nothing_else() {
-    let mut signals = StopSignals::new().expect("signals");
-    let tries = Cell::new(0);
+async fn a_start_is_retried_only_while_the_disk_is_full() {
+    let mut signals = ProcessSignals::new().expect("signals");
+    let attempts = Cell::new(0);
     let start = || {
-        tries.set(tries.get() + 1);
-        let tried = tries.get();
+        attempts.set(attempts.get() + 1);
+        let attempt = attempts.get();
         async move {
-            if tried < 3 {
+            if attempt < 3 {
                 Err(disk_full())
             } else {
-                Ok(tried)
+                Ok(attempt)
             }
         }
     };
-    let started = start_with_room(start, StartError::is_disk_full, &mut signals).await;
+    let started = start_with_retries(start, StartError::is_disk_full, &mut signals).await;
     assert!(matches!(started, Ok(Some(3))), "{started:?}");
-    let start = || async { Err::<(), _>(address_taken()) };
-    let started = start_with_room(start, StartError::is_disk_full, &mut signals).await;
+    let start = || async { Err::<(), _>(address_in_use()) };
+    let started = start_with_retries(start, StartError::is_disk_full, &mut signals).await;
     assert!(
         matches!(started, Err(StartError::Listen { .. })),
         "{started:?}"
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! What a running daemon tells of itself: evidence, logs and metrics.
+//! Evidence, logs and metrics of a running daemon.
 
 mod instruments;
 mod journal;
--- a/crates/daemon/src/telemetry/instruments.rs
+++ b/crates/daemon/src/telemetry/instruments.rs
@@ -1,28 +1,28 @@
-//! Every instrument of the daemon, named by the OpenTelemetry conventions.
+//! All metric instruments of the daemon, named by the OpenTelemetry conventions.
 
-/// How an instrument counts.
+/// Type of an instrument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstrumentKind {
-    /// Only rises.
+    /// Sum that only increases.
     Counter,
-    /// Has a present value.
+    /// Current value.
     Gauge,
-    /// Has a distribution.
+    /// Distribution of values.
     Histogram,
-    /// Rises and falls.
+    /// Sum that increases and decreases.
     UpDownCounter,
 }
 
-/// One instrument.
+/// Definition of one instrument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InstrumentSpec {
     /// Name by the OpenTelemetry conventions.
     pub name: &'static str,
-    /// How it counts.
+    /// Type of the instrument.
     pub kind: InstrumentKind,
-    /// Unit, as UCUM writes it.
+    /// Unit in UCUM notation.
     pub unit: &'static str,
-    /// What it says.
+    /// Help text of the metric.
     pub description: &'static str,
 }
 
@@ -37,7 +37,7 @@
             };
         )*
 
-        /// Every instrument, in alphabetical order of the names.
+        /// All instruments, sorted by name.
         pub const INSTRUMENTS: &[InstrumentSpec] = &[$($spec),*];
     };
 }
--- a/crates/daemon/src/telemetry/journal.rs
+++ b/crates/daemon/src/telemetry/journal.rs
@@ -1,7 +1,9 @@
-//! The evidence files of a keeper: what the agreement group recorded, kept beyond its memory.
+//! The evidence files of a keeper. They store records of the agreement group for longer than the
+//! replicated state does.
 //!
-//! Records lie in the agreed order in segments `evidence/POSITION.jsonl`, one line each, named by
-//! the position of the first. All calls block on the disk and belong on a thread of their own.
+//! Records are stored in replicated order in segments `evidence/POSITION.jsonl`, one per line.
+//! POSITION is the position of the first record. All calls block on the disk and must run on a
+//! thread that may block.
 
 mod segment;
 
@@ -24,35 +26,35 @@
 
 const FOLDER: &str = "evidence";
 const STATE_FILE: &str = "dropped.json";
-const STATE_DRAFT: &str = "dropped.json.new";
+const TEMPORARY_STATE_FILE: &str = "dropped.json.new";
 
-/// Bytes after which a segment ends; retention drops whole segments.
+/// Size in bytes at which a new segment starts; retention drops complete segments only.
 const SEGMENT_BYTES: u64 = 16 << 20;
 
-/// Why the evidence files can't be used.
+/// Reason why the evidence files can't be used.
 #[derive(Debug, Display, Error)]
 pub enum JournalError {
-    /// The disk.
+    /// A file operation failed.
     #[display("{}: {error}", path.display())]
     File {
-        /// The file or folder.
+        /// File or folder of the operation.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// An earlier append failed.
+    /// An earlier append failed, so the end of the files is unknown.
     #[display("evidence files failed before and must be opened anew")]
     Failed,
-    /// A line can't be written.
+    /// A line can't be encoded.
     #[display("{_0}")]
     Line(#[error(source)] EvidenceError),
-    /// The file that says what was dropped can't be read.
+    /// The file that records dropped positions and anchors can't be decoded or encoded.
     #[display("{}: {error}", path.display())]
     State {
-        /// The file.
+        /// Path of the state file.
         path: PathBuf,
-        /// What the decoder says.
+        /// Error of the JSON library.
         #[error(source)]
         error: serde_json::Error,
     },
@@ -67,31 +69,31 @@
     }
 }
 
-/// What retention has dropped.
+/// Records dropped by retention; stored in `dropped.json`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct DroppedState {
-    /// Position before which everything is dropped.
+    /// Position before which all records are dropped.
     before: EvidencePosition,
-    /// Last dropped record of each host's latest dropped life. Earlier lives need none: the agreed
-    /// order has all their records before those of the later life.
+    /// Last dropped record of each host's latest dropped incarnation. Earlier incarnations need no
+    /// anchor: all their records precede those of the later incarnation in the replicated order.
     anchors: BTreeMap<HostName, ChainAnchor>,
 }
 
-/// A drop that is planned, and the records to be made of it first.
+/// A planned drop of old segments, and the evidence records that must be stored before it.
 ///
-/// The records come first: a crash in between leaves records of a drop that is repeated, not an
-/// anchor that nobody vouches for, which verification would call a removal.
+/// A crash between the two leaves records of a drop that is then repeated. In the other order it
+/// would leave an anchor without a record, which verification would report as a removal.
 #[derive(Clone, Debug)]
 pub struct RetentionPlan {
-    /// Records to be stored before [`EvidenceJournal::apply`].
+    /// Records to store before the call of [`EvidenceJournal::apply`].
     pub records: Vec<RetentionApplied>,
     state: DroppedState,
 }
 
 /// Evidence files of one keeper.
 ///
-/// Invariants: segments are in order of their first positions; every position of a segment has a
-/// line, empty where the record was no line of text.
+/// Invariants: segments are ordered by their first positions; every position of a segment has a
+/// line, which is empty if the record contained a line break.
 #[derive(Debug)]
 pub struct EvidenceJournal {
     host: HostName,
@@ -101,13 +103,13 @@
     next: EvidencePosition,
     writer: Option<SegmentWriter>,
     segment_bytes: u64,
-    /// Whether an append has failed, so that the files' end is not known.
+    /// Whether an append has failed, so that the end of the files is unknown.
     failed: bool,
 }
 
 impl EvidenceJournal {
-    /// Opens the evidence of `host` in its `data_folder`. A last line that was cut off by a crash
-    /// is removed: it was never reported as stored, and comes again.
+    /// Opens the evidence of `host` in its `data_folder`. Removes an incomplete last line, which a
+    /// crash leaves: it was never reported as stored, and is appended again from the log.
     ///
     /// # Errors
     ///
@@ -116,7 +118,7 @@
         Self::open_with(host, data_folder, SEGMENT_BYTES)
     }
 
-    /// Opens with segments of another size.
+    /// Opens the evidence with segments of `segment_bytes` instead of the default size.
     ///
     /// # Errors
     ///
@@ -150,25 +152,25 @@
         })
     }
 
-    /// Position of the record that is to be appended next.
+    /// Position of the next record to append.
     pub fn next(&self) -> EvidencePosition {
         self.next
     }
 
-    /// Appends records in the agreed order and syncs them; those that are stored already are
-    /// passed over. Positions that are missing leave a hole, which the other keepers' files fill.
+    /// Appends records in replicated order and syncs them. Skips records that are already stored.
+    /// Missing positions leave a gap, which the files of other keepers cover.
     ///
     /// # Errors
     ///
-    /// If the disk fails, now or before. The files must then be opened anew: after a failed sync
-    /// the system may have dropped what was written, and a later sync would not say so.
+    /// If this append or an earlier one fails. The files must then be reopened: after a failed sync
+    /// the operating system may drop written data, and a later sync would still succeed.
     pub fn append(&mut self, records: &[IndexedRecord]) -> Result<EvidencePosition, JournalError> {
         if self.failed {
             return Err(JournalError::Failed);
         }
         self.failed = true;
-        let new = records.partition_point(|record| record.position < self.next);
-        for record in records.iter().skip(new) {
+        let first_new = records.partition_point(|record| record.position < self.next);
+        for record in records.iter().skip(first_new) {
             let mut writer = self.writer_for(record.position)?;
             writer.line(&record.record)?;
             self.writer = Some(writer);
@@ -181,7 +183,7 @@
         Ok(self.next)
     }
 
-    /// Writes everything as an export.
+    /// Writes all stored records to `out` as an export: anchors, records, heads, end.
     ///
     /// # Errors
     ///
@@ -202,7 +204,7 @@
         for segment in self.segments.values() {
             for line in segment.lines()? {
                 let line = line?;
-                // A line that can't be read goes out as it is: verification names it.
+                // Exports an unreadable line unchanged, so that verification reports it.
                 if let Ok(sealed) = SealedRecord::parse(&line) {
                     heads.insert(sealed.record.writer.clone(), sealed.head());
                 }
@@ -216,7 +218,7 @@
         self.write(out, &export.end(now).map_err(JournalError::Line)?)
     }
 
-    /// Up to `limit` records that `filter` matches, oldest first.
+    /// Returns up to `limit` records that match `filter`, oldest first.
     ///
     /// # Errors
     ///
@@ -243,8 +245,8 @@
         Ok(found)
     }
 
-    /// Plans to drop the oldest segments that `policy` makes old; `None` if there are none. The
-    /// segment that is written is never dropped.
+    /// Plans to drop the oldest segments that exceed the limits of `policy`; `None` if none does.
+    /// Never drops the last segment, which is still written.
     ///
     /// # Errors
     ///
@@ -279,17 +281,17 @@
             };
             bytes = bytes.saturating_sub(segment.bytes()?);
             state.before = *following;
-            records.extend(self.applied(&mut state, &summary, reason));
+            records.extend(self.record_drop(&mut state, &summary, reason));
         }
-        let planned = !records.is_empty() || state.before != self.state.before;
-        Ok(planned.then_some(RetentionPlan { records, state }))
+        let has_drop = !records.is_empty() || state.before != self.state.before;
+        Ok(has_drop.then_some(RetentionPlan { records, state }))
     }
 
-    /// Drops what was planned, once its records are stored.
+    /// Drops the segments of `plan`. Its records must be stored before this call.
     ///
     /// # Errors
     ///
-    /// If the disk fails; what is left is dropped when the files are opened again.
+    /// If the disk fails; remaining segments are dropped when the files are opened again.
     pub fn apply(&mut self, plan: RetentionPlan) -> Result<(), JournalError> {
         write_state(&self.folder, &plan.state)?;
         let kept = self.segments.split_off(&plan.state.before);
@@ -301,7 +303,7 @@
         Ok(())
     }
 
-    fn applied(
+    fn record_drop(
         &self,
         state: &mut DroppedState,
         summary: &SegmentSummary,
@@ -315,8 +317,8 @@
                 digest: head.digest,
             };
             let host = head.writer.host.clone();
-            let later = state.anchors.get(&host);
-            if later.is_none_or(|known| known.writer.incarnation <= anchor.writer.incarnation) {
+            let known = state.anchors.get(&host);
+            if known.is_none_or(|known| known.writer.incarnation <= anchor.writer.incarnation) {
                 state.anchors.insert(host, anchor);
             }
             records.push(RetentionApplied {
@@ -330,7 +332,8 @@
         records
     }
 
-    /// The writer of the segment that takes `position`; a full one is synced and left.
+    /// Returns the writer of the segment for `position`. Syncs a full segment before it starts the
+    /// next one.
     fn writer_for(&mut self, position: EvidencePosition) -> Result<SegmentWriter, JournalError> {
         if let Some(mut writer) = self.writer.take() {
             if position == self.next && writer.bytes() < self.segment_bytes {
@@ -378,19 +381,19 @@
     }
 }
 
-/// Replaces the state whole: it is written beside, synced, and renamed over the old one.
+/// Replaces the state atomically: writes and syncs a temporary file, then renames it.
 fn write_state(folder: &Path, state: &DroppedState) -> Result<(), JournalError> {
-    let (path, draft) = (folder.join(STATE_FILE), folder.join(STATE_DRAFT));
+    let (path, temporary) = (folder.join(STATE_FILE), folder.join(TEMPORARY_STATE_FILE));
     let text = serde_json::to_vec(state).map_err(|error| JournalError::State {
         path: path.clone(),
         error,
     })?;
-    let written = fs::File::create(&draft).and_then(|mut file| {
+    let written = fs::File::create(&temporary).and_then(|mut file| {
         file.write_all(&text)?;
         file.sync_all()
     });
     written
-        .and_then(|()| fs::rename(&draft, &path))
+        .and_then(|()| fs::rename(&temporary, &path))
         .map_err(|error| JournalError::file(&path, error))?;
     segment::sync_folder(folder)
 }
--- a/crates/daemon/src/telemetry/journal/segment.rs
+++ b/crates/daemon/src/telemetry/journal/segment.rs
@@ -1,4 +1,4 @@
-//! One file of the evidence: lines in the agreed order.
+//! One evidence file: records in replicated order, one per line.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -13,10 +13,10 @@
 
 const SUFFIX: &str = ".jsonl";
 
-/// Longest line that is read; what is longer was damaged and is cut.
+/// Maximum length of a line read, in bytes. A longer line is damaged and is split at this length.
 const MAX_LINE_BYTES: u64 = 2 << 20;
 
-/// What retention needs of a segment.
+/// Data of a segment that retention decides by.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SegmentSummary {
     /// Time of the newest record.
@@ -25,15 +25,15 @@
     pub(super) heads: BTreeMap<ChainWriter, ChainHead>,
 }
 
-/// One file.
+/// One evidence file.
 #[derive(Debug)]
 pub(super) struct Segment {
     path: PathBuf,
-    /// Read once; a segment that is no longer written does not change.
+    /// Cached after the first read: a segment doesn't change once it is no longer written.
     summary: Option<SegmentSummary>,
 }
 
-/// The open end of the last file.
+/// Appends lines to the last evidence file.
 #[derive(Debug)]
 pub(super) struct SegmentWriter {
     path: PathBuf,
@@ -41,7 +41,7 @@
     bytes: u64,
 }
 
-/// The segments of `folder` by their first positions.
+/// Lists the segments of `folder` by their first positions.
 pub(super) fn list(folder: &Path) -> Result<BTreeMap<EvidencePosition, Segment>, JournalError> {
     let entries = fs::read_dir(folder).map_err(|error| JournalError::file(folder, error))?;
     let mut segments = BTreeMap::new();
@@ -57,7 +57,7 @@
     Ok(segments)
 }
 
-/// Makes names that were created or removed in `folder` last.
+/// Syncs `folder`, so that created and removed file names survive a crash.
 pub(super) fn sync_folder(folder: &Path) -> Result<(), JournalError> {
     File::open(folder)
         .and_then(|file| file.sync_all())
@@ -65,7 +65,7 @@
 }
 
 impl Segment {
-    /// The segment of `folder` that starts with `first`.
+    /// Returns the segment of `folder` that starts at position `first`; creates no file.
     pub(super) fn new(folder: &Path, first: EvidencePosition) -> Self {
         Self {
             path: folder.join(format!("{:020}{SUFFIX}", first.0)),
@@ -73,16 +73,16 @@
         }
     }
 
-    /// Bytes on the disk.
+    /// Size of the file in bytes.
     pub(super) fn bytes(&self) -> Result<u64, JournalError> {
         let metadata = fs::metadata(&self.path);
         Ok(metadata.map_err(|error| self.error(error))?.len())
     }
 
-    /// Cuts off a last line without its end, and gives the number of lines.
+    /// Truncates a last line that has no line break; returns the number of complete lines.
     pub(super) fn repair(&self) -> Result<u64, JournalError> {
         let mut reader = BufReader::new(self.open()?);
-        let (mut lines, mut whole) = (0, 0);
+        let (mut lines, mut complete_bytes) = (0, 0);
         let mut line = Vec::new();
         loop {
             line.clear();
@@ -92,12 +92,12 @@
                 break;
             }
             lines += 1;
-            whole += u64::try_from(bytes).unwrap_or(u64::MAX);
+            complete_bytes += u64::try_from(bytes).unwrap_or(u64::MAX);
         }
-        if whole < self.bytes()? {
+        if complete_bytes < self.bytes()? {
             let file = OpenOptions::new().write(true).open(&self.path);
             file.and_then(|file| {
-                file.set_len(whole)?;
+                file.set_len(complete_bytes)?;
                 file.sync_all()
             })
             .map_err(|error| self.error(error))?;
@@ -105,7 +105,7 @@
         Ok(lines)
     }
 
-    /// The lines that hold something.
+    /// Iterates over the non-empty lines.
     pub(super) fn lines(
         &self,
     ) -> Result<impl Iterator<Item = Result<String, JournalError>>, JournalError> {
@@ -129,7 +129,7 @@
         }))
     }
 
-    /// What retention needs; reads the file at the first call.
+    /// Returns the summary for retention; reads the file at the first call.
     pub(super) fn summary(&mut self) -> Result<&SegmentSummary, JournalError> {
         if self.summary.is_none() {
             let mut summary = SegmentSummary::default();
@@ -145,7 +145,7 @@
         Ok(self.summary.get_or_insert_default())
     }
 
-    /// Opens the end of the file, which is made if it is new.
+    /// Opens the file for appending; creates it if it doesn't exist.
     pub(super) fn append(&self) -> Result<SegmentWriter, JournalError> {
         let mut options = OpenOptions::new();
         let file = options.create(true).append(true).open(&self.path);
@@ -157,7 +157,7 @@
         })
     }
 
-    /// Removes the file.
+    /// Deletes the file from the disk.
     pub(super) fn remove(&self) -> Result<(), JournalError> {
         fs::remove_file(&self.path).map_err(|error| self.error(error))
     }
@@ -172,13 +172,13 @@
 }
 
 impl SegmentWriter {
-    /// Bytes of the file with what is written.
+    /// Size of the file in bytes, with buffered lines.
     pub(super) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Writes one line. A record with a line end in it is no line of ours, whoever sent it: its
-    /// place stays empty, so that positions can be counted, and verification names the gap.
+    /// Writes one line. A record that contains a line break is invalid: writes an empty line for
+    /// it, so that lines still match positions, and verification reports the gap.
     pub(super) fn line(&mut self, record: &[u8]) -> Result<(), JournalError> {
         let text = if record.contains(&b'\n') {
             &[][..]
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Syncs what is written.
+    /// Flushes the buffer and syncs the file.
     pub(super) fn sync(&mut self) -> Result<(), JournalError> {
         let synced = self
             .file
--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -1,9 +1,9 @@
-//! Log lines: short JSON objects to standard output, bounded, and never waited for.
+//! Log lines: short JSON objects written to standard output without blocking the caller.
 //!
-//! A reader that stops, or a flood, must cost requests nothing: a line that finds no room in the
-//! queue or the budget is left out and counted, and the count is written as soon as there is room.
-//! Warnings and errors have a budget of their own, so that a flood of served requests does not hide
-//! the one that failed.
+//! A reader that stops, or too many lines, must not delay requests. A line that exceeds the queue
+//! or the budget is dropped and counted, and the count is written as soon as the queue has
+//! capacity. Warnings and errors have a separate budget, so that many lines about served requests
+//! don't displace the line about a failed one.
 
 use std::fmt::Write as _;
 use std::io::Write;
@@ -18,21 +18,21 @@
 
 use crate::clock::{SystemClock, TimeSource};
 
-/// Lines that wait for the writer: some seconds of an entry's usual lines.
+/// Capacity of the queue to the writer: a few seconds of the usual lines of an entry.
 const QUEUE_LINES: usize = 1_024;
-/// Time for which a process that ends waits for its last lines: far more than a pipe that is read
-/// takes, and less than is left of the time that a planned stop has.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
-/// Longest line, in bytes; a longer one is cut.
+/// Maximum wait for the last lines when the process ends: much longer than a pipe with an active
+/// reader needs, and shorter than the time that a planned stop has left.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Line length in bytes after which no more fields are added.
 const MAX_LINE_BYTES: usize = 2_048;
 
-/// How many lines are written.
+/// Budgets of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineSettings {
-    /// Lines of levels info and below, a second. An entry writes three for each request, and takes
-    /// about ten requests a second on the hosts of today.
+    /// Lines per second of level info and below. An entry writes three for each request, and serves
+    /// about ten requests a second on present hosts.
     pub info_lines: u32,
-    /// Warnings and errors, a second.
+    /// Warnings and errors per second.
     pub warning_lines: u32,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Lines of one class in the present second.
+/// Lines of one class in the current second.
 #[derive(Clone, Copy, Debug, Default)]
 struct LineCount {
     second: u64,
@@ -53,27 +53,27 @@
 }
 
 impl LineCount {
-    fn take(&mut self, now: MonotonicTime, most: u32) -> bool {
+    fn admit(&mut self, now: MonotonicTime, limit: u32) -> bool {
         let second = now.as_micros() / 1_000_000;
         if self.second != second {
             *self = Self { second, lines: 0 };
         }
         self.lines = self.lines.saturating_add(1);
-        self.lines <= most
+        self.lines <= limit
     }
 }
 
-/// What may still be written, and what was left out.
+/// Counts the lines written in the current second and the dropped lines.
 #[derive(Debug, Default)]
 pub struct LineBudget {
     settings: LineSettings,
     info: LineCount,
     warnings: LineCount,
-    left_out: u64,
+    dropped: u64,
 }
 
 impl LineBudget {
-    /// A budget that is full.
+    /// Creates an unused budget.
     pub fn new(settings: LineSettings) -> Self {
         Self {
             settings,
@@ -81,40 +81,40 @@
         }
     }
 
-    /// Whether a line of `level` may be written at `now`; one that may not is counted.
-    pub fn take(&mut self, now: MonotonicTime, level: Level) -> bool {
-        let fits = if level <= Level::Warn {
-            self.warnings.take(now, self.settings.warning_lines)
+    /// Whether a line of `level` may be written at `now`; counts it as dropped otherwise.
+    pub fn admit(&mut self, now: MonotonicTime, level: Level) -> bool {
+        let is_admitted = if level <= Level::Warn {
+            self.warnings.admit(now, self.settings.warning_lines)
         } else {
-            self.info.take(now, self.settings.info_lines)
+            self.info.admit(now, self.settings.info_lines)
         };
-        if !fits {
+        if !is_admitted {
             self.count_dropped();
         }
-        fits
+        is_admitted
     }
 
-    /// Counts a line that was left out.
+    /// Counts a dropped line.
     pub fn count_dropped(&mut self) {
-        self.left_out = self.left_out.saturating_add(1);
+        self.dropped = self.dropped.saturating_add(1);
     }
 
-    /// Lines left out since they were last asked for.
+    /// Returns and resets the number of dropped lines.
     pub fn take_dropped(&mut self) -> u64 {
-        std::mem::take(&mut self.left_out)
+        std::mem::take(&mut self.dropped)
     }
 }
 
-/// What waits for the thread that writes.
+/// Item of the queue to the writer thread.
 #[derive(Debug)]
 enum QueuedItem {
-    /// A line with its end.
+    /// A line, with its line break.
     Line(String),
-    /// Somebody waits until all before it is written.
-    Mark(SyncSender<()>),
+    /// Request to signal that all earlier lines are written.
+    Flush(SyncSender<()>),
 }
 
-/// Appends lines to a queue that a thread of its own writes out.
+/// Appends lines to a queue, which a separate thread writes to the output.
 #[derive(Debug)]
 pub struct LineAppender {
     lines: SyncSender<QueuedItem>,
@@ -123,7 +123,7 @@
 }
 
 impl LineAppender {
-    /// An appender to `output`, and the thread that writes there.
+    /// Creates an appender to `output` and starts its writer thread.
     ///
     /// # Errors
     /// The thread can't be started.
@@ -131,10 +131,10 @@
     where
         W: Write + Send + 'static,
     {
-        let (lines, waiting) = sync_channel(QUEUE_LINES);
+        let (lines, queue) = sync_channel(QUEUE_LINES);
         std::thread::Builder::new()
             .name("log-lines".to_owned())
-            .spawn(move || write_out(&waiting, output))?;
+            .spawn(move || write_lines(&queue, output))?;
         Ok(Self {
             lines,
             budget: Mutex::new(LineBudget::new(settings)),
@@ -154,12 +154,12 @@
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let now = self.clock.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        if !budget.take(now, record.level()) {
+        if !budget.admit(now, record.level()) {
             return Ok(());
         }
-        let left_out = budget.take_dropped();
-        if left_out > 0 && !self.push(left_out_line(left_out)) {
-            for _ in 0..left_out {
+        let dropped = budget.take_dropped();
+        if dropped > 0 && !self.push(dropped_lines_line(dropped)) {
+            for _ in 0..dropped {
                 budget.count_dropped();
             }
         }
@@ -169,34 +169,34 @@
         Ok(())
     }
 
-    /// Waits until the lines of before are written, `FLUSH_TIME` at most.
+    /// Waits until all earlier lines are written, `FLUSH_TIMEOUT` at most.
     ///
-    /// A process that ended without it lost its last lines, the one that says that it stopped among
-    /// them. The wait is bounded since whoever reads the output may have stopped reading.
+    /// Without this wait a process would lose its last lines when it ends, among them the line
+    /// about its stop. The wait is limited, since the reader of the output may have stopped.
     fn flush(&self) {
-        let (mark, written) = sync_channel(1);
-        if self.lines.try_send(QueuedItem::Mark(mark)).is_ok() {
-            // Late or never: the output is blocked, and there is nobody to tell.
-            let _ = written.recv_timeout(FLUSH_TIME);
+        let (done, written) = sync_channel(1);
+        if self.lines.try_send(QueuedItem::Flush(done)).is_ok() {
+            // A timeout means that the output is blocked, so the error can't be reported.
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-fn write_out<W>(waiting: &Receiver<QueuedItem>, mut output: W)
+fn write_lines<W>(queue: &Receiver<QueuedItem>, mut output: W)
 where
     W: Write,
 {
-    while let Ok(item) = waiting.recv() {
+    while let Ok(item) = queue.recv() {
         let written = match item {
             QueuedItem::Line(line) => output.write_all(line.as_bytes()),
-            QueuedItem::Mark(mark) => {
+            QueuedItem::Flush(done) => {
                 let written = output.flush();
-                // Whoever waited may have given up.
-                let _ = mark.send(());
+                // The receiver may have timed out.
+                let _ = done.send(());
                 written
             }
         };
-        // Nobody reads any more; there is no one to tell.
+        // The output is closed, so the error can't be reported.
         if written.is_err() {
             return;
         }
@@ -210,20 +210,20 @@
         .as_millis()
 }
 
-fn left_out_line(lines: u64) -> String {
+fn dropped_lines_line(lines: u64) -> String {
     let time = wall_millis();
     format!("{{\"t\":{time},\"l\":\"warn\",\"m\":\"lines left out\",\"lines\":{lines}}}\n")
 }
 
-/// The line of a record: `t` is the wall-clock time in milliseconds, `l` the level, `m` what
-/// happened; the rest are the record's own fields.
+/// Formats a record as a line: `t` is the wall-clock time in milliseconds, `l` the level, `m` the
+/// message; the fields of the record follow.
 pub fn format_line(record: &Record<'_>) -> String {
     let level = record.level().as_str().to_ascii_lowercase();
     let message = quoted(&record.args().to_string());
     let time = wall_millis();
     let mut line = format!("{{\"t\":{time},\"l\":\"{level}\",\"m\":{message}");
     let mut fields = FieldWriter { line: &mut line };
-    // A field that can't be written is left out; the others stand.
+    // Omits a field that can't be written; the others stay.
     let _ = record.key_values().visit(&mut fields);
     line.push_str("}\n");
     line
@@ -238,22 +238,22 @@
         if self.line.len() >= MAX_LINE_BYTES {
             return Ok(());
         }
-        let value = text_of(&value);
+        let value = format_value(&value);
         let _ = write!(self.line, ",{}:{value}", quoted(key.as_str()));
         Ok(())
     }
 }
 
-/// Numbers and truth values as they are, all else as text.
-fn text_of(value: &Value<'_>) -> String {
+/// Formats numbers and booleans as JSON values, other values as text of limited length.
+fn format_value(value: &Value<'_>) -> String {
     if let Some(number) = value.to_u64() {
         return number.to_string();
     }
     if let Some(number) = value.to_i64() {
         return number.to_string();
     }
-    if let Some(truth) = value.to_bool() {
-        return truth.to_string();
+    if let Some(flag) = value.to_bool() {
+        return flag.to_string();
     }
     let mut text = value.to_string();
     if text.len() > MAX_LINE_BYTES / 2 {
--- a/crates/daemon/src/telemetry/lines/tests.rs
+++ b/crates/daemon/src/telemetry/lines/tests.rs
@@ -1,9 +1,10 @@
-use super::left_out_line;
+use super::dropped_lines_line;
 
-// A renamed field of the line that counts lines left out would hide from operators that logs have gaps.
+// Guards against a changed format of the line that counts dropped lines: with a renamed field,
+// operators' tools would no longer detect gaps in the logs.
 #[test]
-fn the_line_about_lines_left_out_keeps_its_form() {
-    let line = left_out_line(3);
+fn the_line_that_counts_dropped_lines_keeps_its_format() {
+    let line = dropped_lines_line(3);
     let (time, rest) = line.split_once(',').expect("a time");
     let digits = time.strip_prefix("{\"t\":").expect("a time");
     assert!(digits.parse::<u64>().is_ok(), "{digits}");
--- a/crates/daemon/src/telemetry/logs.rs
+++ b/crates/daemon/src/telemetry/logs.rs
@@ -1,7 +1,8 @@
-//! Structured logs: one JSON object a line, to standard output.
+//! Structured logs: one JSON object per line, written to standard output.
 //!
-//! A record carries the request, customer and revision under the keys of [`log_field`]: `log::info!(request = id.as_str(); "refused")`. No line is written per token, and
-//! no line holds a token, a key or the text of a prompt.
+//! A record carries the request, customer and revision under the keys of [`log_field`]:
+//! `log::info!(request = id.as_str(); "refused")`. No line is written per token, and no line
+//! contains a token, a key or the text of a prompt.
 
 use derive_more::{Display, Error, From};
 use log::SetLoggerError;
@@ -14,11 +15,11 @@
 
 const APPENDER: &str = "lines";
 
-/// Keys under which log records carry what they are about.
+/// Keys of the identifiers in log records.
 pub mod log_field {
     /// Customer of a request.
     pub const CUSTOMER: &str = "customer";
-    /// Host that a record is about.
+    /// Host of the reported event.
     pub const HOST: &str = "host";
     /// Request id.
     pub const REQUEST: &str = "request";
@@ -26,21 +27,21 @@
     pub const REVISION: &str = "revision";
 }
 
-/// Why logs can't be written as the settings say.
+/// Reason why logs can't be written by the settings.
 #[derive(Debug, Display, Error, From)]
 pub enum LogError {
-    /// A package name is no path of modules.
+    /// A package name is not a module path.
     #[display("log levels: {_0}")]
     Levels(ConfigErrors),
     /// The thread that writes lines can't be started.
     #[display("log lines: {_0}")]
     Writer(std::io::Error),
-    /// Another part of the process has started logs before.
+    /// The process has already started its logs.
     #[display("logs are started already: {_0}")]
     Started(SetLoggerError),
 }
 
-/// Running logs, whose levels can change.
+/// Handle to the running logs; changes their levels.
 #[derive(Clone, Debug)]
 pub struct LogControl {
     handle: log4rs::Handle,
@@ -51,32 +52,33 @@
     ///
     /// # Errors
     ///
-    /// If the levels can't be used or logs were started before.
+    /// If the levels can't be used or the logs are already started.
     pub fn start(settings: &LogSettings) -> Result<Self, LogError> {
-        let config = log_config(settings, lines()?)?;
+        let config = log_config(settings, stdout_appender()?)?;
         let handle = log4rs::init_config(config)?;
         Ok(Self { handle })
     }
 
-    /// Takes other levels into force; called on SIGHUP.
+    /// Applies new levels; called on SIGHUP.
     ///
     /// # Errors
     ///
-    /// If the levels can't be used; the old ones stay.
-    pub fn change(&self, settings: &LogSettings) -> Result<(), LogError> {
-        self.handle.set_config(log_config(settings, lines()?)?);
+    /// If the levels can't be used; the old levels stay.
+    pub fn apply(&self, settings: &LogSettings) -> Result<(), LogError> {
+        self.handle
+            .set_config(log_config(settings, stdout_appender()?)?);
         Ok(())
     }
 }
 
-/// Logs with the levels of `settings` that go to `appender`.
+/// Returns a log configuration with the levels of `settings` that writes to `appender`.
 ///
 /// # Errors
 ///
-/// If a package name is no path of modules.
+/// If a package name is not a module path.
 pub fn log_config(settings: &LogSettings, appender: Box<dyn Append>) -> Result<Config, LogError> {
     let loggers = settings.packages.iter().map(|(package, level)| {
-        // Settings may name a package as Cargo does; a module path has `_` for `-`.
+        // Settings may contain a Cargo package name; a module path has `_` instead of `-`.
         Logger::builder().build(package.replace('-', "_"), *level)
     });
     let root = Root::builder().appender(APPENDER).build(settings.level);
@@ -87,7 +89,7 @@
     Ok(config)
 }
 
-fn lines() -> Result<Box<dyn Append>, LogError> {
+fn stdout_appender() -> Result<Box<dyn Append>, LogError> {
     let appender = LineAppender::start(LineSettings::default(), std::io::stdout())?;
     Ok(Box::new(appender))
 }
--- a/crates/daemon/src/telemetry/metrics.rs
+++ b/crates/daemon/src/telemetry/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of one process, scraped as text.
+//! Metrics of one process, exported in the Prometheus text format.
 //!
-//! Attributes take their values from lists in the code, never from what strangers send, so the
-//! number of time series is bounded.
+//! Attribute values come from fixed lists in the code, never from untrusted clients, so the number
+//! of time series is limited.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,26 +19,26 @@
 
 const SCOPE: &str = "pollendrift";
 
-/// Bounds of the buckets of durations, in seconds: from a plain call within a data centre to the
+/// Bucket boundaries of durations, in seconds: from a plain call within a data centre to the
 /// longest draft.
-const DURATION_BOUNDS: [f64; 18] = [
+const DURATION_BOUNDARIES: [f64; 18] = [
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0, 60.0,
     300.0, 1_800.0,
 ];
 
-/// Why metrics can't be kept.
+/// The metrics exporter can't be built.
 #[derive(Debug, Display, Error, From)]
 #[display("metrics: {_0}")]
 pub struct MetricError(OTelSdkError);
 
-/// The end of a request.
+/// Result of a request that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestEnd {
-    /// What the caller was told.
+    /// Outcome reported to the caller.
     pub outcome: OutcomeKind,
-    /// Attempts, the first included.
+    /// Number of attempts, the first included.
     pub attempts: u64,
-    /// From the arrival to the end.
+    /// Time from the arrival to the end.
     pub duration: Duration,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl MetricRegistry {
-    /// Instruments that have counted nothing.
+    /// Creates all instruments with no recorded values.
     ///
     /// # Errors
     ///
@@ -113,14 +113,14 @@
         })
     }
 
-    /// Everything as text, as scrapers read it.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_else(|error| format!("# {error}\n"))
     }
 
-    /// A connection or request had no accepted credential.
+    /// Counts a connection or request without an accepted credential.
     pub fn access_refused(&self, refused: RefusedConnection) {
         let attributes = [
             KeyValue::new("face", refused.face),
@@ -129,33 +129,33 @@
         self.access_refusals.add(1, &attributes);
     }
 
-    /// Backend servers with a lease.
+    /// Records the number of backend servers with a lease.
     pub fn backend_servers(&self, count: u64) {
         self.backend_servers.record(count, &[]);
     }
 
-    /// Claims that are known.
+    /// Records the number of known claims.
     pub fn claims(&self, count: u64) {
         self.claims.record(count, &[]);
     }
 
-    /// The configuration in force and what is left of the lease on it.
+    /// Records the revision in force and the remaining time of the configuration lease.
     pub fn configuration(&self, revision: Revision, lease: Duration) {
         self.configuration_revision.record(revision.0, &[]);
         self.configuration_lease.record(lease.as_secs_f64(), &[]);
     }
 
-    /// A connection on `face` was opened.
+    /// Counts a new open connection on `face`.
     pub fn connection_opened(&self, face: &'static str) {
         self.connections.add(1, &[KeyValue::new("face", face)]);
     }
 
-    /// A connection on `face` was closed.
+    /// Removes a closed connection on `face` from the count.
     pub fn connection_closed(&self, face: &'static str) {
         self.connections.add(-1, &[KeyValue::new("face", face)]);
     }
 
-    /// State of the evidence buffer.
+    /// Records the state of the evidence buffer.
     pub fn evidence(&self, status: &BufferStatus) {
         let records = status.records.saturating_add(status.reserved);
         self.evidence_durable.record(status.durable.0, &[]);
@@ -163,17 +163,17 @@
         self.evidence_waiting_bytes.record(size(status.bytes), &[]);
     }
 
-    /// Whether this host leads the agreement group.
+    /// Records whether this host leads the agreement group.
     pub fn keeper_leads(&self, leads: bool) {
         self.keeper_leader.record(u64::from(leads), &[]);
     }
 
-    /// A request was taken on.
+    /// Counts a request that starts.
     pub fn request_begun(&self) {
         self.requests_active.add(1, &[]);
     }
 
-    /// A request that was taken on has ended.
+    /// Records the result of a request counted by [`MetricRegistry::request_begun`].
     pub fn request_ended(&self, end: RequestEnd) {
         self.requests_active.add(-1, &[]);
         self.request_attempts.add(end.attempts, &[]);
@@ -182,33 +182,33 @@
             .record(end.duration.as_secs_f64(), &attributes);
     }
 
-    /// A request was sent to a server, for the first time or again.
+    /// Counts an attempt: a request sent to a server, for the first time or again.
     pub fn request_sent(&self) {
         self.request_attempts.add(1, &[]);
     }
 
-    /// Requests that wait for admission.
+    /// Records the number of requests that wait for admission.
     pub fn requests_queued(&self, count: u64) {
         self.requests_queued.record(count, &[]);
     }
 
-    /// A request was refused; `kind` is one of the kinds of the problem documents.
-    pub fn request_refused<K>(&self, told: OutcomeKind, kind: K)
+    /// Counts a refused request; `kind` is one of the kinds of the problem documents.
+    pub fn request_refused<K>(&self, reported: OutcomeKind, kind: K)
     where
         K: Into<StringValue>,
     {
-        let attributes = [outcome(told), KeyValue::new("kind", kind.into())];
+        let attributes = [outcome(reported), KeyValue::new("kind", kind.into())];
         self.request_refusals.add(1, &attributes);
     }
 
-    /// The first token of a draft went out, `since_arrival` after the request came in.
+    /// Records the first token of a draft, sent `since_arrival` after the request arrived.
     pub fn first_token(&self, since_arrival: Duration) {
         self.tokens.add(1, &[]);
         self.request_first_token
             .record(since_arrival.as_secs_f64(), &[]);
     }
 
-    /// A further token of a draft went out, `since_last` after the one before it.
+    /// Records a further token of a draft, sent `since_last` after the previous one.
     pub fn next_token(&self, since_last: Duration) {
         self.tokens.add(1, &[]);
         self.token_interval.record(since_last.as_secs_f64(), &[]);
@@ -224,15 +224,15 @@
     }
 }
 
-fn outcome(told: OutcomeKind) -> KeyValue {
-    let word = match told {
+fn outcome(reported: OutcomeKind) -> KeyValue {
+    let name = match reported {
         OutcomeKind::CallerGone => "caller-gone",
         OutcomeKind::Complete => "complete",
         OutcomeKind::Incomplete => "incomplete",
         OutcomeKind::NotRun => "not-run",
         OutcomeKind::Unknown => "unknown",
     };
-    KeyValue::new("outcome", word)
+    KeyValue::new("outcome", name)
 }
 
 fn size(value: usize) -> u64 {
@@ -263,6 +263,6 @@
     let builder = meter.f64_histogram(spec.name).with_unit(spec.unit);
     builder
         .with_description(spec.description)
-        .with_boundaries(DURATION_BOUNDS.to_vec())
+        .with_boundaries(DURATION_BOUNDARIES.to_vec())
         .build()
 }
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -1,4 +1,5 @@
-//! The evidence of one process: taken from handlers, sent to keepers, waited for where it must be.
+//! Evidence recorder of one process: buffers events of handlers, sends them to the keepers, and
+//! lets handlers wait until their records are stored.
 
 use std::fmt;
 use std::pin::Pin;
@@ -18,35 +19,35 @@
 
 use crate::clock::TimeSource;
 
-/// Longest sleep of the sending loop; it wakes earlier for anything new.
-const IDLE: Duration = Duration::from_secs(1);
+/// Maximum sleep of the sending loop; a new record wakes it earlier.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
 
-/// Why keepers did not take a batch.
+/// Reason why the keepers did not store a batch.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum SinkError {
-    /// They may take it later.
+    /// A later attempt may succeed.
     #[display("{reason}")]
     Later {
-        /// Why not now.
+        /// Reason of this failure.
         reason: String,
     },
-    /// A later life of this host has recorded already: this process is a leftover.
-    #[display("a later life of this host records already")]
+    /// A later incarnation of this host has already recorded evidence, so this process is outdated.
+    #[display("a later incarnation of this host already records evidence")]
     Superseded,
 }
 
-/// Last record of the chain that the keeper has stored and synced.
+/// Resolves to the last record of the chain that the keeper has stored and synced.
 pub type StoreFuture = Pin<Box<dyn Future<Output = Result<SequenceNumber, SinkError>> + Send>>;
 
-/// The way to the keepers.
+/// Sends evidence to keepers.
 pub trait EvidenceSink: Send + Sync {
-    /// Gives a batch to a keeper. The same batch may come again.
+    /// Sends a batch to a keeper. The same batch may be sent more than once.
     fn store(&self, batch: KeeperBatch) -> StoreFuture;
 }
 
-/// Evidence of one process.
+/// Evidence recorder of one process.
 ///
-/// Handlers call it for every request; [`EvidenceRecorder::run`] sends what they recorded.
+/// Handlers record every request; [`EvidenceRecorder::run`] sends the records to the keepers.
 pub struct EvidenceRecorder {
     buffer: Mutex<EvidenceBuffer>,
     clock: Arc<dyn TimeSource>,
@@ -55,8 +56,9 @@
     superseded: OnceLock<()>,
 }
 
-/// A request that has begun. It always gets an end in the evidence: one that is dropped without
-/// [`OpenRequest::finish`] ends as `caller-gone`, since a handler is dropped when its connection is.
+/// A request with a start record. It always gets an end record: dropping it without
+/// [`OpenRequest::finish`] records the outcome `caller-gone`, since a handler is dropped when its
+/// connection closes.
 pub struct OpenRequest {
     recorder: Arc<EvidenceRecorder>,
     begun: SequenceNumber,
@@ -64,7 +66,7 @@
 }
 
 impl EvidenceRecorder {
-    /// A recorder that fills `buffer`.
+    /// Creates a recorder that adds records to `buffer`.
     pub fn new(buffer: EvidenceBuffer, clock: Arc<dyn TimeSource>) -> Self {
         Self {
             durable: watch::Sender::new(buffer.durable()),
@@ -75,18 +77,18 @@
         }
     }
 
-    /// Whether new work may begin; otherwise it must be refused as not run.
+    /// Whether new work may start; otherwise it must be refused as not run.
     pub fn may_accept(&self) -> bool {
         self.superseded.get().is_none() && self.buffer().may_accept()
     }
 
-    /// Records that a request begins.
+    /// Writes the start record of a request.
     ///
     /// # Errors
     ///
     /// [`BufferError`]: the request must be refused.
     pub fn begin(self: &Arc<Self>, event: RequestBegun) -> Result<OpenRequest, BufferError> {
-        let end = unfinished(&event);
+        let end = caller_gone_record(&event);
         let event = EvidenceEvent::RequestBegun(event);
         let mut buffer = self.buffer();
         if self.superseded.get().is_some() {
@@ -106,7 +108,7 @@
         })
     }
 
-    /// Records a refusal; `None` if it was only counted.
+    /// Records a refusal and returns its sequence number; `None` if it was only counted.
     pub fn refuse(&self, event: RequestRefused) -> Option<SequenceNumber> {
         let event = EvidenceEvent::RequestRefused(event);
         let refused = self
@@ -114,35 +116,35 @@
             .refuse(self.clock.now(), self.clock.wall(), event);
         self.recorded.notify_one();
         refused.unwrap_or_else(|error| {
-            log::error!("a refusal is not on record: {error}");
+            log::error!("refusal not recorded: {error}");
             None
         })
     }
 
-    /// Records something that no caller causes.
+    /// Records an event that no caller causes, without waiting until it is stored.
     ///
     /// # Errors
     ///
-    /// [`BufferError`] if even the spare room is used.
+    /// [`BufferError`] if the reserve for such events is used up as well.
     pub fn record_in_background(
         &self,
         event: EvidenceEvent,
     ) -> Result<SequenceNumber, BufferError> {
-        let noted = self
+        let recorded = self
             .buffer()
             .note(self.clock.now(), self.clock.wall(), event);
         self.recorded.notify_one();
-        noted
+        recorded
     }
 
     /// Waits until enough keepers have stored record `sequence`.
     pub async fn wait_until_stored(&self, sequence: SequenceNumber) {
         let mut durable = self.durable.subscribe();
-        // The sender lives as long as this recorder, so the wait can't fail.
+        // The recorder owns the sender, so the wait can't fail.
         let _ = durable.wait_for(|durable| *durable >= sequence).await;
     }
 
-    /// Waits until everything that is recorded now is stored; for a planned stop.
+    /// Makes all buffered records due and waits until they are stored.
     pub async fn flush(&self) {
         self.buffer().make_all_due(self.clock.now());
         self.recorded.notify_one();
@@ -150,18 +152,18 @@
         self.wait_until_stored(last).await;
     }
 
-    /// Sends records as they come from now on, for a host that leaves.
+    /// Sends all later records without batch delay, for a planned stop.
     pub fn flush_for_shutdown(&self) {
         self.buffer().flush_for_shutdown(self.clock.now());
         self.recorded.notify_one();
     }
 
-    /// State for the dump and the metrics.
+    /// Returns the state of the buffer for the dump and the metrics.
     pub fn status(&self) -> BufferStatus {
         self.buffer().status()
     }
 
-    /// Sends records through `sink` for as long as the process lives.
+    /// Sends records through `sink` for as long as the process runs.
     pub async fn run(&self, sink: &dyn EvidenceSink) {
         let mut sending = FuturesUnordered::new();
         loop {
@@ -170,11 +172,11 @@
                 let storing = sink.store(batch);
                 sending.push(async move { (keeper, storing.await) });
             }
-            let pause = self.pause();
+            let delay = self.send_delay();
             tokio::select! {
                 Some((keeper, result)) = sending.next() => self.handle_answer(&keeper, result),
                 () = self.recorded.notified() => {}
-                () = sleep(pause) => {}
+                () = sleep(delay) => {}
             }
         }
     }
@@ -186,28 +188,30 @@
         {
             Ok(batches) => batches,
             Err(error) => {
-                log::error!("evidence can't be written: {error}");
+                log::error!("evidence batch can't be encoded: {error}");
                 Vec::new()
             }
         }
     }
 
-    fn pause(&self) -> Duration {
+    fn send_delay(&self) -> Duration {
         let due = self.buffer().next_due();
-        due.map_or(IDLE, |due| due.since(self.clock.now()).min(IDLE))
+        due.map_or(MAX_SLEEP, |due| due.since(self.clock.now()).min(MAX_SLEEP))
     }
 
     fn handle_answer(&self, keeper: &HostName, result: Result<SequenceNumber, SinkError>) {
         match result {
             Ok(through) => self.acknowledge(keeper, through),
             Err(SinkError::Superseded) => {
-                // Two lives of one host would write two histories. The older one is the one that
-                // was cut off without knowing it; from here on it refuses.
+                // Two incarnations of one host would write two chains. The older one was
+                // disconnected without detecting it; from now on it refuses work.
                 if self.superseded.set(()).is_ok() {
-                    log::error!("a later life of this host records: no more work is taken");
+                    log::error!(
+                        "a later incarnation of this host records evidence; this process refuses new work"
+                    );
                 }
             }
-            Err(error) => log::warn!(host = keeper.as_str(); "evidence is not stored: {error}"),
+            Err(error) => log::warn!(host = keeper.as_str(); "evidence batch not stored: {error}"),
         }
     }
 
@@ -218,9 +222,9 @@
         let durable = buffer.durable();
         drop(buffer);
         self.durable.send_if_modified(|known| {
-            let rises = durable > *known;
+            let has_advanced = durable > *known;
             *known = durable.max(*known);
-            rises
+            has_advanced
         });
     }
 
@@ -239,13 +243,13 @@
 }
 
 impl OpenRequest {
-    /// Waits until the beginning is stored. The first byte of the answer waits for this: a caller
-    /// never holds a part of an answer of which nothing is on record.
+    /// Waits until the start record is stored. The first byte of the answer is sent only after
+    /// that, so a caller never receives part of an answer that has no record.
     pub async fn wait_for_start_record(&self) {
         self.recorder.wait_until_stored(self.begun).await;
     }
 
-    /// Changes what the end will say, such as one more attempt.
+    /// Changes the pending end record, for example adds an attempt.
     pub fn update<F>(&mut self, change: F)
     where
         F: FnOnce(&mut RequestFinished),
@@ -255,10 +259,11 @@
         }
     }
 
-    /// Records the end and waits until it is stored. The last event of the answer waits for this:
-    /// the caller never sees an end that could vanish. An entry that dies between the two leaves
-    /// `complete` on record for a caller that has every token and misses the last event; the other
-    /// order would leave a caller whose answer ended and evidence that does not know it.
+    /// Writes the end record and waits until it is stored. The last event of the answer is sent
+    /// only after that, so the caller never sees an end without a stored record. An entry that
+    /// crashes in between leaves `complete` on record for a caller that has every token but not the
+    /// last event. The other order would leave a caller with a complete answer and no record of its
+    /// end.
     pub async fn finish(mut self) {
         let recorder = Arc::clone(&self.recorder);
         if let Some(sequence) = self.record_end() {
@@ -275,7 +280,7 @@
         match finished {
             Ok(sequence) => Some(sequence),
             Err(error) => {
-                log::error!("an end is not on record: {error}");
+                log::error!("end of request not recorded: {error}");
                 None
             }
         }
@@ -297,8 +302,8 @@
     }
 }
 
-/// The end of a request whose handler is dropped.
-fn unfinished(begun: &RequestBegun) -> RequestFinished {
+/// Returns the end record of a request whose handler is dropped.
+fn caller_gone_record(begun: &RequestBegun) -> RequestFinished {
     RequestFinished {
         request: begun.request.clone(),
         customer: begun.customer.clone(),
--- a/crates/daemon/src/telemetry/slot.rs
+++ b/crates/daemon/src/telemetry/slot.rs
@@ -1,4 +1,4 @@
-//! The place of a process's recorder, and what happened before there was one.
+//! Slot for the recorder of a process, and a buffer for events before the recorder exists.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -10,15 +10,15 @@
 use super::recorder::EvidenceRecorder;
 use crate::clock::TimeSource;
 
-/// Events that are kept until there is a recorder; further refusals are counted.
+/// Events buffered until there is a recorder; further refusals are only counted.
 const MAX_EARLY_EVENTS: usize = 1_024;
 
-/// The recorder of a process, once the keepers gave the process its life.
+/// Holds the recorder of a process once the keepers have assigned an incarnation to the process.
 ///
-/// Failure: a host that restarts refuses callers as not ready before it has a life, and there is
-/// no chain yet that could hold these refusals; evidence would miss them. They are kept here and
-/// are the first records of the chain. A process that dies before that loses them with itself; no
-/// request of theirs has run.
+/// A host that restarts refuses callers as not ready before it has an incarnation, and no evidence
+/// chain exists yet for these refusals. Without this buffer the evidence would miss them. They
+/// become the first records of the chain. A process that crashes before that loses them; none of
+/// the refused requests has run.
 pub struct RecorderSlot {
     recorder: OnceLock<Arc<EvidenceRecorder>>,
     /// Empty once `recorder` is set, which happens under this lock.
@@ -34,7 +34,7 @@
 }
 
 impl RecorderSlot {
-    /// A slot without a recorder.
+    /// Creates a slot without a recorder.
     pub fn new(clock: Arc<dyn TimeSource>) -> Self {
         Self {
             recorder: OnceLock::new(),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// The recorder, if the process has its life.
+    /// Returns the recorder, or `None` before the process has an incarnation.
     pub fn get(&self) -> Option<&Arc<EvidenceRecorder>> {
         self.recorder.get()
     }
 
-    /// Sets the recorder and gives it what happened before; a second recorder is passed over.
+    /// Sets the recorder and passes the buffered events to it; ignores a second recorder.
     pub fn set_recorder(&self, recorder: Arc<EvidenceRecorder>) {
         let mut early = self.early();
         if self.recorder.set(Arc::clone(&recorder)).is_err() {
@@ -63,7 +63,7 @@
         self.opened.send_replace(true);
     }
 
-    /// Records something that no caller causes.
+    /// Records an event that no caller causes, without waiting until it is stored.
     pub fn record_in_background(&self, event: EvidenceEvent) {
         let mut early = self.early();
         if let Some(recorder) = self.recorder.get() {
@@ -71,15 +71,17 @@
         } else if early.events.len() < MAX_EARLY_EVENTS {
             early.events.push(event);
         } else {
-            log::error!("an event before this process's life is not on record");
+            log::error!(
+                "event not recorded: the buffer for events before the recorder exists is full"
+            );
         }
     }
 
-    /// Records a refusal, and waits until it is stored.
+    /// Records a refusal and waits until it is stored.
     pub async fn refuse(&self, event: RequestRefused) {
-        let sequence = self.take_refusal(event);
+        let sequence = self.record_refusal(event);
         let mut opened = self.opened.subscribe();
-        // The sender lives as long as this slot, so the wait can't fail.
+        // The slot owns the sender, so the wait can't fail.
         let _ = opened.wait_for(|opened| *opened).await;
         let Some(recorder) = self.recorder.get() else {
             return;
@@ -90,8 +92,8 @@
         }
     }
 
-    /// Number of the refusal's record; `None` if it has none yet.
-    fn take_refusal(&self, event: RequestRefused) -> Option<SequenceNumber> {
+    /// Records or buffers a refusal; returns its sequence number, `None` if it has none yet.
+    fn record_refusal(&self, event: RequestRefused) -> Option<SequenceNumber> {
         let mut early = self.early();
         if let Some(recorder) = self.recorder.get() {
             return recorder.refuse(event);
@@ -118,7 +120,7 @@
 
 fn record_in_background(recorder: &EvidenceRecorder, event: EvidenceEvent) {
     if let Err(error) = recorder.record_in_background(event) {
-        log::error!("an event is not on record: {error}");
+        log::error!("event not recorded: {error}");
     }
 }
 
--- a/crates/daemon/tests/telemetry_journal.rs
+++ b/crates/daemon/tests/telemetry_journal.rs
@@ -1,4 +1,4 @@
-//! Contract of a keeper's evidence files: crashes, holes, retention, and exports that verify.
+//! Tests of the evidence files of a keeper: crashes, gaps, retention and verified exports.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use std::fs;
@@ -19,16 +19,16 @@
 use pollendrift_coordination::replicated::{EvidencePosition, IndexedRecord};
 
 const DAY: u64 = 86_400_000;
-/// Small segments: two records of this file's size.
+/// Segment size for two records of these tests.
 const SEGMENT_BYTES: u64 = 600;
 
-/// Writers whose records alternate in the agreed order, one record a day.
-struct AgreedRecords {
+/// Records of writers that alternate in the replicated order, one record a day.
+struct ReplicatedRecords {
     heads: Vec<ChainHead>,
     records: Vec<IndexedRecord>,
 }
 
-impl AgreedRecords {
+impl ReplicatedRecords {
     fn new(hosts: &[&str]) -> Self {
         let heads = hosts.iter().map(|host| ChainHead {
             writer: ChainWriter {
@@ -72,7 +72,7 @@
     EvidenceJournal::open_with("brest-1".into(), folder, SEGMENT_BYTES).unwrap()
 }
 
-/// What an inspector finds in the export.
+/// Chains and findings that an auditor gets from the export.
 fn verified(journal: &EvidenceJournal) -> String {
     let mut bytes = Vec::new();
     journal.export(WallTime(100 * DAY), &mut bytes).unwrap();
@@ -91,20 +91,20 @@
     files
 }
 
+// Guards against lost or duplicated records after a keeper crashes during its last write. Records
+// reported as stored must remain, and the truncated ones are appended again from the log.
 #[test]
-fn records_come_back_after_a_crash_and_once_only() {
-    // What happens: the keeper dies in the middle of its last write. What it had reported as stored
-    // is there again; what was cut off comes again from the agreed log; nothing stands twice.
-    let agreed = AgreedRecords::new(&["brest-1", "brest-2"]).with(5);
-    let whole = tempfile::tempdir().unwrap();
-    open(whole.path()).append(&agreed.records).unwrap();
-    let last = files(whole.path()).pop().unwrap();
+fn a_crash_neither_loses_nor_duplicates_records() {
+    let replicated = ReplicatedRecords::new(&["brest-1", "brest-2"]).with(5);
+    let folder = tempfile::tempdir().unwrap();
+    open(folder.path()).append(&replicated.records).unwrap();
+    let last = files(folder.path()).pop().unwrap();
     let bytes = fs::read(&last).unwrap();
     for cut in (0..bytes.len()).step_by(5).chain([bytes.len()]) {
         fs::write(&last, &bytes[..cut]).unwrap();
-        let mut journal = open(whole.path());
+        let mut journal = open(folder.path());
         assert!(journal.next() <= EvidencePosition(5));
-        journal.append(&agreed.records).unwrap();
+        journal.append(&replicated.records).unwrap();
         assert_eq!(journal.next(), EvidencePosition(5));
         let expected = "brest-1/1 3, brest-2/1 2; ";
         assert_eq!(verified(&journal), expected, "cut at byte {cut}");
@@ -112,16 +112,17 @@
     }
 }
 
+// Guards against faults that verification misses: a keeper was disconnected for longer than the
+// replicated state retains records, an untrusted record contains a line break, a bit on the disk
+// flips.
 #[test]
-fn a_hole_and_a_damaged_line_are_named_by_verification() {
-    // What happens: the keeper was away longer than the agreed state remembers records, then a
-    // stranger's record holds a line end, then a bit flips on the disk.
+fn verification_reports_gaps_and_damaged_lines() {
     let folder = tempfile::tempdir().unwrap();
-    let mut agreed = AgreedRecords::new(&["brest-1"]).with(9);
+    let mut replicated = ReplicatedRecords::new(&["brest-1"]).with(9);
     let mut journal = open(folder.path());
-    journal.append(&agreed.records[..2]).unwrap();
-    agreed.records[5].record = b"{\"record\":\nx".as_slice().into();
-    journal.append(&agreed.records[4..]).unwrap();
+    journal.append(&replicated.records[..2]).unwrap();
+    replicated.records[5].record = b"{\"record\":\nx".as_slice().into();
+    journal.append(&replicated.records[4..]).unwrap();
     drop(journal);
     let last = files(folder.path()).pop().unwrap();
     let mut bytes = fs::read(&last).unwrap();
@@ -137,14 +138,15 @@
     ");
 }
 
+// Guards against exports that no longer verify after a crash during retention. Old segments are
+// dropped after the drop is recorded, so a crash leaves the record without the drop or a partial
+// drop; the next start must complete both.
 #[test]
-fn retention_leaves_exports_that_verify_also_when_it_is_cut_off() {
-    // What happens: old segments are dropped once the drop is on record. A crash leaves either
-    // the record without the drop, or the drop half done; both are made whole at the next start.
+fn exports_verify_after_interrupted_retention() {
     let folder = tempfile::tempdir().unwrap();
-    let mut agreed = AgreedRecords::new(&["brest-1", "brest-2"]).with(8);
+    let mut replicated = ReplicatedRecords::new(&["brest-1", "brest-2"]).with(8);
     let mut journal = open(folder.path());
-    journal.append(&agreed.records).unwrap();
+    journal.append(&replicated.records).unwrap();
     let policy = RetentionPolicy {
         max_age: Duration::from_secs(3 * 86_400),
         max_bytes: 1 << 20,
@@ -155,9 +157,9 @@
         .unwrap();
     let mut lines = vec![format!("planned: {} records", plan.records.len())];
     for record in &plan.records {
-        agreed.add(0, EvidenceEvent::RetentionApplied(record.clone()));
+        replicated.add(0, EvidenceEvent::RetentionApplied(record.clone()));
     }
-    journal.append(&agreed.records).unwrap();
+    journal.append(&replicated.records).unwrap();
     lines.push(format!("on record, not dropped: {}", verified(&journal)));
     let first = files(folder.path()).remove(0);
     let kept = fs::read(&first).unwrap();
@@ -195,12 +197,13 @@
     ");
 }
 
+// Guards against a search that misses records in other segments or ignores its time range or limit.
 #[test]
 fn records_are_found_across_files_up_to_a_limit() {
     let folder = tempfile::tempdir().unwrap();
     let mut journal = open(folder.path());
     journal
-        .append(&AgreedRecords::new(&["brest-1"]).with(7).records)
+        .append(&ReplicatedRecords::new(&["brest-1"]).with(7).records)
         .unwrap();
     let filter = EvidenceFilter {
         from: Some(WallTime(2 * DAY)),
@@ -218,8 +221,9 @@
     assert_eq!(numbers(2), [3, 4]);
 }
 
+// Guards against an error text without the path when `evidence` is a file instead of a folder.
 #[test]
-fn a_folder_that_is_no_folder_is_an_error_that_names_it() {
+fn a_file_in_place_of_the_folder_is_an_error_with_its_path() {
     let folder = tempfile::tempdir().unwrap();
     fs::write(folder.path().join("evidence"), "x").unwrap();
     let error = EvidenceJournal::open("brest-1".into(), folder.path()).unwrap_err();
@@ -227,23 +231,24 @@
 }
 
 /// Keepers that store every batch at once.
-struct WillingKeepers;
+struct ImmediateKeepers;
 
-impl EvidenceSink for WillingKeepers {
+impl EvidenceSink for ImmediateKeepers {
     fn store(&self, sent: KeeperBatch) -> StoreFuture {
         let last = SealedRecord::parse(sent.batch.lines.last().unwrap()).unwrap();
         Box::pin(async move { Ok(last.record.sequence) })
     }
 }
 
+// Guards against evidence dropped before the drop is recorded. Records exceed the maximum age while
+// the keepers have no quorum: the files must stay complete until the records of the drop are
+// stored.
 #[tokio::test]
-async fn a_keeper_drops_old_files_only_once_the_drop_is_on_record() {
-    // What happens: records grow old while the keepers' quorum is away. The files stay whole; they
-    // are dropped as soon as the records of the drop are stored, and verify from their anchors.
+async fn old_files_are_dropped_only_after_the_drop_is_recorded() {
     let folder = tempfile::tempdir().unwrap();
     let mut journal = open(folder.path());
     journal
-        .append(&AgreedRecords::new(&["brest-1"]).with(8).records)
+        .append(&ReplicatedRecords::new(&["brest-1"]).with(8).records)
         .unwrap();
     let files = EvidenceFiles::new(journal);
     let policy = RetentionPolicy {
@@ -271,7 +276,7 @@
         let kept = files.find(&EvidenceFilter::default(), 100).unwrap().len();
         assert_eq!(kept, 8, "nothing is dropped before its record is stored");
         tokio::select! {
-            () = recorder.run(&WillingKeepers) => false,
+            () = recorder.run(&ImmediateKeepers) => false,
             retained = &mut dropping => retained.unwrap(),
         }
     };
--- a/crates/daemon/tests/telemetry_lines.rs
+++ b/crates/daemon/tests/telemetry_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines: bounded, never waited for, and the last ones written before a process ends.
+//! Tests of log lines: limited in number, never blocking, and flushed before a process ends.
 
 #![allow(clippy::expect_used, reason = "a helper that fails is a failed test")]
 
@@ -11,12 +11,12 @@
 use pollendrift::telemetry::{LineAppender, LineBudget, LineSettings};
 use pollendrift_coordination::base::MonotonicTime;
 
-/// Passes on what is written.
-struct PassingOutput(Sender<String>);
+/// Forwards written text to a channel.
+struct ChannelOutput(Sender<String>);
 
-impl Write for PassingOutput {
+impl Write for ChannelOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // A test that has ended reads no more.
+        // The receiver is dropped when a test ends.
         let _ = self.0.send(String::from_utf8_lossy(bytes).into_owned());
         Ok(bytes.len())
     }
@@ -26,7 +26,7 @@
     }
 }
 
-/// Takes nothing until the other end is dropped.
+/// Blocks every write until the other end of the channel is dropped.
 struct BlockedOutput(Receiver<()>);
 
 impl Write for BlockedOutput {
@@ -51,13 +51,13 @@
         .expect("appending never fails");
 }
 
-// An on-call engineer looks for the line that says that a process stopped. Lines wait for a thread
-// that the end of the process takes away, so the last ones were never written.
+// Guards against a lost last line, such as the one about the stop. Lines are queued for a thread
+// that ends with the process, so without a flush the last ones would never be written.
 #[test]
 fn the_last_line_is_written_before_the_process_ends() {
     let (sender, written) = channel();
     let appender =
-        LineAppender::start(LineSettings::default(), PassingOutput(sender)).expect("an appender");
+        LineAppender::start(LineSettings::default(), ChannelOutput(sender)).expect("an appender");
     for number in 0..100 {
         append(&appender, Level::Info, number);
     }
@@ -67,37 +67,37 @@
     assert!(lines[99].contains("\"m\":\"line 99\""), "{}", lines[99]);
 }
 
-// Whoever reads the output stops reading. Requests must not wait for it, nor the end of the process:
-// appending goes on, and what does not fit is counted.
+// Guards against requests, or the end of the process, that wait for a reader of the output that has
+// stopped reading: lines beyond the queue must be dropped and counted.
 #[test]
-fn an_output_that_nobody_reads_holds_nothing_up() {
+fn a_blocked_output_does_not_block_logging() {
     let (reader, blocked) = channel();
     let appender =
         LineAppender::start(LineSettings::default(), BlockedOutput(blocked)).expect("an appender");
-    let begun = Instant::now();
+    let start = Instant::now();
     for number in 0..20_000 {
         append(&appender, Level::Warn, number);
     }
     appender.flush();
-    let took = begun.elapsed();
+    let took = start.elapsed();
     assert!(took < Duration::from_secs(5), "took {took:?}");
     drop(reader);
 }
 
-// Ten thousand requests a second are served, and one is refused. The budget of ordinary lines is
-// used up; the refusal is still written, and how many lines were left out is known.
+// Guards against a lost warning about a refused request while lines about ten thousand served
+// requests a second use up the budget. The number of dropped lines must be known.
 #[test]
-fn a_flood_of_ordinary_lines_leaves_room_for_warnings() {
+fn many_info_lines_do_not_use_up_the_budget_of_warnings() {
     let mut budget = LineBudget::new(LineSettings::default());
     let now = MonotonicTime::from_millis(1_000);
     let written = (0..10_000)
-        .filter(|_| budget.take(now, Level::Info))
+        .filter(|_| budget.admit(now, Level::Info))
         .count();
     assert!(written < 10_000);
-    assert!(budget.take(now, Level::Warn));
-    let left_out = usize::try_from(budget.take_dropped()).expect("a small number");
-    assert_eq!(left_out, 10_000 - written);
+    assert!(budget.admit(now, Level::Warn));
+    let dropped = usize::try_from(budget.take_dropped()).expect("a small number");
+    assert_eq!(dropped, 10_000 - written);
     assert_eq!(budget.take_dropped(), 0);
     let later = MonotonicTime::from_millis(2_000);
-    assert!(budget.take(later, Level::Info));
+    assert!(budget.admit(later, Level::Info));
 }
--- a/crates/daemon/tests/telemetry_pages.rs
+++ b/crates/daemon/tests/telemetry_pages.rs
@@ -1,4 +1,4 @@
-//! Contract of logs and metrics: their form, their levels, and that the operators' page is true.
+//! Tests of logs and metrics: their format, the log levels, and the operators' page of metrics.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use std::collections::BTreeSet;
@@ -18,7 +18,8 @@
 
 const PAGE: &str = include_str!("../../../docs/operators/metrics.md");
 
-fn exercised() -> MetricRegistry {
+/// Returns metrics with a value for every instrument.
+fn registry_with_values() -> MetricRegistry {
     let metrics = MetricRegistry::new().unwrap();
     let writer = ChainWriter {
         host: "brest-1".into(),
@@ -50,7 +51,7 @@
     metrics
 }
 
-/// Names of the text, by the lines that give their types.
+/// Metric names in `text`, read from its TYPE lines.
 fn scraped_names(text: &str) -> BTreeSet<String> {
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     types
@@ -59,7 +60,7 @@
         .collect()
 }
 
-/// Cells of the page's table: name, scraped name, unit.
+/// Cells of the table on the page: name, scraped name, unit.
 fn page_rows() -> Vec<[String; 3]> {
     let rows = PAGE
         .lines()
@@ -74,6 +75,8 @@
     .collect()
 }
 
+// Guards against a page of metrics that misses an instrument or lists a wrong name or unit after a
+// change of the code.
 #[test]
 fn the_page_lists_every_instrument_as_it_is_scraped() {
     let from_page: Vec<_> = page_rows()
@@ -89,11 +92,12 @@
         .into_iter()
         .map(|[_, scraped, _]| scraped)
         .collect();
-    assert_eq!(scraped, scraped_names(&exercised().text()));
+    assert_eq!(scraped, scraped_names(&registry_with_values().text()));
 }
 
+// Guards against an instrument that is defined twice or out of order.
 #[test]
-fn instruments_are_in_alphabetical_order_and_named_once() {
+fn instruments_are_sorted_by_unique_names() {
     let names: Vec<_> = INSTRUMENTS.iter().map(|spec| spec.name).collect();
     let sorted: BTreeSet<_> = names.iter().copied().collect();
     assert_eq!(names, sorted.into_iter().collect::<Vec<_>>());
@@ -103,9 +107,10 @@
     assert_eq!(counters.count(), 4);
 }
 
+// Guards against changed metric names or labels, which would break operators' dashboards.
 #[test]
 fn the_text_gives_values_under_conventional_names() {
-    let text = exercised().text();
+    let text = registry_with_values().text();
     let lines = text.lines().filter(|line| {
         !line.starts_with('#') && !line.contains("_bucket") && !line.contains("_sum")
     });
@@ -131,8 +136,10 @@
     "#);
 }
 
+// Guards against log records without their identifiers, and against package levels of the settings
+// that have no effect, which a Cargo name with `-` instead of a module path could cause.
 #[test]
-fn log_lines_are_json_with_what_they_are_about_at_the_levels_of_the_settings() {
+fn log_records_keep_their_fields_and_follow_the_levels_of_the_settings() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("lines");
     let appender = FileAppender::builder()
@@ -156,7 +163,7 @@
         ("pollendrift_coordination::claims", Level::Debug),
         ("pollendrift_coordination::claims", Level::Trace),
     ] {
-        let about = [
+        let fields = [
             (log_field::REQUEST, "r1"),
             (log_field::CUSTOMER, "ponant"),
             (log_field::REVISION, "7"),
@@ -164,7 +171,7 @@
         let record = Record::builder()
             .target(target)
             .level(level)
-            .key_values(&about)
+            .key_values(&fields)
             .args(format_args!("refused"))
             .build();
         logger.log(&record);
--- a/crates/daemon/tests/telemetry_recorder.rs
+++ b/crates/daemon/tests/telemetry_recorder.rs
@@ -1,4 +1,4 @@
-//! Contract of the evidence recorder: what is waited for, and what a handler's end leaves.
+//! Tests of the evidence recorder: waits for stored records, and end records of dropped handlers.
 #![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
 
 use std::sync::{Arc, Mutex};
@@ -15,11 +15,11 @@
 };
 use tokio::sync::{Semaphore, watch};
 
-/// Time that stands still: batches are due at once.
+/// Clock with a constant time; batches are due at once.
 #[derive(Debug)]
-struct StillClock;
+struct FixedClock;
 
-impl TimeSource for StillClock {
+impl TimeSource for FixedClock {
     fn now(&self) -> MonotonicTime {
         MonotonicTime::START
     }
@@ -29,12 +29,12 @@
     }
 }
 
-/// Keepers that store a batch for each permit, and say so or give an error.
+/// Keepers that answer one batch per permit, with success or an error.
 struct FakeKeepers {
     permits: Arc<Semaphore>,
     answer: Result<(), SinkError>,
     records: Arc<Mutex<Vec<SealedRecord>>>,
-    asked: watch::Sender<usize>,
+    calls: watch::Sender<usize>,
 }
 
 impl FakeKeepers {
@@ -43,14 +43,14 @@
             permits: Arc::new(Semaphore::new(permits)),
             answer,
             records: Arc::default(),
-            asked: watch::Sender::new(0),
+            calls: watch::Sender::new(0),
         }
     }
 
-    /// Kinds of the stored records, with the outcome of those that have one.
+    /// Kinds of the stored records, with their outcomes where present.
     fn stored(&self) -> Vec<String> {
         let records = self.records.lock().unwrap();
-        let show = records.iter().map(|sealed| {
+        let kinds = records.iter().map(|sealed| {
             let kind = match &sealed.record.event {
                 EvidenceEvent::RequestBegun(_) => "begun",
                 EvidenceEvent::RequestFinished(_) => "finished",
@@ -63,7 +63,7 @@
             let outcome = sealed.record.event.outcome();
             outcome.map_or(kind.to_owned(), |outcome| format!("{kind} {outcome}"))
         });
-        show.collect()
+        kinds.collect()
     }
 }
 
@@ -72,7 +72,7 @@
         let permits = Arc::clone(&self.permits);
         let records = Arc::clone(&self.records);
         let answer = self.answer.clone();
-        self.asked.send_modify(|asked| *asked += 1);
+        self.calls.send_modify(|calls| *calls += 1);
         Box::pin(async move {
             permits.acquire().await.unwrap().forget();
             answer?;
@@ -93,13 +93,13 @@
         host: "brest-1".into(),
         incarnation: 1.into(),
     };
-    let bounds = BufferSettings {
+    let settings = BufferSettings {
         max_records,
         batch_delay: Duration::ZERO,
         ..BufferSettings::default()
     };
-    let buffer = EvidenceBuffer::new(writer, bounds, ["keepers".into()]);
-    Arc::new(EvidenceRecorder::new(buffer, Arc::new(StillClock)))
+    let buffer = EvidenceBuffer::new(writer, settings, ["keepers".into()]);
+    Arc::new(EvidenceRecorder::new(buffer, Arc::new(FixedClock)))
 }
 
 fn begun(request: &str) -> RequestBegun {
@@ -125,6 +125,8 @@
     }
 }
 
+// Guards against an answer whose end reaches the caller before its end record is stored: a crash in
+// between would leave a complete answer without a record.
 #[tokio::test]
 async fn an_end_is_stored_before_the_caller_sees_it() {
     let (recorder, keepers) = (recorder(64), FakeKeepers::new(100, Ok(())));
@@ -141,19 +143,19 @@
     assert_eq!(recorder.status().records, 0);
 }
 
+// Guards against answer bytes sent to a caller while the keepers store nothing. The answer must be
+// released as soon as one batch is stored.
 #[tokio::test]
 async fn nothing_is_released_while_keepers_are_silent() {
-    // What the caller sees: no byte of an answer while keepers store nothing, and everything as
-    // soon as one batch gets through.
     let (recorder, keepers) = (recorder(64), FakeKeepers::new(0, Ok(())));
     let open = recorder.begin(begun("r1")).unwrap();
     while_running(&recorder, &keepers, async {
-        let mut asked = keepers.asked.subscribe();
-        asked.wait_for(|asked| *asked > 0).await.unwrap();
+        let mut calls = keepers.calls.subscribe();
+        calls.wait_for(|calls| *calls > 0).await.unwrap();
         let released = open.wait_for_start_record();
         tokio::pin!(released);
-        let now = futures_util::poll!(&mut released);
-        assert!(now.is_pending());
+        let state = futures_util::poll!(&mut released);
+        assert!(state.is_pending());
         keepers.permits.add_permits(1);
         released.await;
     })
@@ -161,10 +163,10 @@
     assert_eq!(recorder.status().durable, SequenceNumber(1));
 }
 
+// Guards against a request without an end record, and against a leak of the buffer space reserved
+// for it, when the caller closes its connection and the HTTP library drops the handler.
 #[tokio::test]
-async fn a_dropped_handler_leaves_an_end() {
-    // What happens: the caller closes its connection and the HTTP library drops the handler in
-    // the middle. The evidence says so; the room that was reserved for the end is free again.
+async fn a_dropped_handler_writes_an_end_record() {
     let (recorder, keepers) = (recorder(4), FakeKeepers::new(100, Ok(())));
     for _ in 0..3 {
         let open = recorder.begin(begun("r1")).unwrap();
@@ -178,17 +180,18 @@
     assert_eq!(recorder.status().reserved, 0);
 }
 
+// Guards against two incarnations of a host that both accept work: a process is disconnected and
+// the host is started again elsewhere. The keepers refuse records of the former incarnation, which
+// must then refuse callers.
 #[tokio::test]
-async fn a_leftover_process_takes_no_more_work() {
-    // What happens: this process was cut off, and the host was started again elsewhere meanwhile.
-    // Keepers refuse the older life's records; from then on it refuses callers.
+async fn a_former_incarnation_accepts_no_more_work() {
     let keepers = FakeKeepers::new(100, Err(SinkError::Superseded));
     let recorder = recorder(64);
     let _open = recorder.begin(begun("r1")).unwrap();
     assert!(recorder.may_accept());
-    let mut asked = keepers.asked.subscribe();
+    let mut calls = keepers.calls.subscribe();
     while_running(&recorder, &keepers, async {
-        asked.wait_for(|asked| *asked > 0).await.unwrap();
+        calls.wait_for(|calls| *calls > 0).await.unwrap();
         while recorder.may_accept() {
             tokio::task::yield_now().await;
         }
@@ -212,13 +215,13 @@
     }
 }
 
+// Guards against a refusal that reaches the caller without a record. A starting host refuses a
+// caller before keepers assign an incarnation: the refusal must wait until it is the first record
+// of the chain, and later refusals must wait for their records too.
 #[tokio::test]
-async fn a_refusal_waits_for_its_record_before_and_after_the_life_begins() {
-    // What happens: a host that starts refuses a caller before keepers gave it a life. The refusal
-    // is not released while no chain can hold it; once there is one it is its first record, and
-    // later refusals wait in the same way.
+async fn a_refusal_waits_for_its_record_before_and_after_the_incarnation_is_known() {
     let keepers = FakeKeepers::new(100, Ok(()));
-    let (recorder, slot) = (recorder(64), RecorderSlot::new(Arc::new(StillClock)));
+    let (recorder, slot) = (recorder(64), RecorderSlot::new(Arc::new(FixedClock)));
     {
         let early = slot.refuse(refused());
         tokio::pin!(early);
@@ -231,12 +234,12 @@
     assert_eq!(keepers.stored(), ["refused not-run"; 2]);
 }
 
+// Guards against unlimited memory use when an untrusted client sends many requests to a host that
+// has no incarnation yet. Refusals beyond the limit must be counted, and the count recorded.
 #[tokio::test]
-async fn refusals_before_the_life_begins_fill_no_memory() {
-    // What happens: a stranger floods a host that waits for its life. What is beyond the bound is
-    // counted, and the count is on record.
+async fn buffered_refusals_before_the_incarnation_are_limited() {
     let keepers = FakeKeepers::new(100, Ok(()));
-    let (recorder, slot) = (recorder(4_096), RecorderSlot::new(Arc::new(StillClock)));
+    let (recorder, slot) = (recorder(4_096), RecorderSlot::new(Arc::new(FixedClock)));
     for _ in 0..1_500 {
         let early = slot.refuse(refused());
         tokio::pin!(early);
