--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Backend servers that this host has heard of: their leases, what they offer, and the planner
-//! that chooses pipelines over them.
+//! Backend servers known to this host: their leases, their offers, and the planner that chooses
+//! pipelines of engines.
 
 mod announcement;
 mod route;
@@ -31,72 +31,73 @@
 use announcement::{check_announcement, decode, encode, engine_announcement, load_report};
 use service_index::ServiceIndex;
 
-/// Why an announcement was not taken.
+/// Reason why an announcement was refused.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum AnnounceError {
-    /// A field is wrong; the text names it and what is accepted.
+    /// A field is invalid; the text names the field and the accepted values.
     #[display("{reason}")]
     Malformed {
-        /// What is wrong.
+        /// Names of the invalid fields and their errors.
         reason: String,
     },
-    /// The table of backend servers is full.
+    /// The lease table has no free entry.
     #[display("this host holds as many backend servers as it may; retry later")]
     Full,
 }
 
-/// A backend server as requests see it.
+/// Decoded announcement of a backend server, for requests.
 #[derive(Clone, Debug)]
 pub struct ServerView {
-    /// Facts that labels and selectors are matched on.
+    /// Facts matched against labels and selectors.
     pub facts: ServerFacts,
-    /// `ip:port` that takes requests.
+    /// `ip:port` for requests.
     pub address: Arc<str>,
-    /// What it offers.
+    /// Engine or plain service that it offers.
     pub offer: ServerOffer,
-    /// Last load that it reported.
+    /// Last reported load.
     pub load: AnnouncedLoad,
 }
 
-/// A model engine that may get new work, as placement looks at it.
+/// A model engine that may get new work, for placement.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetEngine {
-    /// Its view.
+    /// Its decoded announcement.
     pub(crate) view: Arc<ServerView>,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub(crate) checks_fencing: bool,
 }
 
-/// Number of the newest announcement that is held of a server.
+/// Number of the newest stored announcement of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnnouncementNumber {
-    /// Life of the server's process.
+    /// Incarnation of the server's process.
     pub incarnation: u64,
-    /// Number within that life.
+    /// Sequence number within that incarnation.
     pub sequence: u64,
 }
 
-/// All backend servers that this host has heard of.
+/// All backend servers known to this host.
 pub struct BackendFleet {
     inner: Mutex<FleetState>,
 }
 
 struct FleetState {
     leases: LeaseTable,
-    /// Decoded offers of servers in `leases`; only those that decoded.
+    /// Views of the servers in `leases` whose offers could be decoded.
     views: BTreeMap<ServerName, Arc<ServerView>>,
     /// Servers in `leases` that serve a published service.
     workers: BTreeMap<ServerName, Arc<WorkerView>>,
-    /// What surveys found of engines in `workers`.
+    /// Survey results of the engines in `workers`.
     survey: SurveyTable,
-    /// Servers of `views` that offer a plain service, each once.
+    /// Servers of `views` that offer a plain service.
     services: ServiceIndex,
-    /// Holds just the engines of `views` that may take work by the last tick.
+    /// Contains only the engines of `views` that may take work as of the last tick.
     planner: Box<dyn RoutePlanner>,
 }
 
 impl BackendFleet {
-    /// An empty fleet.
+    /// Creates a fleet without servers. `seed` becomes the incarnation of the lease table and seeds
+    /// the planner.
     pub fn new(settings: BackendLeaseSettings, routing: RoutingSettings, seed: u64) -> Self {
         let inner = FleetState {
             leases: LeaseTable::with_incarnation(settings, Incarnation(seed)),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Takes an announcement that came to this host.
+    /// Checks an announcement sent to this host and merges it into the lease table.
     ///
     /// # Errors
     /// The announcement is malformed or the table is full.
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes what another host told of leases.
+    /// Merges leases that another host sent; `transit` is the time that the batch was under way.
     pub fn merge_batch(
         &self,
         now: MonotonicTime,
@@ -139,12 +140,13 @@
         let mut state = self.lock();
         let outcome = state.leases.merge_batch(now, sender, batch, transit);
         for (server, verdict) in &outcome.merged {
-            state.follow(now, server, *verdict);
+            state.apply_verdict(now, server, *verdict);
         }
         outcome
     }
 
-    /// Leases of `scope` that changed or were renewed after `cursor`, at most `limit` by name.
+    /// Returns the leases of `scope` that changed or were renewed after `cursor`, at most `limit`
+    /// of them by name.
     pub fn batch(
         &self,
         now: MonotonicTime,
@@ -156,12 +158,13 @@
         self.lock().leases.batch(now, cursor, limit, scope, first)
     }
 
-    /// Servers that said since `version` of the lease table that they leave, and the present version.
+    /// Returns the servers that announced after `version` of the lease table that they leave, and
+    /// the current version.
     pub(crate) fn leaving_since(&self, now: MonotonicTime, version: u64) -> (Vec<NamedLease>, u64) {
         self.lock().leases.leaving_since(now, version)
     }
 
-    /// Full announcements of those of `servers` that are held.
+    /// Returns the full leases of the known servers among `servers`.
     pub(crate) fn full_leases(
         &self,
         now: MonotonicTime,
@@ -170,7 +173,7 @@
         self.lock().leases.full_leases(now, servers)
     }
 
-    /// Names of the leases with `numbers`, which rise.
+    /// Returns the leases with `numbers`, which must be in ascending order, by name.
     pub(crate) fn leases_by_number(
         &self,
         now: MonotonicTime,
@@ -179,28 +182,28 @@
         self.lock().leases.leases_by_number(now, numbers)
     }
 
-    /// Number of the lease table, which batches of it carry.
+    /// Incarnation of the lease table, which its batches carry.
     pub(crate) fn table_incarnation(&self) -> Incarnation {
         self.lock().leases.table_incarnation()
     }
 
-    /// Ends leases that ran out.
+    /// Ends expired leases and returns their events.
     pub fn tick(&self, now: MonotonicTime) -> Vec<LeaseEvent> {
         let mut state = self.lock();
-        let news = state.leases.tick(now);
-        for item in &news {
-            state.end(item);
+        let events = state.leases.tick(now);
+        for event in &events {
+            state.handle_lease_event(event);
         }
         state.planner.tick(now);
-        news
+        events
     }
 
-    /// Whether `server` may get new work now; asked again right before each send.
+    /// Whether `server` may get new work now; callers check again right before each send.
     pub fn may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         self.lock().leases.may_take_work(now, server)
     }
 
-    /// Servers that may get new work now.
+    /// Returns the servers that may get new work now.
     pub fn serving(&self, now: MonotonicTime) -> Vec<Arc<ServerView>> {
         let state = self.lock();
         let serving = state.leases.iter().filter(|lease| lease.is_serving(now));
@@ -210,7 +213,7 @@
             .collect()
     }
 
-    /// Model engines that may get new work now.
+    /// Returns the model engines that may get new work now.
     pub(crate) fn engines(&self, now: MonotonicTime) -> Vec<FleetEngine> {
         let state = self.lock();
         let serving = state.leases.iter().filter(|lease| lease.is_serving(now));
@@ -224,7 +227,7 @@
         engines.collect()
     }
 
-    /// Servers of a plain service that may get new work now.
+    /// Returns the servers of a plain service that may get new work now.
     pub fn serving_service(
         &self,
         now: MonotonicTime,
@@ -239,37 +242,37 @@
             .collect()
     }
 
-    /// The view of one server.
+    /// Returns the view of `server`, if its offer could be decoded.
     pub fn view(&self, server: &ServerName) -> Option<Arc<ServerView>> {
         self.lock().views.get(server).cloned()
     }
 
-    /// Number of the newest announcement that is held of `server`.
+    /// Returns the number of the newest stored announcement of `server`.
     pub fn announcement_number(&self, server: &str) -> Option<AnnouncementNumber> {
         let state = self.lock();
-        let held = &state.leases.get(&ServerName::from(server))?.announce;
+        let announce = &state.leases.get(&ServerName::from(server))?.announce;
         Some(AnnouncementNumber {
-            incarnation: held.incarnation.0,
-            sequence: held.sequence.0,
+            incarnation: announce.incarnation.0,
+            sequence: announce.sequence.0,
         })
     }
 
-    /// All leases, for the dump.
+    /// Returns all leases, for the dump.
     pub fn dump(&self) -> Vec<ServerLease> {
         self.lock().leases.iter().cloned().collect()
     }
 
-    /// State of the planner, for the dump.
+    /// Returns the state of the planner, for the dump.
     pub fn dump_routing(&self, now: MonotonicTime) -> RoutingDump {
         self.lock().planner.dump(now)
     }
 
-    /// Number of servers held.
+    /// Number of known servers.
     pub fn len(&self) -> usize {
         self.lock().leases.len()
     }
 
-    /// Whether no server is held.
+    /// Whether no server is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -283,19 +286,19 @@
     fn merge(&mut self, now: MonotonicTime, announce: ServerAnnounce) -> MergeVerdict {
         let server = announce.server.clone();
         let verdict = self.leases.merge(now, announce);
-        self.follow(now, &server, verdict)
+        self.apply_verdict(now, &server, verdict)
     }
 
-    /// Brings views and planner in line with a lease that was merged.
-    fn follow(
+    /// Updates views and planner after a lease was merged.
+    fn apply_verdict(
         &mut self,
         now: MonotonicTime,
         server: &ServerName,
         verdict: MergeVerdict,
     ) -> MergeVerdict {
         match verdict {
-            MergeVerdict::Changed => self.take_change(now, server),
-            MergeVerdict::Renewed => self.take_load(server),
+            MergeVerdict::Changed => self.update_offer(now, server),
+            MergeVerdict::Renewed => self.update_load(server),
             MergeVerdict::Stale
             | MergeVerdict::Left
             | MergeVerdict::Unknown
@@ -304,7 +307,7 @@
         verdict
     }
 
-    fn take_change(&mut self, now: MonotonicTime, server: &ServerName) {
+    fn update_offer(&mut self, now: MonotonicTime, server: &ServerName) {
         let Some(lease) = self.leases.get(server).cloned() else {
             return;
         };
@@ -313,13 +316,14 @@
             return;
         }
         match decode(&lease.announce) {
-            Some(view) => self.take_view(now, &lease, view),
-            None => self.drop_view(server),
+            Some(view) => self.store_view(now, &lease, view),
+            None => self.remove_server(server),
         }
     }
 
-    /// A renewal changes nothing but the load, so the offer isn't decoded again.
-    fn take_load(&mut self, server: &ServerName) {
+    /// Updates the load after a renewal. A renewal changes only the load, so the offer isn't
+    /// decoded again.
+    fn update_load(&mut self, server: &ServerName) {
         let Some(lease) = self.leases.get(server) else {
             return;
         };
@@ -330,42 +334,48 @@
             .report(&load_report(&lease.announce, lease.heard_at));
     }
 
-    fn take_view(&mut self, now: MonotonicTime, lease: &ServerLease, view: ServerView) {
+    fn store_view(&mut self, now: MonotonicTime, lease: &ServerLease, view: ServerView) {
         if let ServerOffer::Engine(offer) = &view.offer {
-            self.tell_planner(now, lease, offer);
+            self.announce_to_planner(now, lease, offer);
         }
         let server = &lease.announce.server;
-        self.services.place(server, view.facts.service.as_ref());
+        self.services
+            .set_service(server, view.facts.service.as_ref());
         self.views.insert(server.clone(), Arc::new(view));
     }
 
-    fn tell_planner(&mut self, now: MonotonicTime, lease: &ServerLease, offer: &EngineOffer) {
+    fn announce_to_planner(
+        &mut self,
+        now: MonotonicTime,
+        lease: &ServerLease,
+        offer: &EngineOffer,
+    ) {
         if lease.announce.state == ServerState::Leaving {
             self.planner.remove(&lease.announce.server);
             return;
         }
         let announcement = engine_announcement(&lease.announce, offer);
         if let Err(findings) = self.planner.announce(now, announcement) {
-            log::warn!(server:% = lease.announce.server, findings:% = findings; "engine not routed to");
+            log::warn!(server:% = lease.announce.server, findings:% = findings; "engine excluded from routing: announcement refused");
             return;
         }
         self.planner
             .report(&load_report(&lease.announce, lease.heard_at));
     }
 
-    fn drop_view(&mut self, server: &ServerName) {
+    fn remove_server(&mut self, server: &ServerName) {
         self.views.remove(server);
         self.workers.remove(server);
-        self.services.place(server, None);
+        self.services.set_service(server, None);
         self.planner.remove(server);
     }
 
-    fn end(&mut self, news: &LeaseEvent) {
-        match news {
+    fn handle_lease_event(&mut self, event: &LeaseEvent) {
+        match event {
             LeaseEvent::Ended { server } => {
                 self.planner.remove(server);
             }
-            LeaseEvent::Forgotten { server } => self.drop_view(server),
+            LeaseEvent::Forgotten { server } => self.remove_server(server),
         }
     }
 }
--- a/crates/daemon/src/fleet/announcement.rs
+++ b/crates/daemon/src/fleet/announcement.rs
@@ -1,4 +1,4 @@
-//! Announcements: checked at the border, kept encoded, decoded into views.
+//! Announcements: checked when received, stored encoded, decoded into views.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 use super::{AnnounceError, ServerView};
 
-/// Keeps an announcement as entries exchange it.
+/// Encodes an announcement in the form that hosts exchange.
 pub(super) fn encode(announcement: &Announcement) -> Result<ServerAnnounce, AnnounceError> {
     let malformed = |error: serde_json::Error| AnnounceError::Malformed {
         reason: error.to_string(),
@@ -44,7 +44,7 @@
     })
 }
 
-/// Makes the view of a server; `None` if it was encoded by a newer version of this program.
+/// Decodes the view of a server; `None` if a newer version of this program encoded the offer.
 pub(super) fn decode(announce: &ServerAnnounce) -> Option<ServerView> {
     let offer: ServerOffer = serde_json::from_str(&announce.offer).ok()?;
     let facts = match &offer {
@@ -89,41 +89,41 @@
     }
 }
 
-/// Checks an announcement; all that is wrong is named together.
+/// Checks an announcement; the error lists all invalid fields.
 pub(super) fn check_announcement(announcement: &Announcement) -> Result<(), AnnounceError> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     if announcement.server.is_empty() || announcement.server.len() > MAX_NAME_BYTES {
-        faults.push(format!("server: 1 to {MAX_NAME_BYTES} bytes are accepted"));
+        errors.push(format!("server: 1 to {MAX_NAME_BYTES} bytes are accepted"));
     }
     if announcement
         .address
         .parse::<std::net::SocketAddr>()
         .is_err()
     {
-        faults.push(format!("address: `{}` is no ip:port", announcement.address));
+        errors.push(format!("address: `{}` is no ip:port", announcement.address));
     }
     match &announcement.offer {
-        ServerOffer::Engine(offer) => check_engine(offer, &mut faults),
+        ServerOffer::Engine(offer) => check_engine(offer, &mut errors),
         ServerOffer::Service(offer) if offer.service.is_empty() => {
-            faults.push("offer.service.service: a name is expected".to_owned());
+            errors.push("offer.service.service: a name is expected".to_owned());
         }
         ServerOffer::Service(_) => {}
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         return Ok(());
     }
     Err(AnnounceError::Malformed {
-        reason: faults.join("; "),
+        reason: errors.join("; "),
     })
 }
 
-/// Longest name of a backend server.
+/// Maximum length of a backend server's name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-fn check_engine(offer: &EngineOffer, faults: &mut Vec<String>) {
+fn check_engine(offer: &EngineOffer, errors: &mut Vec<String>) {
     let layers = &offer.layers;
     if layers.first >= layers.end || layers.end > offer.model_layers {
-        faults.push(format!(
+        errors.push(format!(
             "offer.engine.layers: {}..{} is no span of a model of {} layers",
             layers.first, layers.end, offer.model_layers
         ));
@@ -133,7 +133,7 @@
         ("version", offer.version.is_empty()),
     ] {
         if empty {
-            faults.push(format!("offer.engine.{name}: a name is expected"));
+            errors.push(format!("offer.engine.{name}: a name is expected"));
         }
     }
     let rates = [
@@ -143,11 +143,11 @@
         ("kv_budget_tokens", offer.kv_budget_tokens),
     ];
     for (name, _) in rates.iter().filter(|(_, rate)| *rate == 0) {
-        faults.push(format!("offer.engine.{name}: at least 1 is expected"));
+        errors.push(format!("offer.engine.{name}: at least 1 is expected"));
     }
 }
 
-/// What the planner is told of an engine.
+/// Converts an announcement for the planner.
 pub(super) fn engine_announcement(
     announce: &ServerAnnounce,
     offer: &EngineOffer,
@@ -181,7 +181,7 @@
     }
 }
 
-/// What the planner is told of an engine's load.
+/// Converts the announced load for the planner; `taken` is the time of the announcement.
 pub(super) fn load_report(announce: &ServerAnnounce, taken: MonotonicTime) -> LoadReport {
     let load = &announce.load;
     LoadReport {
--- a/crates/daemon/src/fleet/route.rs
+++ b/crates/daemon/src/fleet/route.rs
@@ -1,4 +1,4 @@
-//! Choice of a draft's pipeline among the engines that its selector allows.
+//! Chooses the pipeline of a draft among the engines that its selector allows.
 
 use std::sync::Arc;
 
@@ -12,51 +12,52 @@
 
 use super::BackendFleet;
 
-/// A draft that needs a pipeline.
+/// Input for the choice of a draft's pipeline.
 #[derive(Clone, Copy, Debug)]
 pub struct DraftQuery<'query> {
-    /// Configuration that serves the request.
+    /// Configuration that the request is served by.
     pub configuration: &'query Configuration,
-    /// Selector that serves it.
+    /// Selector that the request matched.
     pub selector: &'query Selector,
     /// Model to run.
     pub model: &'query ModelName,
-    /// Version that every stage must hold; `None` before the first attempt of a request.
+    /// Model version that every stage must have loaded; `None` before the first attempt of a
+    /// request.
     pub version: Option<&'query VersionName>,
-    /// Adapter that every stage must hold.
+    /// Adapter that every stage must have loaded.
     pub adapter: Option<&'query AdapterName>,
     /// Servers that failed in earlier attempts.
     pub excluded: &'query [ServerName],
-    /// Tokens to replay: the prompt and what the caller already holds.
+    /// Tokens to process first: the prompt and the tokens already sent to the caller.
     pub prompt_tokens: u32,
-    /// Tokens still to generate.
+    /// Expected number of tokens to generate.
     pub expected_tokens: u32,
-    /// Time by which the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Option<MonotonicTime>,
-    /// How much the request matters.
+    /// Priority of the request.
     pub priority: RoutePriority,
 }
 
 /// One stage of a chosen pipeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedStage {
-    /// Server of the stage.
+    /// Name of the engine.
     pub server: ServerName,
-    /// Its `ip:port`.
+    /// `ip:port` of the engine.
     pub address: Arc<str>,
-    /// Layers that it runs.
+    /// Layers that the stage runs.
     pub layers: LayerRange,
 }
 
-/// A chosen pipeline, counted as running until [`BackendFleet::finished`] or
+/// A chosen pipeline. The planner counts it as running until [`BackendFleet::finished`] or
 /// [`BackendFleet::failed`].
 #[derive(Clone, Debug)]
 pub struct DraftRoute {
-    /// What the planner chose and predicted.
+    /// Choice and predictions of the planner.
     pub plan: RoutePlan,
-    /// Stages from layer 0 on.
+    /// Stages in the order of their layers, from layer 0.
     pub stages: Vec<PlannedStage>,
-    /// The planner's key of this attempt.
+    /// Key of this attempt in the planner.
     pub flight: FlightKey,
 }
 
@@ -64,14 +65,14 @@
     /// Chooses a pipeline and counts it as running.
     ///
     /// # Errors
-    /// All reasons why there is none.
+    /// No pipeline is available; the error contains all reasons.
     pub fn route(&self, now: MonotonicTime, query: &DraftQuery<'_>) -> Result<DraftRoute, NoRoute> {
         let mut guard = self.lock();
         let state = &mut *guard;
         let (leases, views) = (&state.leases, &state.views);
         let allowed = |record: &EngineRecord| {
             let server = &record.announcement.server;
-            // The planner follows leases by ticks; between two ticks the lease itself decides.
+            // The planner updates expired leases only at ticks, so the lease is checked here.
             leases.may_take_work(now, server)
                 && views.get(server).is_some_and(|view| {
                     query
@@ -112,17 +113,18 @@
         })
     }
 
-    /// The first token of a running attempt came.
+    /// Records in the planner that the first token of a running attempt has arrived.
     pub fn first_token(&self, now: MonotonicTime, flight: FlightKey) {
         self.lock().planner.first_token(now, flight);
     }
 
-    /// An attempt ended well, or its caller went away.
+    /// Records in the planner that an attempt succeeded or its caller disconnected.
     pub fn finished(&self, now: MonotonicTime, flight: FlightKey) {
         self.lock().planner.finished(now, flight);
     }
 
-    /// An attempt failed, by the fault of `culprit` where that is known.
+    /// Records in the planner that an attempt failed; `culprit` is the server that caused the
+    /// failure, if known.
     pub fn failed(&self, now: MonotonicTime, flight: FlightKey, culprit: Option<&ServerName>) {
         self.lock().planner.failed(now, flight, culprit);
     }
--- a/crates/daemon/src/fleet/service_index.rs
+++ b/crates/daemon/src/fleet/service_index.rs
@@ -1,13 +1,13 @@
-//! Servers by the plain service that they offer, so that a call looks only at its own service's.
+//! Index of servers by plain service, so that a call checks only the servers of its service.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use pollendrift_coordination::base::{ServerName, ServiceName};
 
-/// Servers by service.
+/// Index of servers by service.
 ///
-/// Invariants: each server of `by_server` stands in just the one set of `by_service` that it names;
-/// no set is empty.
+/// Invariants: each server of `by_server` is in exactly one set of `by_service`, that of its
+/// service; no set is empty.
 #[derive(Debug, Default)]
 pub(super) struct ServiceIndex {
     by_service: BTreeMap<ServiceName, BTreeSet<ServerName>>,
@@ -15,12 +15,12 @@
 }
 
 impl ServiceIndex {
-    /// Notes what `server` offers now; `None` if it is gone or offers no plain service.
-    pub(super) fn place(&mut self, server: &ServerName, service: Option<&ServiceName>) {
+    /// Sets the plain service that `server` offers; `None` removes the server from the index.
+    pub(super) fn set_service(&mut self, server: &ServerName, service: Option<&ServiceName>) {
         if self.by_server.get(server) == service {
             return;
         }
-        self.take_out(server);
+        self.remove(server);
         let Some(service) = service else {
             return;
         };
@@ -29,12 +29,12 @@
         servers.insert(server.clone());
     }
 
-    /// Servers of `service`, by name.
+    /// Iterates over the servers of `service`, sorted by name.
     pub(super) fn servers(&self, service: &ServiceName) -> impl Iterator<Item = &ServerName> {
         self.by_service.get(service).into_iter().flatten()
     }
 
-    fn take_out(&mut self, server: &ServerName) {
+    fn remove(&mut self, server: &ServerName) {
         let Some(service) = self.by_server.remove(server) else {
             return;
         };
@@ -51,14 +51,15 @@
 mod tests {
     use super::*;
 
+    // Guards against calls sent to a server that has changed or ended its service.
     #[test]
-    fn a_server_stands_under_the_service_that_it_offers_last() {
+    fn a_server_is_indexed_only_under_its_last_service() {
         let mut index = ServiceIndex::default();
         let (permits, register) = ("permits".into(), "register".into());
-        index.place(&"s1".into(), Some(&permits));
-        index.place(&"s2".into(), Some(&permits));
-        index.place(&"s1".into(), Some(&register));
-        index.place(&"s3".into(), None);
+        index.set_service(&"s1".into(), Some(&permits));
+        index.set_service(&"s2".into(), Some(&permits));
+        index.set_service(&"s1".into(), Some(&register));
+        index.set_service(&"s3".into(), None);
         let names = |service: &ServiceName| {
             let names: Vec<_> = index.servers(service).map(|s| s.to_string()).collect();
             names.join(" ")
@@ -67,7 +68,7 @@
             (names(&permits), names(&register)),
             ("s2".into(), "s1".into())
         );
-        index.place(&"s2".into(), None);
+        index.set_service(&"s2".into(), None);
         assert_eq!(index.servers(&permits).count(), 0);
         assert_eq!(index.by_service.len(), 1);
     }
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -16,35 +16,35 @@
 
 use super::{AnnounceError, BackendFleet, FleetState};
 
-/// Number of the last announcement of a life. A server that left says no number; this one outranks
-/// whatever another host has heard of the same life.
+/// Sequence number of the last announcement of an incarnation. A server that leaves sends no
+/// number; this one is higher than any number that another host has for the same incarnation.
 const LAST_SEQUENCE: SequenceNumber = SequenceNumber(u64::MAX);
 
-/// A server of a published service.
+/// Decoded announcement of a server of a published service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerView {
-    /// Its name.
+    /// Name of the server.
     pub server: ServerName,
-    /// Life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Where it takes requests.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the server.
     pub data_centre: DataCentreName,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
-    /// What it offers.
+    /// Service, request slots and loaded layers that it offers.
     pub offer: WorkerOffer,
 }
 
 impl WorkerView {
-    /// Whether a chain of engines may begin with it.
+    /// Whether a pipeline may start with this engine.
     pub fn holds_first_layer(&self) -> bool {
         let layers = self.offer.layers.as_ref();
         layers.is_some_and(|layers| layers.range.first == 0)
     }
 
-    /// The view of an announcement; `None` if it is none of a published service's server.
+    /// Decodes an announcement; `None` if it is not from a server of a published service.
     pub(super) fn decode(announce: &ServerAnnounce) -> Option<Self> {
         Some(Self {
             server: announce.server.clone(),
@@ -58,10 +58,10 @@
 }
 
 impl BackendFleet {
-    /// Takes what a server of a published service said of itself to this host.
+    /// Merges an announcement that a server of a published service sent to this host.
     ///
     /// # Errors
-    /// The table is full, or the offer can't be kept.
+    /// The table is full, or the offer can't be encoded.
     pub fn announce_worker(
         &self,
         now: MonotonicTime,
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Takes a heartbeat that says nothing new; false where it says more, or the server is not known.
+    /// Renews a lease by a heartbeat without changes; false if the heartbeat contains a change or
+    /// the server is unknown.
     pub(crate) fn renew_worker(&self, now: MonotonicTime, note: &ServerNote) -> bool {
         let Ok(announce) = encode_note(note) else {
             return false;
@@ -83,14 +84,14 @@
         is_heartbeat && state.merge(now, announce) == MergeVerdict::Renewed
     }
 
-    /// Time for which this host has known a server without a break.
+    /// Time for which this host has known a server without interruption.
     pub(crate) fn known_for(&self, now: MonotonicTime, server: &ServerName) -> Duration {
         let state = self.lock();
         let lease = state.leases.get(server);
         lease.map_or(Duration::ZERO, |lease| now.since(lease.since))
     }
 
-    /// A server said that it has left; false if this host does not know it.
+    /// Marks a server as leaving; false if this host doesn't know it.
     pub fn leave_worker(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let mut state = self.lock();
         let Some(lease) = state.leases.get(server) else {
@@ -105,23 +106,23 @@
         true
     }
 
-    /// Takes what a survey of engines found.
-    pub(crate) fn merge_survey(&self, now: MonotonicTime, notes: Vec<SurveyResult>) {
-        self.lock().survey.merge(now, notes);
+    /// Merges the results of a survey of engines.
+    pub(crate) fn merge_survey(&self, now: MonotonicTime, results: Vec<SurveyResult>) {
+        self.lock().survey.merge(now, results);
     }
 
-    /// Servers of `workers` that this host heard of first, itself or by a host that follows it: it asks them
-    /// for their state.
+    /// Returns the servers of `workers` that announce themselves to this host or to a follower of
+    /// it. This host surveys their state.
     pub(crate) fn own_and_followers(&self, workers: &[Arc<WorkerView>]) -> Vec<Arc<WorkerView>> {
         let state = self.lock();
-        let is_in_area = |worker: &&Arc<WorkerView>| {
+        let is_included = |worker: &&Arc<WorkerView>| {
             let lease = state.leases.get(&worker.server);
             lease.is_some_and(|lease| LeaseScope::OwnAndFollowers.includes(lease.from))
         };
-        workers.iter().filter(is_in_area).cloned().collect()
+        workers.iter().filter(is_included).cloned().collect()
     }
 
-    /// What surveys found of an engine.
+    /// Returns the survey result of an engine.
     pub(crate) fn surveyed(
         &self,
         now: MonotonicTime,
@@ -131,26 +132,27 @@
         state.survey.get(now, &worker.server, worker.incarnation)
     }
 
-    /// Whether a server of a published service may get new work now; asked right before each send.
+    /// Whether a server of a published service may get new work now; callers check right before
+    /// each send.
     pub(crate) fn worker_may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let state = self.lock();
         let worker = state.workers.get(server);
-        worker.is_some_and(|worker| state.is_there(now, worker))
+        worker.is_some_and(|worker| state.is_available(now, worker))
     }
 
-    /// Servers of published services that may get new work now. Of two at one address only the
-    /// later one is there: the other's last heartbeat was late.
+    /// Returns the servers of published services that may get new work now. If two have the same
+    /// address, returns only the later incarnation: the other one's last heartbeat arrived late.
     pub fn workers(&self, now: MonotonicTime) -> Vec<Arc<WorkerView>> {
         let state = self.lock();
         let workers = state
             .workers
             .values()
-            .filter(|worker| state.is_there(now, worker));
+            .filter(|worker| state.is_available(now, worker));
         let mut by_address: BTreeMap<SocketAddr, &Arc<WorkerView>> = BTreeMap::new();
         for worker in workers {
-            let holder = by_address.entry(worker.address).or_insert(worker);
-            if holder.incarnation < worker.incarnation {
-                *holder = worker;
+            let latest = by_address.entry(worker.address).or_insert(worker);
+            if latest.incarnation < worker.incarnation {
+                *latest = worker;
             }
         }
         by_address.into_values().cloned().collect()
@@ -176,12 +178,12 @@
 }
 
 impl FleetState {
-    /// Whether a server is there and takes work: its lease runs, or it answers surveys.
+    /// Whether a server accepts work: its lease is valid, or it answers surveys.
     ///
-    /// Heartbeats that went to a host which is cut off renew no lease elsewhere. Engines that serve
-    /// as ever would be left out, a third of a fleet at a time, and their layers placed anew. What
-    /// said that it leaves stays out, whatever it answers.
-    fn is_there(&self, now: MonotonicTime, worker: &WorkerView) -> bool {
+    /// Heartbeats sent to a disconnected host renew no lease at other hosts. Without the survey
+    /// results, engines that still serve would be excluded, a third of a fleet at a time, and their
+    /// layers placed again. A server that announced that it leaves stays excluded.
+    fn is_available(&self, now: MonotonicTime, worker: &WorkerView) -> bool {
         let Some(lease) = self.leases.get(&worker.server) else {
             return false;
         };
--- a/crates/daemon/src/placement.rs
+++ b/crates/daemon/src/placement.rs
@@ -1,6 +1,6 @@
-//! Placement at work: one host at a time orders engines to load what selectors name.
+//! Placement task: one host at a time orders engines to load the model versions of selectors.
 //!
-//! Acts only while a selector names a model with a version, and only under the order right that
+//! Runs only while a selector names a model with a version, and only with the order right, which
 //! the keepers grant to one holder at a time.
 
 mod order;
@@ -28,16 +28,16 @@
 
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(200);
-/// Leases that a new holder waits before it orders engines that ignore fencing numbers.
+/// Wait of a new holder before it orders engines that ignore fencing numbers, in lease durations.
 ///
-/// An order of the last holder could reach such an engine after the new holder's and undo it. The
-/// last holder writes nothing later than the end of its lease, which is over within one lease of the
-/// last renewal; the others are for clocks that drift and bytes that are under way.
+/// An order of the previous holder could reach such an engine after an order of the new holder and
+/// undo it. The previous holder sends nothing after the end of its lease, at most one lease
+/// duration after the last renewal. The other two cover clock drift and data in transit.
 const UNFENCED_LEASES: u32 = 3;
-/// Largest answer to an order, in bytes.
+/// Maximum size of an answer to an order, in bytes.
 const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// What the task works with.
+/// Dependencies of the placement task.
 pub(crate) struct PlacementParts {
     pub(crate) host: HostName,
     pub(crate) settings: PlacementSettings,
@@ -46,7 +46,7 @@
     pub(crate) clock: Arc<dyn TimeSource>,
 }
 
-/// Places model versions for as long as the process lives.
+/// Places model versions for as long as the process runs.
 pub(crate) async fn run_placement(parts: PlacementParts) {
     let mut placer = EnginePlacer::new(parts);
     let mut ticks = tokio::time::interval(TICK);
@@ -62,7 +62,7 @@
     table: PlacementTable,
     right: OrderRightRenewer,
     spans: EngineSpans,
-    seen: BTreeSet<ServerName>,
+    observed: BTreeSet<ServerName>,
     client: HttpClient,
 }
 
@@ -75,15 +75,15 @@
             table,
             right,
             spans: EngineSpans::default(),
-            seen: BTreeSet::new(),
+            observed: BTreeSet::new(),
             client: HttpClient::new(MAX_REPLY_BYTES),
         }
     }
 
-    /// One look at the fleet, and the orders that follow from it.
+    /// Updates the table from the fleet and sends the resulting orders.
     async fn tick(&mut self) {
         let now = self.parts.clock.now();
-        if !self.look(now) {
+        if !self.update_table(now) {
             return;
         }
         let right = self
@@ -97,26 +97,29 @@
         self.send(report).await;
     }
 
-    /// Takes what is wanted and what engines announced; false if nothing is wanted.
-    fn look(&mut self, now: MonotonicTime) -> bool {
+    /// Updates targets and engines of the table; false if there is no target.
+    fn update_table(&mut self, now: MonotonicTime) -> bool {
         let Ok(configuration) = self.parts.agreed.configuration() else {
             return false;
         };
-        let wanted = TargetSelection::new(&configuration);
-        if wanted.is_empty() {
+        let selection = TargetSelection::new(&configuration);
+        if selection.is_empty() {
             return false;
         }
         let engines = self.parts.fleet.engines(now);
-        let seen = wanted.observe(&engines, &mut self.spans);
-        let names: BTreeSet<ServerName> = seen.iter().map(|engine| engine.server.clone()).collect();
-        for gone in self.seen.difference(&names) {
-            self.table.remove(gone);
+        let observations = selection.observe(&engines, &mut self.spans);
+        let names: BTreeSet<ServerName> = observations
+            .iter()
+            .map(|engine| engine.server.clone())
+            .collect();
+        for removed in self.observed.difference(&names) {
+            self.table.remove(removed);
         }
-        self.seen = names;
-        for engine in seen {
+        self.observed = names;
+        for engine in observations {
             self.table.observe(engine);
         }
-        self.table.set_targets(wanted.targets(&engines));
+        self.table.set_targets(selection.targets(&engines));
         true
     }
 
@@ -127,8 +130,8 @@
             };
             let clock = self.parts.clock.as_ref();
             match send_order(&self.client, &view.address, &order, clock).await {
-                Ok(()) => log::info!(order:% = order; "engine ordered"),
-                Err(error) => log::warn!(order:% = order, error:% = error; "order not taken"),
+                Ok(()) => log::info!(order:% = order; "order accepted by engine"),
+                Err(error) => log::warn!(order:% = order, error:% = error; "order not accepted"),
             }
         }
     }
--- a/crates/daemon/src/placement/order.rs
+++ b/crates/daemon/src/placement/order.rs
@@ -1,4 +1,4 @@
-//! One order on its way to an engine.
+//! Sends an order to an engine.
 
 use std::time::Duration;
 
@@ -9,36 +9,36 @@
 
 use crate::clock::TimeSource;
 
-/// Path that engines take orders on.
+/// HTTP path for orders at engines.
 const ORDER_PATH: &str = "/engine/v1/orders";
-/// Longest wait for an engine's answer.
+/// Maximum wait for an engine's answer.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why an order was not taken, as far as is known; only an announcement shows what is loaded.
+/// Reason why an order failed. Only an announcement proves which layers an engine has loaded.
 #[derive(Debug, Display, Error, From)]
 pub(super) enum OrderError {
-    /// The right ended before the order was written.
-    #[display("the order right ended")]
+    /// The order right ended before the order was sent.
+    #[display("the order right ended before the order was sent")]
     RightEnded,
-    /// No answer in time.
-    #[display("no answer in time")]
+    /// The engine did not answer in time.
+    #[display("the engine did not answer within the time limit")]
     NoAnswer,
-    /// The call failed.
+    /// The HTTP call failed.
     #[display("{_0}")]
     Call(ClientError),
-    /// The engine refused.
-    #[display("refused; the engine has taken orders up to fencing number {highest}")]
+    /// The engine refused the order because of its fencing number.
+    #[display("refused: the engine has already accepted fencing number {highest}")]
     #[from(skip)]
     Refused {
-        /// Highest number that it knows.
+        /// Highest fencing number that the engine has accepted.
         highest: u64,
     },
 }
 
-/// Sends an order, unless the right under which it was decided is over by now.
+/// Sends an order, unless the order right that it is based on has ended.
 ///
-/// A process that was paused after it decided would otherwise order in place of its successor. The
-/// call is dropped at the end of the right as well, so none of it is written later.
+/// Otherwise a process that was paused after its decision would interfere with its successor. The
+/// call is also aborted at the end of the right, so nothing is sent after it.
 pub(super) async fn send_order(
     client: &HttpClient,
     address: &str,
--- a/crates/daemon/src/placement/right.rs
+++ b/crates/daemon/src/placement/right.rs
@@ -1,4 +1,4 @@
-//! The right to order engines, asked for and renewed.
+//! Requests and renews the order right, the permission to order engines.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::agreed::AgreedState;
 use crate::clock::TimeSource;
 
-/// Name under which the right over all engines is held.
+/// Name of the order right for all engines.
 const ALL_ENGINES: &str = "placement";
-/// Part of a lease that is given up for clocks that drift apart.
-const DRIFT_PARTS: u32 = 10;
-/// Part of a lease after which it is renewed.
-const RENEW_PARTS: u32 = 3;
+/// Divisor of the lease for the part given up because of clock drift.
+const DRIFT_DIVISOR: u32 = 10;
+/// Divisor of the lease for the time after which it is renewed.
+const RENEW_DIVISOR: u32 = 3;
 
-/// Asks for the right when it is time to.
+/// Requests the order right and renews it when due.
 pub(crate) struct OrderRightRenewer {
     host: HostName,
     lease: Duration,
-    ask_at: MonotonicTime,
+    renew_at: MonotonicTime,
 }
 
 impl OrderRightRenewer {
@@ -30,41 +30,41 @@
         Self {
             host,
             lease,
-            ask_at: MonotonicTime::START,
+            renew_at: MonotonicTime::START,
         }
     }
 
-    /// The right, if it was granted or renewed just now. Its end is counted from before the
-    /// request was sent, so this host stops before the keepers let another one have it.
+    /// Returns the right if this call obtains or renews it. Its end counts from the time before the
+    /// request was sent, so this host stops before the keepers grant the right to another host.
     pub(crate) async fn renew_if_due(
         &mut self,
         agreed: &dyn AgreedState,
         clock: &dyn TimeSource,
     ) -> Option<PlacementRight> {
-        let asked = clock.now();
-        if asked < self.ask_at {
+        let requested_at = clock.now();
+        if requested_at < self.renew_at {
             return None;
         }
         let holder = OrderHolder {
             host: self.host.clone(),
             incarnation: agreed.incarnation()?,
         };
-        self.ask_at = asked.after(self.lease / RENEW_PARTS);
+        self.renew_at = requested_at.after(self.lease / RENEW_DIVISOR);
         let request = GrantOrderRight {
             server: ServerName::from(ALL_ENGINES),
             holder,
             lease: self.lease,
         };
         let answer = agreed.submit(ReplicatedCommand::GrantOrderRight(request));
-        match tokio::time::timeout(self.lease / RENEW_PARTS, answer).await {
+        match tokio::time::timeout(self.lease / RENEW_DIVISOR, answer).await {
             Ok(Ok(CommandAnswer::OrderRight(OrderRightAnswer::Granted { fencing, lease }))) => {
                 Some(PlacementRight {
                     fencing,
-                    until: asked.after(lease - lease / DRIFT_PARTS),
+                    until: requested_at.after(lease - lease / DRIFT_DIVISOR),
                 })
             }
             Ok(Ok(CommandAnswer::OrderRight(OrderRightAnswer::Held { remaining, .. }))) => {
-                self.ask_at = clock.now().after(remaining);
+                self.renew_at = clock.now().after(remaining);
                 None
             }
             _ => None,
--- a/crates/daemon/src/placement/targets.rs
+++ b/crates/daemon/src/placement/targets.rs
@@ -1,4 +1,4 @@
-//! What selectors want placed, and which engines may be ordered for it.
+//! Placement targets of selectors, and the engines that may be ordered for them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,31 +13,31 @@
 
 use crate::fleet::FleetEngine;
 
-/// Selectors that name a model with a version, and what else bears on placement.
-pub(super) struct TargetSelection<'held> {
-    configuration: &'held Configuration,
-    /// Selectors in the order in which they are tried, each with its weights.
-    selectors: Vec<(WeightsId, &'held Selector)>,
-    /// Models that a selector names without a version: any version of them may be in use.
-    open: BTreeSet<ModelName>,
+/// Selectors that name a model with a version, and the configuration that they belong to.
+pub(super) struct TargetSelection<'configuration> {
+    configuration: &'configuration Configuration,
+    /// Selectors in matching order, each with its weights.
+    selectors: Vec<(WeightsId, &'configuration Selector)>,
+    /// Models that a selector names without a version; any version of them may be in use.
+    unversioned_models: BTreeSet<ModelName>,
 }
 
-/// Longest span that each engine was seen to hold: so many layers surely fit.
+/// Largest number of layers that each engine has had loaded; at least so many fit.
 #[derive(Debug, Default)]
 pub(super) struct EngineSpans {
-    longest: BTreeMap<ServerName, u32>,
+    max_layers: BTreeMap<ServerName, u32>,
 }
 
-impl<'held> TargetSelection<'held> {
-    pub(super) fn new(configuration: &'held Configuration) -> Self {
+impl<'configuration> TargetSelection<'configuration> {
+    pub(super) fn new(configuration: &'configuration Configuration) -> Self {
         let mut selectors = Vec::new();
-        let mut open = BTreeSet::new();
+        let mut unversioned_models = BTreeSet::new();
         for (_, selector) in configuration.selectors() {
             let SelectorTarget::Model { model, version, .. } = &selector.target else {
                 continue;
             };
             let Some(version) = version.clone() else {
-                open.insert(model.clone());
+                unversioned_models.insert(model.clone());
                 continue;
             };
             let model = model.clone();
@@ -47,7 +47,7 @@
         Self {
             configuration,
             selectors,
-            open,
+            unversioned_models,
         }
     }
 
@@ -55,7 +55,7 @@
         self.selectors.is_empty()
     }
 
-    /// Targets whose number of layers some engine tells, the first selector's first.
+    /// Returns the targets whose number of layers is known from an engine, in selector order.
     pub(super) fn targets(&self, engines: &[FleetEngine]) -> Vec<PlacementTarget> {
         let mut targets: Vec<PlacementTarget> = Vec::new();
         for (weights, _) in &self.selectors {
@@ -76,20 +76,20 @@
         targets
     }
 
-    /// Engines as placement may see them. One that holds wanted weights and that no selector
-    /// allows to serve them counts for no pipeline, so it is left out.
+    /// Returns the observations of the engines for placement. An engine that holds target weights
+    /// but that no selector allows to serve them is part of no pipeline, so it is omitted.
     pub(super) fn observe(
         &self,
         engines: &[FleetEngine],
         spans: &mut EngineSpans,
     ) -> Vec<EngineObservation> {
         let names: BTreeSet<&ServerName> = engines.iter().map(|e| &e.view.facts.name).collect();
-        spans.longest.retain(|server, _| names.contains(server));
-        let seen = engines.iter().filter_map(|engine| {
+        spans.max_layers.retain(|server, _| names.contains(server));
+        let observations = engines.iter().filter_map(|engine| {
             let offer = offer_of(engine)?;
             self.observe_one(engine, offer, spans)
         });
-        seen.collect()
+        observations.collect()
     }
 
     fn observe_one(
@@ -104,14 +104,14 @@
             version: facts.version.clone()?,
         };
         let layers = LayerRange::new(offer.layers.first, offer.layers.end)?;
-        let longest = spans.longest.entry(facts.name.clone()).or_default();
-        *longest = layers.len().max(*longest);
+        let max_loaded = spans.max_layers.entry(facts.name.clone()).or_default();
+        *max_loaded = layers.len().max(*max_loaded);
         if !self.may_serve(facts, &weights) {
             return None;
         }
         let rate = offer.decode_tokens_per_second * u64::from(layers.len());
         let max_layers = if self.may_be_ordered(facts, &weights.model) {
-            *longest
+            *max_loaded
         } else {
             0
         };
@@ -133,11 +133,11 @@
             || own.any(|(_, selector)| self.configuration.allows(selector, facts).is_ok())
     }
 
-    /// An engine is ordered only if nothing but placement can need what it holds, which is so where
-    /// every selector of its model names a version, and if every target may be served by it.
+    /// Whether placement may order this engine: every selector of its model must name a version, so
+    /// that only placement needs its weights, and the engine must be allowed to serve every target.
     fn may_be_ordered(&self, facts: &ServerFacts, model: &ModelName) -> bool {
-        let is_placed = self.selectors.iter().any(|(id, _)| id.model == *model);
-        if !is_placed || self.open.contains(model) {
+        let is_target = self.selectors.iter().any(|(id, _)| id.model == *model);
+        if !is_target || self.unversioned_models.contains(model) {
             return false;
         }
         self.selectors.iter().all(|(id, selector)| {
