--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,23 +1,23 @@
-//! Where the present time comes from; deciding functions take it as an argument.
+//! Source of the current time. Functions that decide by the time take it as an argument.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 use pollendrift_coordination::base::{MonotonicTime, WallTime};
 
-/// A source of the present time.
+/// Source of the current time.
 pub trait TimeSource: Send + Sync {
     /// Monotonic time of this process.
     fn now(&self) -> MonotonicTime;
-    /// Wall-clock time, for records that people read.
+    /// Wall-clock time, for records and logs.
     fn wall(&self) -> WallTime;
 }
 
-/// The machine's clocks.
+/// Clocks of the machine.
 ///
-/// Monotonic time is the time since the machine booted, which goes on while it is suspended. The
-/// usual steady clock stands still then: a host that was suspended for a minute would find all its
-/// leases as fresh as before, and serve keys that were revoked meanwhile.
+/// Monotonic time is the time since boot, which also advances while the machine is suspended. The
+/// usual monotonic clock stops then: after a suspension of a minute, a host would consider its
+/// leases still valid and accept keys that were revoked meanwhile.
 #[derive(Clone, Debug)]
 pub struct SystemClock {
     start: Duration,
@@ -31,18 +31,18 @@
     }
 }
 
-/// Whole milliseconds, as frames and log lines carry them.
+/// Converts to whole milliseconds, the unit of frames and log lines.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Time since the machine booted, the time included for which it was suspended.
+/// Time since boot, including the time that the machine was suspended.
 pub(crate) fn since_boot() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
-        // Every Linux since 2.6.39 has the clock, and the call has no other error.
+        // Linux has this clock since 2.6.39, and the call has no other error.
         Err(error) => {
-            log::error!(error:% = error; "no clock since boot; time stands still");
+            log::error!(error:% = error; "CLOCK_BOOTTIME can't be read; using time 0");
             Duration::ZERO
         }
     }
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One running daemon: faces, tables and the systems that tick over them.
+//! A running daemon: its faces, tables and periodic tasks.
 
 mod sources;
 
@@ -43,14 +43,14 @@
 
 use sources::{DaemonMetrics, EvidenceDump, FleetDump, NodeDump, RoutingDumpSource};
 
-/// Time between two ticks of the systems.
+/// Time between two ticks of the gate and the leases.
 const TICK: Duration = Duration::from_millis(100);
-/// Time between two looks at the key files.
-const KEY_TICK: Duration = Duration::from_secs(10);
-/// Largest answer of a plain service, in bytes.
+/// Time between two checks of the key files.
+const KEY_PERIOD: Duration = Duration::from_secs(10);
+/// Maximum size of a plain service's answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Why a daemon did not start.
+/// Reason why a daemon did not start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
     /// An address can't be bound.
@@ -59,58 +59,58 @@
     Listen {
         /// Address that could not be bound.
         address: SocketAddr,
-        /// The system's words.
+        /// Error of the operating system.
         #[error(source)]
         error: io::Error,
     },
     /// The keys can't be used.
     #[display("{_0}")]
     Access(AccessError),
-    /// The agreed state can't start.
+    /// The cluster node can't start.
     #[display("{_0}")]
     Node(NodeError),
-    /// The settings ask for a relay in a build that knows no platform's dialect.
+    /// The settings enable the relay in a build without a platform dialect.
     #[display("`relay` is enabled, but this build speaks no platform's dialect")]
     NoDialect,
-    /// Metrics can't be kept.
+    /// The metrics exporter can't be built.
     #[display("{_0}")]
     Metrics(MetricError),
 }
 
 impl StartError {
-    /// Whether the disk of this host's keeper has no room.
+    /// Whether the disk of this host's keeper is full.
     #[must_use]
     pub fn is_disk_full(&self) -> bool {
         matches!(self, Self::Node(NodeError::Keeper(error)) if error.is_disk_full())
     }
 }
 
-/// Parts that most builds do without.
+/// Optional parts of a daemon, which most builds don't use.
 #[derive(Default)]
 pub struct DaemonExtras {
-    /// Another way for the evidence than the keepers; for measurements of what recording costs,
-    /// never for service.
+    /// Sink that replaces the keepers as the destination of evidence. For measurements of the cost
+    /// of recording, never for production.
     pub sink: Option<Box<dyn EvidenceSink>>,
-    /// Dialect of a platform, spoken where the settings enable the relay.
+    /// Dialect of a platform, used if the settings enable the relay.
     pub dialect: Option<PlatformDialect>,
 }
 
-/// A running daemon; dropping it stops at once, as a crash does.
+/// A running daemon; dropping it stops it at once, like a crash.
 pub struct RouterDaemon {
     servers: Vec<HttpServer>,
     context: Arc<EntryContext>,
     access: Arc<AccessControl>,
     node: Arc<ClusterNode>,
-    life: LifecycleControl,
+    lifecycle: LifecycleControl,
     drain: DrainSettings,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl RouterDaemon {
-    /// Starts the daemon of one host; `warnings` about its settings are said in the status.
+    /// Starts the daemon of one host; the status shows `warnings` about its settings.
     ///
     /// # Errors
-    /// An address, the keys or the data folder can't be used; nothing is left running.
+    /// An address, the keys or the data folder can't be used; no task keeps running.
     pub async fn start(
         settings: &DaemonSettings,
         warnings: Vec<String>,
@@ -118,7 +118,7 @@
         Self::start_with(settings, warnings, DaemonExtras::default()).await
     }
 
-    /// Starts the daemon with parts that most builds do without.
+    /// Starts the daemon with optional parts.
     ///
     /// # Errors
     /// As [`RouterDaemon::start`].
@@ -153,7 +153,7 @@
         let node = Arc::new(ClusterNode::start(settings, parts).await?);
         let agreed: Arc<dyn AgreedState> = Arc::clone(&node) as Arc<dyn AgreedState>;
         let gate = Arc::new(admission_gate(settings, Arc::clone(&clock)));
-        let life = LifecycleControl::default();
+        let lifecycle = LifecycleControl::default();
         let context = Arc::new(EntryContext {
             host: settings.host.clone(),
             incarnation: clock.wall().0,
@@ -166,7 +166,7 @@
             agreed: Arc::clone(&agreed),
             client: HttpClient::new(MAX_ANSWER_BYTES),
             drafts: DraftSettings::default(),
-            lifecycle: life.watch(),
+            lifecycle: lifecycle.watch(),
             gate: Arc::clone(&gate),
             streams: Arc::clone(node.streams()),
             resends: ResendPolicy::new(retry_settings(&settings.retries), Arc::clone(&clock)),
@@ -184,7 +184,7 @@
                 agreed: Arc::clone(&agreed),
                 fleet: Arc::clone(&fleet),
                 clock: Arc::clone(&clock),
-                lifecycle: life.watch(),
+                lifecycle: lifecycle.watch(),
                 metrics: Arc::clone(&metrics),
                 seed,
             })
@@ -292,43 +292,45 @@
             context,
             access,
             node,
-            life,
+            lifecycle,
             drain: settings.drain.clone(),
             tasks,
         })
     }
 
-    /// Who may come in; its tokens and keys can be replaced.
+    /// Access control of this daemon; its tokens and keys can be replaced.
     pub fn access(&self) -> &AccessControl {
         &self.access
     }
 
-    /// Why the balancer should send nothing here; `None` if it should.
+    /// Returns the reason why the load balancer should send no requests; `None` if this host is
+    /// ready.
     pub fn unready_reason(&self) -> Option<String> {
         self.context.unready_reason()
     }
 
-    /// This host's part in the agreed state.
+    /// This host's part in the cluster.
     pub fn node(&self) -> &Arc<ClusterNode> {
         &self.node
     }
 
-    /// Resolves once this host's keeper has stopped because its disk is full. Dropped and started again,
-    /// the daemon goes on from what is on the disk.
+    /// Resolves when this host's keeper has stopped because its disk is full. After a restart the
+    /// daemon continues from the data on the disk.
     pub async fn disk_full(&self) {
         self.node.disk_full().await;
     }
 
-    /// A planned stop: asks the balancer to move away, then refuses new work, lets what runs
-    /// finish, and closes. True if everything finished within the drain timeout, which counts by the
-    /// steady clock: no lease rests on it, and a host that was suspended cuts nobody off for that.
+    /// Runs a planned stop: reports not ready to the load balancer, then refuses new work, lets
+    /// running requests finish, and closes. True if everything finished within the drain timeout.
+    /// The timeout uses the clock that stops while the host is suspended: no lease depends on it,
+    /// and requests are not aborted because of a suspension.
     pub async fn drain(mut self) -> bool {
-        self.life.advance(LifecycleStep::Leaving);
+        self.lifecycle.advance(LifecycleStep::Leaving);
         if let Some(recorder) = self.context.recorder.get() {
             recorder.flush_for_shutdown();
         }
         tokio::time::sleep(self.drain.notice).await;
-        self.life.advance(LifecycleStep::Closed);
+        self.lifecycle.advance(LifecycleStep::Closed);
         let deadline = Instant::now() + self.drain.timeout;
         let servers = std::mem::take(&mut self.servers);
         let connections = async {
@@ -341,14 +343,14 @@
                 recorder.flush().await;
             }
         };
-        in_time(deadline, "connections", connections).await
-            && in_time(deadline, "requests", self.context.tasks.finished()).await
-            && in_time(deadline, "evidence", evidence).await
+        finish_by(deadline, "connections", connections).await
+            && finish_by(deadline, "requests", self.context.tasks.finished()).await
+            && finish_by(deadline, "evidence", evidence).await
     }
 }
 
-/// Whether a step of a planned stop ends before the time for all of them is up.
-async fn in_time<F>(deadline: Instant, step: &str, work: F) -> bool
+/// Whether a step of a planned stop ends before the deadline of all steps.
+async fn finish_by<F>(deadline: Instant, step: &str, work: F) -> bool
 where
     F: Future<Output = ()>,
 {
@@ -368,12 +370,12 @@
     }
 }
 
-/// Faces that one address serves.
+/// Faces served at one address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaceSet {
-    /// Callers' requests.
+    /// Requests of callers.
     pub callers: bool,
-    /// Operators' changes and questions.
+    /// Changes and queries of operators.
     pub operators: bool,
     /// Announcements of backend servers.
     pub backend_servers: bool,
@@ -410,13 +412,13 @@
 }
 
 async fn key_loop(access: Arc<AccessControl>) {
-    let mut ticks = tokio::time::interval(KEY_TICK);
+    let mut ticks = tokio::time::interval(KEY_PERIOD);
     loop {
         ticks.tick().await;
         match access.refresh_keys() {
-            Ok(true) => log::info!("new keys are in force"),
+            Ok(true) => log::info!("new keys applied"),
             Ok(false) => {}
-            Err(error) => log::error!(error:% = error; "keys not taken, the old ones stay"),
+            Err(error) => log::error!(error:% = error; "keys not applied, the old keys stay"),
         }
     }
 }
@@ -433,8 +435,8 @@
         ticks.tick().await;
         gate.tick();
         metrics.requests_queued(u64::from(gate.status().queued));
-        for news in fleet.tick(clock.now()) {
-            log::info!(news:? = news; "backend server lease");
+        for event in fleet.tick(clock.now()) {
+            log::info!(news:? = event; "backend server lease changed");
         }
     }
 }
--- a/crates/daemon/src/daemon/sources.rs
+++ b/crates/daemon/src/daemon/sources.rs
@@ -1,4 +1,4 @@
-//! What this process shows of itself: parts of the dump, and the metrics.
+//! Sources of the dump and of the metrics of this process.
 
 use std::sync::Arc;
 
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -1,4 +1,4 @@
-//! Reads the tables of the daemon for the gauges of its metrics.
+//! Updates the gauges of the metrics from the tables of the daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,42 +10,42 @@
 use crate::node::ClusterNode;
 use crate::telemetry::{MetricRegistry, RecorderSlot};
 
-/// Time between two readings.
+/// Time between two updates of the gauges.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// What is read.
+/// Tables that the gauges are read from.
 pub struct GaugeSources {
-    /// Backend servers.
+    /// Backend servers and their leases.
     pub fleet: Arc<BackendFleet>,
     /// Configuration, claims and the keeper.
     pub node: Arc<ClusterNode>,
-    /// Evidence that waits.
+    /// Buffered evidence.
     pub recorder: Arc<RecorderSlot>,
-    /// The present time.
+    /// Source of the current time.
     pub clock: Arc<dyn TimeSource>,
 }
 
-/// Reads the tables every second for as long as the daemon runs.
-pub async fn run_gauges(tables: GaugeSources, metrics: Arc<MetricRegistry>) {
+/// Updates the gauges every second for as long as the daemon runs.
+pub async fn run_gauges(sources: GaugeSources, metrics: Arc<MetricRegistry>) {
     let mut ticks = tokio::time::interval(PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        read(&tables, &metrics);
+        update(&sources, &metrics);
     }
 }
 
-fn read(tables: &GaugeSources, metrics: &MetricRegistry) {
-    let serving = tables.fleet.serving(tables.clock.now()).len();
+fn update(sources: &GaugeSources, metrics: &MetricRegistry) {
+    let serving = sources.fleet.serving(sources.clock.now()).len();
     metrics.backend_servers(count(serving));
-    let (revision, lease) = tables.node.feed().lease();
+    let (revision, lease) = sources.node.feed().lease();
     metrics.configuration(revision, lease);
-    let keeper = tables.node.keeper_status();
+    let keeper = sources.node.keeper_status();
     metrics.keeper_leads(keeper.is_some_and(|status| status.role == KeeperRole::Leader));
-    if let Some(recorder) = tables.recorder.get() {
+    if let Some(recorder) = sources.recorder.get() {
         metrics.evidence(&recorder.status());
     }
-    if let Some(shared) = tables.node.shared() {
+    if let Some(shared) = sources.node.shared() {
         metrics.claims(count(shared.read(|state| state.claims().held())));
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! Router daemon of pollendrift.
 //!
-//! One process per host: an entry for callers, backend servers, operators and peers, and a keeper
-//! where the settings name a data folder.
+//! Each host runs one process: an entry for callers, backend servers, operators and peers, and a
+//! keeper if the settings contain a data folder.
 
 pub mod access;
 pub mod admission;
--- a/crates/daemon/src/lifecycle.rs
+++ b/crates/daemon/src/lifecycle.rs
@@ -1,29 +1,29 @@
-//! Life of a daemon: serving, leaving for a planned stop, stopped.
+//! Lifecycle of a daemon: serving, leaving for a planned stop, closed.
 //!
-//! A planned stop has two steps. First the host says that it is not ready but goes on serving, so
-//! that the balancer moves away before anything is refused; then it refuses new work, truly not
-//! run, and lets what runs finish.
+//! A planned stop has two steps. First the host reports that it is not ready but still serves, so
+//! that the load balancer stops sending requests before any is refused. Then it refuses new work,
+//! which is certain not to run, and lets running work finish.
 
 use tokio::sync::watch;
 
-/// Step of a daemon's life.
+/// Step of a daemon's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleStep {
-    /// It takes new work.
+    /// The daemon accepts new work.
     Serving,
-    /// It takes new work, but asks the balancer for none.
+    /// The daemon accepts new work but reports not ready to the load balancer.
     Leaving,
-    /// It takes no new work; what runs may finish.
+    /// The daemon refuses new work; running work may finish.
     Closed,
 }
 
-/// Follows the step of a daemon's life.
+/// Reads the step of a daemon's lifecycle.
 #[derive(Clone, Debug)]
 pub struct LifecycleWatch {
     step: watch::Receiver<LifecycleStep>,
 }
 
-/// Sets the step of a daemon's life.
+/// Sets the step of a daemon's lifecycle.
 #[derive(Debug)]
 pub struct LifecycleControl {
     step: watch::Sender<LifecycleStep>,
@@ -38,12 +38,12 @@
 }
 
 impl LifecycleControl {
-    /// Moves to `step`; a life never goes back.
+    /// Moves to `step`; callers never move to an earlier step.
     pub fn advance(&self, step: LifecycleStep) {
         self.step.send_replace(step);
     }
 
-    /// A watch on the step.
+    /// Returns a handle that reads the step.
     pub fn watch(&self) -> LifecycleWatch {
         LifecycleWatch {
             step: self.step.subscribe(),
@@ -52,7 +52,7 @@
 }
 
 impl LifecycleWatch {
-    /// The present step.
+    /// Returns the current step.
     pub fn step(&self) -> LifecycleStep {
         *self.step.borrow()
     }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! This host's part in the agreed state: links, keeper, configuration feed and client.
+//! This host's part in the cluster: links to peers, keeper, configuration feed and keeper client.
 
 mod parts;
 
@@ -41,21 +41,21 @@
 use crate::streams::StreamStore;
 use crate::telemetry::{JournalError, RecorderSlot};
 
-/// Pause between two tries to announce this process's life to the keepers.
-const START_PAUSE: Duration = Duration::from_millis(200);
-/// Time that leadership may take to be handed over at a planned stop.
-const HAND_OVER_PATIENCE: Duration = Duration::from_secs(3);
+/// Pause between two attempts to register this process with the keepers.
+const REGISTER_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum time to hand over leadership at a planned stop.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why the agreed state did not start.
+/// Reason why the node did not start.
 #[derive(Debug, Display, Error, From)]
 pub enum NodeError {
     /// The address of the peers' face can't be bound.
     #[display("can't listen for peers on {address}: {error}")]
     #[from(skip)]
     Listen {
-        /// The address.
+        /// Address for peers.
         address: SocketAddr,
-        /// The system's words.
+        /// Error of the operating system.
         #[error(source)]
         error: io::Error,
     },
@@ -67,11 +67,11 @@
     Evidence(JournalError),
 }
 
-/// This host's part in the agreed state; dropping it ends it at once, as a crash does.
+/// This host's part in the cluster; dropping it stops it at once, like a crash.
 pub struct ClusterNode {
     feed: Arc<ConfigurationFeed>,
     client: KeeperClient,
-    /// Taken at the planned stop.
+    /// `None` without a keeper and after a planned stop.
     keeper: Mutex<Option<RunningKeeper>>,
     shared: Option<SharedState>,
     desk: Arc<KeeperDesk>,
@@ -79,25 +79,25 @@
     broadcaster: Arc<LeaseBroadcaster>,
     peers: PeerTasks,
     tasks: Vec<JoinHandle<()>>,
-    life: tokio::sync::watch::Receiver<Option<Incarnation>>,
+    incarnation: tokio::sync::watch::Receiver<Option<Incarnation>>,
 }
 
-/// What the node needs of the rest of the daemon.
+/// Parts of the daemon that the node uses.
 pub struct NodeParts {
-    /// Who may come in.
+    /// Checks the credentials of peers.
     pub access: Arc<AccessControl>,
-    /// Backend servers.
+    /// Backend servers known to this host.
     pub fleet: Arc<BackendFleet>,
     /// Evidence of this process.
     pub recorder: Arc<RecorderSlot>,
-    /// The present time.
+    /// Source of the current time.
     pub clock: Arc<dyn TimeSource>,
-    /// Drawn at the start of the process.
+    /// Random number of this process, drawn at its start.
     pub nonce: ProcessNonce,
 }
 
 impl ClusterNode {
-    /// Starts links, the keeper where the settings name one, and the configuration feed.
+    /// Starts the links, the keeper if the settings contain one, and the configuration feed.
     ///
     /// # Errors
     /// The peers' address can't be bound or the data folder can't be used.
@@ -206,12 +206,16 @@
                 shared.clone(),
             )));
         }
-        let (lives, life) = tokio::sync::watch::channel(None);
+        let (assigned, incarnation) = tokio::sync::watch::channel(None);
         let start = StartHost {
             host: settings.host.clone(),
             nonce: parts.nonce,
         };
-        tasks.push(tokio::spawn(announce_life(client.clone(), start, lives)));
+        tasks.push(tokio::spawn(register_start(
+            client.clone(),
+            start,
+            assigned,
+        )));
         Ok(Self {
             feed,
             client,
@@ -222,21 +226,21 @@
             broadcaster,
             peers,
             tasks,
-            life,
+            incarnation,
         })
     }
 
-    /// Revisions that hosts serve.
+    /// Feed of the configuration revision in force.
     pub fn feed(&self) -> &Arc<ConfigurationFeed> {
         &self.feed
     }
 
-    /// State of this host's keeper; `None` without one.
+    /// Returns the state of this host's keeper; `None` without a keeper.
     pub fn keeper_status(&self) -> Option<KeeperStatus> {
         self.keeper_handle().map(|handle| handle.status())
     }
 
-    /// Resolves once this host's keeper has stopped because its disk is full.
+    /// Resolves when this host's keeper has stopped because its disk is full.
     pub(crate) async fn disk_full(&self) {
         let Some(handle) = self.keeper_handle() else {
             return std::future::pending().await;
@@ -247,22 +251,22 @@
         }
     }
 
-    /// The replicated state of this host's keeper.
+    /// Replicated state of this host's keeper; `None` without a keeper.
     pub fn shared(&self) -> Option<&SharedState> {
         self.shared.as_ref()
     }
 
-    /// Streams that can go on at another entry.
+    /// Streams that can be resumed at another entry.
     pub fn streams(&self) -> &Arc<StreamStore> {
         &self.streams
     }
 
-    /// Tells other hosts of backend servers.
+    /// Sends leases of backend servers to other hosts.
     pub(crate) fn broadcaster(&self) -> &Arc<LeaseBroadcaster> {
         &self.broadcaster
     }
 
-    /// Answers operators' questions that need a keeper.
+    /// Answers operators' queries that need a keeper.
     pub fn desk(&self) -> &Arc<KeeperDesk> {
         &self.desk
     }
@@ -277,15 +281,16 @@
         &self.client
     }
 
-    /// Gives leadership away, before a planned stop closes the links.
+    /// Hands over leadership, before a planned stop closes the links; true if it succeeds or there
+    /// is no keeper.
     pub async fn hand_over(&self) -> bool {
         match self.keeper_handle() {
-            Some(handle) => handle.hand_over(HAND_OVER_PATIENCE).await,
+            Some(handle) => handle.hand_over(HAND_OVER_TIMEOUT).await,
             None => true,
         }
     }
 
-    /// Ends the keeper once all that it decided is synced.
+    /// Stops the keeper after it has synced all its decisions.
     ///
     /// # Errors
     /// The store failed at the last sync.
@@ -330,7 +335,7 @@
     }
 
     fn incarnation(&self) -> Option<Incarnation> {
-        *self.life.borrow()
+        *self.incarnation.borrow()
     }
 
     fn submit(&self, command: ReplicatedCommand) -> SubmitFuture<'_> {
@@ -351,19 +356,20 @@
     })
 }
 
-/// Gets this process's life from the keepers, which ends what earlier lives of the host held.
-async fn announce_life(
+/// Gets the incarnation of this process from the keepers. This ends the claims and rights of former
+/// incarnations of the host.
+async fn register_start(
     client: KeeperClient,
     start: StartHost,
-    lives: tokio::sync::watch::Sender<Option<Incarnation>>,
+    assigned: tokio::sync::watch::Sender<Option<Incarnation>>,
 ) {
     loop {
-        if let Ok(CommandAnswer::Started(life)) =
+        if let Ok(CommandAnswer::Started(incarnation)) =
             submit(&client, ReplicatedCommand::StartHost(start.clone())).await
         {
-            lives.send_replace(Some(life));
+            assigned.send_replace(Some(incarnation));
             return;
         }
-        tokio::time::sleep(START_PAUSE).await;
+        tokio::time::sleep(REGISTER_PAUSE).await;
     }
 }
--- a/crates/daemon/src/node/parts.rs
+++ b/crates/daemon/src/node/parts.rs
@@ -1,4 +1,4 @@
-//! What a node's parts are set to, from the daemon's settings.
+//! Derives the settings of a node's parts from the daemon's settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,17 +19,18 @@
 use crate::state::SharedState;
 use crate::transport::AccessTransport;
 
-/// Silence after which a keeper that nobody replaced is taken out of the group. Restarts end within
-/// a few seconds; a partition that lasts longer costs two changes of membership when it heals.
+/// Silence timeout after which a keeper without a replacement is removed from the group. Restarts
+/// take a few seconds; a longer partition costs two changes of membership when it ends.
 const LOST_VOTER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest pause of a keeper before it asks again who leads: it hears of a new leader itself.
-const KEEPER_PAUSE: Duration = Duration::from_millis(40);
+/// Maximum back-off of a keeper before it looks for the leader again; short, since a keeper learns
+/// of a new leader itself.
+const KEEPER_MAX_BACKOFF: Duration = Duration::from_millis(40);
 
-/// Lease on the configuration.
+/// Duration of the lease on the configuration.
 ///
-/// It counts from the question to a quorum. Whatever was revoked after that question is served for
-/// no longer than the lease, so a lease shorter than the bound on revoked keys keeps the bound on a
-/// host that is cut off. The rest is for requests that are under way when the lease ends.
+/// It counts from the question to a quorum. A key revoked after that question is accepted for no
+/// longer than the lease, so a lease shorter than the limit for revoked keys keeps that limit on a
+/// disconnected host. The remaining fifth is for requests in progress when the lease ends.
 pub(super) fn configuration_lease(settings: &DaemonSettings) -> Duration {
     if settings.relay.enabled {
         return settings.relay.revoke_within * 4 / 5;
@@ -37,8 +38,8 @@
     settings.leases.configuration
 }
 
-/// Four questions in a lease leave three tries; two within the time of a change let a host that is
-/// told nothing know so in time.
+/// Time between two questions to a quorum. Four questions per lease leave three retries; two within
+/// the time limit of a change let a host detect in time that it receives no updates.
 pub(super) fn question_period(settings: &DaemonSettings, lease: Duration) -> Duration {
     if settings.relay.enabled {
         return (lease / 4).min(settings.relay.change_within / 2);
@@ -53,13 +54,13 @@
         .collect()
 }
 
-/// Where this host takes heartbeats for keepers: an address of its own for backend servers, at a host
-/// that is no keeper.
+/// Address at which this host accepts heartbeats on behalf of keepers: a separate address for
+/// backend servers, on a host without a keeper.
 fn heartbeat_address(settings: &DaemonSettings) -> Option<SocketAddr> {
     let address = settings.listen.backend_servers;
-    let is_apart = address != settings.listen.operators && address != settings.listen.callers;
-    let takes = settings.relay.enabled && !settings.is_keeper() && is_apart;
-    takes.then_some(address)
+    let is_separate = address != settings.listen.operators && address != settings.listen.callers;
+    let accepts = settings.relay.enabled && !settings.is_keeper() && is_separate;
+    accepts.then_some(address)
 }
 
 pub(super) fn start_discovery(
@@ -144,7 +145,7 @@
     ClientSettings {
         request_timeout: settings.agreement.commit_timeout,
         max_backoff: if settings.is_keeper() {
-            KEEPER_PAUSE
+            KEEPER_MAX_BACKOFF
         } else {
             default.max_backoff
         },
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! Platform's face: liveness, readiness, metrics and the dump of this process's state.
+//! Platform face: liveness, readiness, metrics and the dump of this process's state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,29 +10,29 @@
 use crate::entry::EntryContext;
 use crate::relay::RelayContext;
 
-/// Gives one part of the dump; no part may hold a secret.
+/// Source of one part of the dump; no part may contain a secret.
 pub trait DumpSource: Send + Sync {
     /// Name of the part.
     fn name(&self) -> &'static str;
-    /// Its present state.
+    /// Current state of the part.
     fn dump(&self) -> serde_json::Value;
 }
 
-/// Answers the platform.
+/// Answers requests to the platform face.
 pub struct PlatformHandler {
-    /// Whether this host takes new work.
+    /// Entry, for its readiness.
     pub entry: Arc<EntryContext>,
-    /// Whether this host takes relayed work, where it does.
+    /// Relay, for its readiness; `None` if the relay is disabled.
     pub(crate) relay: Option<Arc<RelayContext>>,
     /// Parts of the dump, in alphabetical order of their names.
     pub sources: Vec<Arc<dyn DumpSource>>,
-    /// Metrics in the usual text format.
+    /// Source of the metrics text.
     pub metrics: Arc<dyn MetricSource>,
 }
 
-/// Gives the metrics of this process.
+/// Source of the metrics of this process.
 pub trait MetricSource: Send + Sync {
-    /// Metrics in the usual text format.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics_text(&self) -> String;
 }
 
@@ -75,8 +75,8 @@
     }
 }
 
-fn readiness(gap: Option<String>) -> Response<ResponseBody> {
-    match gap {
+fn readiness(unready_reason: Option<String>) -> Response<ResponseBody> {
+    match unready_reason {
         None => text_response(StatusCode::OK, "ready\n"),
         Some(reason) => text_response(
             StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/daemon/src/tasks.rs
+++ b/crates/daemon/src/tasks.rs
@@ -1,18 +1,18 @@
-//! Tasks that outlive the request that began them, such as settling a claim.
+//! Tasks that outlive the request that started them, such as settling a claim.
 
 use std::future::Future;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use tokio::task::JoinSet;
 
-/// Tasks of one daemon; dropping the group ends them at once.
+/// Tasks of one daemon; dropping the group aborts them at once.
 #[derive(Debug, Default)]
 pub struct TaskGroup {
     tasks: Mutex<JoinSet<()>>,
 }
 
 impl TaskGroup {
-    /// Starts a task.
+    /// Starts `task` and removes finished tasks from the group.
     pub fn spawn<F>(&self, task: F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -22,12 +22,12 @@
         tasks.spawn(task);
     }
 
-    /// Ends all tasks at once.
+    /// Aborts all tasks at once.
     pub fn abort(&self) {
         self.lock().abort_all();
     }
 
-    /// Waits until no task is left.
+    /// Waits until all tasks have finished, including those started meanwhile.
     pub async fn finished(&self) {
         loop {
             let mut tasks = std::mem::take(&mut *self.lock());
