--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -436,7 +436,7 @@
         gate.tick();
         metrics.requests_queued(u64::from(gate.status().queued));
         for event in fleet.tick(clock.now()) {
-            log::info!(news:? = event; "backend server lease changed");
+            log::info!(news:? = event; "backend server lease");
         }
     }
 }
--- a/crates/daemon/src/placement.rs
+++ b/crates/daemon/src/placement.rs
@@ -130,7 +130,7 @@
             };
             let clock = self.parts.clock.as_ref();
             match send_order(&self.client, &view.address, &order, clock).await {
-                Ok(()) => log::info!(order:% = order; "order accepted by engine"),
+                Ok(()) => log::info!(order:% = order; "engine ordered"),
                 Err(error) => log::warn!(order:% = order, error:% = error; "order not accepted"),
             }
         }
--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -78,7 +78,7 @@
                 SignalAction::Reload => reload(path, &daemon, &logs),
             },
             () = daemon.disk_full() => {
-                log::error!(host:% = settings.host; "disk is full; the daemon restarts when space is free");
+                log::error!(host:% = settings.host; "disk is full; the keeper starts again once it has room");
                 // Its tasks must end before its addresses and its folder can be used again.
                 drop(daemon);
                 sleep(RETRY_PAUSE).await;
@@ -86,7 +86,7 @@
                     return Ok(true);
                 };
                 daemon = restarted;
-                log::info!(host:% = settings.host; "serving again after a restart");
+                log::info!(host:% = settings.host; "serving again");
             }
         }
     }
@@ -137,7 +137,7 @@
         match start().await {
             Ok(daemon) => return Ok(Some(daemon)),
             Err(error) if is_transient(&error) => {
-                log::warn!(error:% = error; "daemon not started; retrying");
+                log::warn!(error:% = error; "not started; trying again");
             }
             Err(error) => return Err(error),
         }
@@ -165,7 +165,7 @@
     if let Err(error) = logs.apply(&loaded.settings.logs) {
         log::error!("log levels not reloaded, the old ones stay in use: {error}");
     }
-    log::info!("settings reloaded");
+    log::info!("settings read again");
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
