--- a/crates/daemon/src/access/control.rs
+++ b/crates/daemon/src/access/control.rs
@@ -176,7 +176,7 @@
     /// Counts a connection on `face` for as long as the guard lives.
     pub fn count_connection(&self, face: FaceKind) -> Option<ConnectionCount> {
         let metrics = self.metrics.clone()?;
-        metrics.connection_opened(face.name());
+        metrics.add_connection(face.name());
         Some(ConnectionCount { metrics, face })
     }
 
@@ -188,7 +188,7 @@
 
     fn count_refusal(&self, face: &'static str, reason: &'static str) {
         if let Some(metrics) = &self.metrics {
-            metrics.access_refused(RefusedConnection { face, reason });
+            metrics.record_access_refusal(RefusedConnection { face, reason });
         }
     }
 
@@ -298,7 +298,7 @@
 
 impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        self.metrics.connection_closed(self.face.name());
+        self.metrics.remove_connection(self.face.name());
     }
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -434,7 +434,7 @@
     loop {
         ticks.tick().await;
         gate.tick();
-        metrics.requests_queued(u64::from(gate.status().queued));
+        metrics.set_requests_queued(u64::from(gate.status().queued));
         for event in fleet.tick(clock.now()) {
             log::info!(news:? = event; "backend server lease");
         }
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -114,7 +114,7 @@
         let mut open = recorder
             .begin(begun)
             .map_err(|full| Refusal::not_ready(&format!("the keepers take no evidence: {full}")))?;
-        context.metrics.request_begun();
+        context.metrics.record_request_start();
         context.resends.record_first_attempt(&caller);
         let queued = context.clock.now().since(arrival.arrived);
         open.update(|end| end.timings.queued_us = micros(queued));
@@ -165,9 +165,13 @@
         let now = self.context.clock.now();
         for _ in 0..count {
             if self.last_at == self.arrived {
-                self.context.metrics.first_token(now.since(self.arrived));
+                self.context
+                    .metrics
+                    .record_first_token(now.since(self.arrived));
             } else {
-                self.context.metrics.next_token(now.since(self.last_at));
+                self.context
+                    .metrics
+                    .record_next_token(now.since(self.last_at));
             }
             self.last_at = now;
         }
@@ -202,7 +206,7 @@
 
 impl Drop for RunningRequest {
     fn drop(&mut self) {
-        self.context.metrics.request_ended(RequestEnd {
+        self.context.metrics.record_request_end(RequestEnd {
             outcome: self.outcome,
             attempts: self.attempts,
             duration: self.context.clock.now().since(self.arrived),
@@ -221,7 +225,7 @@
         return;
     }
     let outcome = outcome_kind(refusal);
-    context.metrics.request_refused(outcome, refusal.kind);
+    context.metrics.record_refusal(outcome, refusal.kind);
     let stored = context.recorder.refuse(RequestRefused {
         request: arrival.id.clone(),
         customer: arrival.customer.clone(),
--- a/crates/daemon/src/gauges.rs
+++ b/crates/daemon/src/gauges.rs
@@ -37,16 +37,16 @@
 
 fn update(sources: &GaugeSources, metrics: &MetricRegistry) {
     let serving = sources.fleet.serving(sources.clock.now()).len();
-    metrics.backend_servers(count(serving));
+    metrics.set_backend_servers(count(serving));
     let (revision, lease) = sources.node.feed().lease();
-    metrics.configuration(revision, lease);
+    metrics.set_configuration(revision, lease);
     let keeper = sources.node.keeper_status();
-    metrics.keeper_leads(keeper.is_some_and(|status| status.role == KeeperRole::Leader));
+    metrics.set_keeper_leader(keeper.is_some_and(|status| status.role == KeeperRole::Leader));
     if let Some(recorder) = sources.recorder.get() {
-        metrics.evidence(&recorder.status());
+        metrics.set_evidence(&recorder.status());
     }
     if let Some(shared) = sources.node.shared() {
-        metrics.claims(count(shared.read(|state| state.claims().held())));
+        metrics.set_claims(count(shared.read(|state| state.claims().held())));
     }
 }
 
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -140,7 +140,7 @@
                 continue;
             };
             chain.log_sent(&self.request, now, self.sends + self.declined + 1);
-            self.context.metrics.request_sent();
+            self.context.metrics.record_attempt();
             match self.send(&mut chain, resume_after).await {
                 Ok(answer) => {
                     self.tried_servers.record(&chain.chain.first);
--- a/crates/daemon/src/relay/meter.rs
+++ b/crates/daemon/src/relay/meter.rs
@@ -38,7 +38,7 @@
 impl RequestMeter {
     /// Counts a request that arrives now as active.
     pub(super) fn start(context: &Arc<RelayContext>) -> Self {
-        context.metrics.request_begun();
+        context.metrics.record_request_start();
         Self(Arc::new(MeterState {
             context: Arc::clone(context),
             arrived: context.clock.now(),
@@ -61,7 +61,7 @@
         self.0
             .context
             .metrics
-            .request_refused(outcome, kind.to_string());
+            .record_refusal(outcome, kind.to_string());
         self.ended(outcome);
     }
 
@@ -76,12 +76,12 @@
             Some(last_at) => {
                 let pause = now.since(last_at);
                 events.longest_pause = events.longest_pause.max(pause);
-                metrics.next_token(pause);
+                metrics.record_next_token(pause);
             }
             None => {
                 let first = now.since(self.0.arrived);
                 events.first = Some(first);
-                metrics.first_token(first);
+                metrics.record_first_token(first);
             }
         }
     }
@@ -101,7 +101,7 @@
         if self.has_ended.swap(true, Ordering::Relaxed) {
             return;
         }
-        self.context.metrics.request_ended(RequestEnd {
+        self.context.metrics.record_request_end(RequestEnd {
             outcome,
             // Each send counts its attempt in the metrics.
             attempts: 0,
--- a/crates/daemon/src/telemetry/metrics.rs
+++ b/crates/daemon/src/telemetry/metrics.rs
@@ -121,7 +121,7 @@
     }
 
     /// Counts a connection or request without an accepted credential.
-    pub fn access_refused(&self, refused: RefusedConnection) {
+    pub fn record_access_refusal(&self, refused: RefusedConnection) {
         let attributes = [
             KeyValue::new("face", refused.face),
             KeyValue::new("reason", refused.reason),
@@ -130,33 +130,33 @@
     }
 
     /// Records the number of backend servers with a lease.
-    pub fn backend_servers(&self, count: u64) {
+    pub fn set_backend_servers(&self, count: u64) {
         self.backend_servers.record(count, &[]);
     }
 
     /// Records the number of known claims.
-    pub fn claims(&self, count: u64) {
+    pub fn set_claims(&self, count: u64) {
         self.claims.record(count, &[]);
     }
 
     /// Records the revision in force and the remaining time of the configuration lease.
-    pub fn configuration(&self, revision: Revision, lease: Duration) {
+    pub fn set_configuration(&self, revision: Revision, lease: Duration) {
         self.configuration_revision.record(revision.0, &[]);
         self.configuration_lease.record(lease.as_secs_f64(), &[]);
     }
 
     /// Counts a new open connection on `face`.
-    pub fn connection_opened(&self, face: &'static str) {
+    pub fn add_connection(&self, face: &'static str) {
         self.connections.add(1, &[KeyValue::new("face", face)]);
     }
 
     /// Removes a closed connection on `face` from the count.
-    pub fn connection_closed(&self, face: &'static str) {
+    pub fn remove_connection(&self, face: &'static str) {
         self.connections.add(-1, &[KeyValue::new("face", face)]);
     }
 
     /// Records the state of the evidence buffer.
-    pub fn evidence(&self, status: &BufferStatus) {
+    pub fn set_evidence(&self, status: &BufferStatus) {
         let records = status.records.saturating_add(status.reserved);
         self.evidence_durable.record(status.durable.0, &[]);
         self.evidence_waiting.record(size(records), &[]);
@@ -164,17 +164,17 @@
     }
 
     /// Records whether this host leads the agreement group.
-    pub fn keeper_leads(&self, leads: bool) {
+    pub fn set_keeper_leader(&self, leads: bool) {
         self.keeper_leader.record(u64::from(leads), &[]);
     }
 
     /// Counts a request that starts.
-    pub fn request_begun(&self) {
+    pub fn record_request_start(&self) {
         self.requests_active.add(1, &[]);
     }
 
-    /// Records the result of a request counted by [`MetricRegistry::request_begun`].
-    pub fn request_ended(&self, end: RequestEnd) {
+    /// Records the result of a request counted by [`MetricRegistry::record_request_start`].
+    pub fn record_request_end(&self, end: RequestEnd) {
         self.requests_active.add(-1, &[]);
         self.request_attempts.add(end.attempts, &[]);
         let attributes = [outcome(end.outcome)];
@@ -183,17 +183,17 @@
     }
 
     /// Counts an attempt: a request sent to a server, for the first time or again.
-    pub fn request_sent(&self) {
+    pub fn record_attempt(&self) {
         self.request_attempts.add(1, &[]);
     }
 
     /// Records the number of requests that wait for admission.
-    pub fn requests_queued(&self, count: u64) {
+    pub fn set_requests_queued(&self, count: u64) {
         self.requests_queued.record(count, &[]);
     }
 
     /// Counts a refused request; `kind` is one of the kinds of the problem documents.
-    pub fn request_refused<K>(&self, reported: OutcomeKind, kind: K)
+    pub fn record_refusal<K>(&self, reported: OutcomeKind, kind: K)
     where
         K: Into<StringValue>,
     {
@@ -202,14 +202,14 @@
     }
 
     /// Records the first token of a draft, sent `since_arrival` after the request arrived.
-    pub fn first_token(&self, since_arrival: Duration) {
+    pub fn record_first_token(&self, since_arrival: Duration) {
         self.tokens.add(1, &[]);
         self.request_first_token
             .record(since_arrival.as_secs_f64(), &[]);
     }
 
     /// Records a further token of a draft, sent `since_last` after the previous one.
-    pub fn next_token(&self, since_last: Duration) {
+    pub fn record_next_token(&self, since_last: Duration) {
         self.tokens.add(1, &[]);
         self.token_interval.record(since_last.as_secs_f64(), &[]);
     }
--- a/crates/daemon/tests/telemetry_pages.rs
+++ b/crates/daemon/tests/telemetry_pages.rs
@@ -26,28 +26,28 @@
         incarnation: 1.into(),
     };
     let buffer = EvidenceBuffer::new(writer, BufferSettings::default(), ["k1".into()]);
-    metrics.access_refused(RefusedConnection {
+    metrics.record_access_refusal(RefusedConnection {
         face: "callers",
         reason: "token",
     });
-    metrics.backend_servers(43);
-    metrics.claims(2);
-    metrics.configuration(7.into(), Duration::from_secs(2));
-    metrics.connection_opened("callers");
-    metrics.connection_opened("callers");
-    metrics.connection_closed("callers");
-    metrics.evidence(&buffer.status());
-    metrics.keeper_leads(true);
-    metrics.request_begun();
-    metrics.request_ended(RequestEnd {
+    metrics.set_backend_servers(43);
+    metrics.set_claims(2);
+    metrics.set_configuration(7.into(), Duration::from_secs(2));
+    metrics.add_connection("callers");
+    metrics.add_connection("callers");
+    metrics.remove_connection("callers");
+    metrics.set_evidence(&buffer.status());
+    metrics.set_keeper_leader(true);
+    metrics.record_request_start();
+    metrics.record_request_end(RequestEnd {
         outcome: OutcomeKind::Complete,
         attempts: 2,
         duration: Duration::from_millis(700),
     });
-    metrics.requests_queued(3);
-    metrics.request_refused(OutcomeKind::NotRun, "no-selector");
-    metrics.first_token(Duration::from_millis(300));
-    metrics.next_token(Duration::from_millis(40));
+    metrics.set_requests_queued(3);
+    metrics.record_refusal(OutcomeKind::NotRun, "no-selector");
+    metrics.record_first_token(Duration::from_millis(300));
+    metrics.record_next_token(Duration::from_millis(40));
     metrics
 }
 
