--- a/crates/coordination/src/configuration/lint.rs
+++ b/crates/coordination/src/configuration/lint.rs
@@ -73,9 +73,7 @@
 /// Reason why the selector matches no request or allows no backend server; `None` if there is none.
 fn never_matches(selector: &Selector, serves: &MergedConstraint) -> Option<String> {
     if let Some(key) = serves.contradiction() {
-        return Some(format!(
-            "no request meets all that for says of {key}"
-        ));
+        return Some(format!("no request meets all that for says of {key}"));
     }
     let allows = MergedConstraint::of(&selector.allows);
     if let Some(key) = allows.contradiction() {
--- a/crates/coordination/src/configuration/parse_expression.rs
+++ b/crates/coordination/src/configuration/parse_expression.rs
@@ -133,11 +133,7 @@
     };
     let texts = texts?;
     if texts.is_empty() || texts.len() > MAX_VALUES {
-        findings.error(
-            place,
-            format!("values holds {}", texts.len()),
-            expected,
-        );
+        findings.error(place, format!("values holds {}", texts.len()), expected);
         return None;
     }
     let mut checked = BTreeSet::new();
--- a/crates/daemon/src/access/control.rs
+++ b/crates/daemon/src/access/control.rs
@@ -180,7 +180,7 @@
     /// Counts an open connection on `face` until the guard is dropped; `None` without metrics.
     pub fn count_connection(&self, face: FaceKind) -> Option<ConnectionCount> {
         let metrics = self.metrics.clone()?;
-        metrics.connection_opened(face.name());
+        metrics.add_connection(face.name());
         Some(ConnectionCount { metrics, face })
     }
 
@@ -192,7 +192,7 @@
 
     fn count_refusal(&self, face: &'static str, reason: &'static str) {
         if let Some(metrics) = &self.metrics {
-            metrics.access_refused(RefusedConnection { face, reason });
+            metrics.record_access_refusal(RefusedConnection { face, reason });
         }
     }
 
@@ -312,7 +312,7 @@
 
 impl Drop for ConnectionCount {
     fn drop(&mut self) {
-        self.metrics.connection_closed(self.face.name());
+        self.metrics.remove_connection(self.face.name());
     }
 }
 
--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -15,7 +15,7 @@
 use crate::agreed::AgreedState;
 use crate::clock::TimeSource;
 use crate::fleet::BackendFleet;
-use crate::lifecycle::{LifeStep, LifeWatch};
+use crate::lifecycle::{LifecycleStep, LifecycleWatch};
 use crate::resend::ResendPolicy;
 use crate::streams::StreamStore;
 use crate::tasks::TaskGroup;
@@ -50,7 +50,7 @@
     /// Timeouts and ledger limits of drafts.
     pub drafts: DraftSettings,
     /// Lifecycle step of this process; decides whether new work is accepted.
-    pub lifecycle: LifeWatch,
+    pub lifecycle: LifecycleWatch,
     /// Limits concurrent requests and queues the others.
     pub gate: Arc<AdmissionGate>,
     /// Streams that callers can resume at another entry.
@@ -81,7 +81,7 @@
 impl EntryContext {
     /// Reason why the load balancer must not send requests to this host; `None` if it is ready.
     pub fn unready_reason(&self) -> Option<String> {
-        if self.lifecycle.step() != LifeStep::Serving {
+        if self.lifecycle.step() != LifecycleStep::Serving {
             return Some("it is leaving for a planned stop".to_owned());
         }
         if let Err(stale) = self.agreed.configuration() {
@@ -125,7 +125,7 @@
             };
             return Err(Refusal::unauthorized(detail));
         };
-        if self.lifecycle.step() == LifeStep::Closed {
+        if self.lifecycle.step() == LifecycleStep::Closed {
             return Err(Refusal::not_ready("it is stopping as planned"));
         }
         Ok(customer)
--- /dev/null
+++ b/crates/daemon/src/gauges.rs
@@ -0,0 +1,55 @@
+//! Updates the gauges of the metrics from the tables of the daemon.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use pollendrift_coordination::agreement::KeeperRole;
+
+use crate::clock::TimeSource;
+use crate::fleet::BackendFleet;
+use crate::node::ClusterNode;
+use crate::telemetry::{MetricRegistry, RecorderSlot};
+
+/// Time between two updates of the gauges.
+const PERIOD: Duration = Duration::from_secs(1);
+
+/// Tables that the gauges are read from.
+pub struct GaugeSources {
+    /// Backend servers and their leases.
+    pub fleet: Arc<BackendFleet>,
+    /// Configuration, claims and the keeper.
+    pub node: Arc<ClusterNode>,
+    /// Buffered evidence.
+    pub recorder: Arc<RecorderSlot>,
+    /// Source of the current time.
+    pub clock: Arc<dyn TimeSource>,
+}
+
+/// Updates the gauges every second for as long as the daemon runs.
+pub async fn run_gauges(sources: GaugeSources, metrics: Arc<MetricRegistry>) {
+    let mut ticks = tokio::time::interval(PERIOD);
+    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    loop {
+        ticks.tick().await;
+        update(&sources, &metrics);
+    }
+}
+
+fn update(sources: &GaugeSources, metrics: &MetricRegistry) {
+    let serving = sources.fleet.serving(sources.clock.now()).len();
+    metrics.set_backend_servers(count(serving));
+    let (revision, lease) = sources.node.feed().lease();
+    metrics.set_configuration(revision, lease);
+    let keeper = sources.node.keeper_status();
+    metrics.set_keeper_leader(keeper.is_some_and(|status| status.role == KeeperRole::Leader));
+    if let Some(recorder) = sources.recorder.get() {
+        metrics.set_evidence(&recorder.status());
+    }
+    if let Some(shared) = sources.node.shared() {
+        metrics.set_claims(count(shared.read(|state| state.claims().record_count())));
+    }
+}
+
+fn count(number: usize) -> u64 {
+    u64::try_from(number).unwrap_or(u64::MAX)
+}
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! Router daemon of pollendrift.
 //!
-//! One process per host: an entry for callers, backend servers, operators and peers, and a keeper
-//! where the settings name a data folder.
+//! Each host runs one process: an entry for callers, backend servers, operators and peers, and a
+//! keeper if the settings contain a data folder.
 
 pub mod access;
 pub mod admission;
@@ -15,11 +15,11 @@
 pub mod feed;
 pub mod fleet;
 pub mod frames;
+pub mod gauges;
 pub mod keeper;
 pub mod lease_broadcast;
 pub mod lifecycle;
 pub mod node;
-pub mod observe;
 pub mod operators;
 pub mod peers;
 pub(crate) mod placement;
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -23,7 +23,7 @@
 
 use crate::access::{AccessControl, CertificateIdentity, OperatorIdentity};
 use crate::entry::EntryContext;
-use crate::node::AgreedNode;
+use crate::node::ClusterNode;
 use crate::platform::DumpSource;
 use crate::settings::OperatorRole;
 use problem::OperatorProblem;
@@ -36,7 +36,7 @@
     /// Shared state of the handlers of callers' requests.
     pub entry: Arc<EntryContext>,
     /// Access of this host to the replicated state.
-    pub node: Arc<AgreedNode>,
+    pub node: Arc<ClusterNode>,
     /// Authentication of operators.
     pub access: Arc<AccessControl>,
     /// Answers questions that need a keeper, or sends them to one.
--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -76,7 +76,7 @@
         reason: reason.into(),
     });
     // The change itself is in the replicated history too, which names operator, time and content.
-    context.entry.recorder.note(event);
+    context.entry.recorder.record_in_background(event);
 }
 
 /// Keys of the objects that differ between the change and the configuration of this host.
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -314,7 +314,7 @@
             log::warn!("evidence may lack the newest records: the read barrier failed");
         }
         let (copied, state) = (files.clone(), shared.clone());
-        if let Err(reason) = blocking(move || copied.copy(&state)).await {
+        if let Err(reason) = blocking(move || copied.copy_records(&state)).await {
             log::error!(reason:% = reason; "failed to copy the newest records to the evidence files");
         }
         Ok(files)
