--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -96,7 +96,7 @@
 
     fn persist(&mut self, order: PersistRequest) -> Result<(), KeeperError> {
         self.syncing = Some(AgreementInput::Persisted(order.sequence));
-        let queued = self.commit.submit(CommitRequest::Order(order));
+        let queued = self.commit.submit(CommitRequest::Agreement(order));
         queued.map(drop).map_err(|refusal| KeeperError::Refused {
             reason: refusal.to_string(),
         })
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -9,8 +9,8 @@
 use derive_more::{Display, Error};
 use pollendrift_coordination::agreement::{EntryPayload, LogIndex, PersistRequest, StoredSnapshot};
 
-use crate::border::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 use crate::error::StoreError;
+use crate::log_store::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 
 /// Number of a request to the commit thread; rises by one with each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,7 +47,7 @@
     /// Snapshot from the leader.
     Install(StoreSnapshot),
     /// Order of the agreement core, in its order of writing.
-    Order(PersistRequest),
+    Agreement(PersistRequest),
 }
 
 /// All requests up to a ticket are durable, or the store has stopped.
@@ -205,7 +205,7 @@
             break;
         };
         bytes += batch_bytes(&later);
-        batch.absorb(later);
+        batch.merge(later);
         group.ticket = queued.ticket;
         group.requests += 1;
     }
@@ -225,7 +225,7 @@
         CommitRequest::Persist(batch) => store.persist(&batch),
         CommitRequest::Save(snapshot) => store.save_snapshot(&snapshot),
         CommitRequest::Install(snapshot) => store.install_snapshot(&snapshot),
-        CommitRequest::Order(order) => commit_order(store, order),
+        CommitRequest::Agreement(order) => commit_order(store, order),
     }
 }
 
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -24,7 +24,7 @@
     /// Nothing: the file ends here.
     End,
     /// A whole frame.
-    Whole {
+    Complete {
         /// Its content.
         payload: &'bytes [u8],
         /// Offset after it.
@@ -83,7 +83,7 @@
     };
     let next = offset + FRAME_HEAD + length;
     if crc32fast::hash(payload) == checksum {
-        return FrameScan::Whole { payload, next };
+        return FrameScan::Complete { payload, next };
     }
     let last = next == bytes.len();
     if last && has_unwritten_sector(payload, offset + FRAME_HEAD) {
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -107,7 +107,7 @@
         .read(IDENTITY_NAME)
         .map_err(|error| StoreError::disk("reading the identity", &path, error))?;
     let identity: StoreIdentity = match read_start(FileKind::Identity, &path, &bytes)? {
-        FileStart::Whole(identity, _) => identity,
+        FileStart::Complete(identity, _) => identity,
         FileStart::Torn => return Err(StoreError::damaged(&path, 0, "identity is cut off")),
     };
     if identity.host != *host {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -5,12 +5,12 @@
 //! keeper with the file, the offset and the way out, never with a silently shorter history.
 //! `docs/design/store.md` weighs the layout.
 
-mod border;
 mod commit;
 mod error;
 mod files;
 mod frame;
 mod identity;
+mod log_store;
 mod record;
 mod recovery;
 mod segment;
@@ -18,7 +18,6 @@
 mod snapshot;
 mod store;
 
-pub use border::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 pub use commit::{
     CommitRefusal, CommitReport, CommitRequest, CommitSettings, CommitThread, CommitTicket,
 };
@@ -26,6 +25,7 @@
 pub use files::{DiskFiles, FileFingerprint, FileSystem, FolderLock, StoreFile};
 pub use frame::{FrameScan, scan_frame};
 pub use identity::{GroupId, JoinedGroup, StoreIdentity};
+pub use log_store::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 pub use recovery::{RecoveredLog, RecoveryReport, TornTail};
 pub use settings::StoreSettings;
 pub use store::{OpenRequest, OpenedStore, SegmentStore};
--- a/crates/store/src/border.rs
+++ b/crates/store/src/log_store.rs
@@ -23,7 +23,7 @@
     }
 
     /// Adds `later` to this batch, so that both become durable in one sync.
-    pub fn absorb(&mut self, later: Self) {
+    pub fn merge(&mut self, later: Self) {
         if later.hard.is_some() {
             self.hard = later.hard;
         }
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -4,11 +4,11 @@
 
 use pollendrift_coordination::agreement::{HardState, LogEntry, LogIndex};
 
-use crate::border::StoreSnapshot;
 use crate::error::StoreError;
 use crate::files::FileSystem;
 use crate::frame::{FrameScan, scan_frame};
 use crate::identity::path_of;
+use crate::log_store::StoreSnapshot;
 use crate::record::{LogRecord, SegmentHead, decode_record};
 use crate::segment::{
     FileKind, FileStart, LOCK_NAME, TEMPORARY_ENDING, read_start, segment_name, segment_number,
@@ -256,7 +256,7 @@
         .read(&name)
         .map_err(|error| StoreError::disk("reading the log", &path, error))?;
     let (head, start): (SegmentHead, usize) = match read_start(FileKind::Segment, &path, &bytes)? {
-        FileStart::Whole(head, start) => (head, start),
+        FileStart::Complete(head, start) => (head, start),
         FileStart::Torn => return Err(StoreError::damaged(&path, 0, "segment head is cut off")),
     };
     let first = log.frame == 0;
@@ -330,7 +330,7 @@
             FrameScan::Damaged { reason } => {
                 return Err(StoreError::damaged(path, offset as u64, reason));
             }
-            FrameScan::Whole { payload, next } => {
+            FrameScan::Complete { payload, next } => {
                 decode_record(payload)
                     .and_then(|record| log.apply(record))
                     .map_err(|reason| StoreError::damaged(path, offset as u64, reason))?;
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -75,7 +75,7 @@
 /// How the start of a file reads.
 pub(crate) enum FileStart<T> {
     /// Its head, and the offset after it.
-    Whole(T, usize),
+    Complete(T, usize),
     /// A crash cut the start off.
     Torn,
 }
@@ -108,10 +108,10 @@
         });
     }
     match scan_frame(bytes, PREFIX_BYTES) {
-        FrameScan::Whole { payload, next } => {
+        FrameScan::Complete { payload, next } => {
             let head = decode_record(payload)
                 .map_err(|reason| StoreError::damaged(path, PREFIX_BYTES as u64, reason))?;
-            Ok(FileStart::Whole(head, next))
+            Ok(FileStart::Complete(head, next))
         }
         FrameScan::End | FrameScan::Torn => Ok(FileStart::Torn),
         FrameScan::Damaged { reason } => {
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,10 +1,10 @@
 //! Snapshot files: written aside, synced, then renamed into place.
 
-use crate::border::StoreSnapshot;
 use crate::error::StoreError;
 use crate::files::FileSystem;
 use crate::frame::{FrameScan, encode_frame, scan_frame};
 use crate::identity::path_of;
+use crate::log_store::StoreSnapshot;
 use crate::record::SnapshotHead;
 use crate::segment::{
     FileKind, FileStart, TEMPORARY_ENDING, encode_start, read_start, snapshot_name,
@@ -59,15 +59,15 @@
         .map_err(|error| StoreError::disk("reading a snapshot", &path, error))?;
     let (head, offset): (SnapshotHead, usize) = match read_start(FileKind::Snapshot, &path, &bytes)?
     {
-        FileStart::Whole(head, offset) => (head, offset),
+        FileStart::Complete(head, offset) => (head, offset),
         FileStart::Torn => return Err(StoreError::damaged(&path, 0, "snapshot is cut off")),
     };
     let state = match scan_frame(&bytes, offset) {
-        FrameScan::Whole { payload, next } if next == bytes.len() => payload.to_vec(),
+        FrameScan::Complete { payload, next } if next == bytes.len() => payload.to_vec(),
         FrameScan::Damaged { reason } => {
             return Err(StoreError::damaged(&path, offset as u64, reason));
         }
-        FrameScan::Whole { .. } => {
+        FrameScan::Complete { .. } => {
             return Err(StoreError::damaged(
                 &path,
                 offset as u64,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -5,11 +5,11 @@
 use pollendrift_coordination::agreement::{HardState, LogIndex};
 use pollendrift_coordination::base::{HostName, Incarnation, WallTime};
 
-use crate::border::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 use crate::error::StoreError;
 use crate::files::{FileSystem, FolderLock, StoreFile};
 use crate::frame::encode_frame;
 use crate::identity::{JoinedGroup, StoreIdentity, open_identity, path_of, write_identity};
+use crate::log_store::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 use crate::record::{LogRecord, SegmentHead, StoredEntry, encode_record};
 use crate::recovery::{RecoveredLog, RecoveryReport, Replay, SegmentSpan, replay_folder};
 use crate::segment::{
--- a/crates/store/tests/store/frames.rs
+++ b/crates/store/tests/store/frames.rs
@@ -8,7 +8,7 @@
 proptest! {
     #[test]
     fn any_bytes_are_read_without_a_panic(bytes in vec(any::<u8>(), 0..2_000), offset in 0usize..2_100) {
-        if let FrameScan::Whole { payload, next } = scan_frame(&bytes, offset) {
+        if let FrameScan::Complete { payload, next } = scan_frame(&bytes, offset) {
             prop_assert!(next <= bytes.len());
             prop_assert!(payload.len() < next - offset);
         }
@@ -19,7 +19,7 @@
         let from = zero_from.min(bytes.len());
         bytes[from..].fill(0);
         let scan = scan_frame(&bytes, 0);
-        let whole = matches!(scan, FrameScan::Whole { .. });
+        let whole = matches!(scan, FrameScan::Complete { .. });
         prop_assert!(!whole, "read as whole");
     }
 
--- a/crates/store/tests/store/orders.rs
+++ b/crates/store/tests/store/orders.rs
@@ -101,7 +101,9 @@
         for order in orders() {
             let before = possible.last().expect("never empty").clone();
             possible = states(&before, &order);
-            commit.submit(CommitRequest::Order(order)).expect("it runs");
+            commit
+                .submit(CommitRequest::Agreement(order))
+                .expect("it runs");
             let done: pollendrift_store::CommitReport = reports.recv().expect("a report");
             if done.result.is_err() {
                 break;
--- a/crates/store/tests/store/outer_files.rs
+++ b/crates/store/tests/store/outer_files.rs
@@ -123,7 +123,7 @@
     let bytes = files.read(name).expect("it exists");
     let mut text = format!("{name}\n  {}\n", hex(&bytes[..PREFIX]));
     let mut offset = PREFIX;
-    while let FrameScan::Whole { payload, next } = scan_frame(&bytes, offset) {
+    while let FrameScan::Complete { payload, next } = scan_frame(&bytes, offset) {
         let _ = writeln!(text, "  {}", hex(&bytes[offset..next]));
         let _ = writeln!(text, "    {}", names_in(payload));
         offset = next;
