--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -16,7 +16,7 @@
 use pollendrift_coordination::retries::RetrySettings as CoreRetrySettings;
 use pollendrift_coordination::routing::RoutingSettings;
 use pollendrift_dialect::PlatformDialect;
-use pollendrift_http::{HttpClient, HttpServer, ServerBounds, StreamAcceptor};
+use pollendrift_http::{HttpClient, HttpServer, ServerLimits, StreamAcceptor};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout_at};
 
@@ -397,14 +397,14 @@
     acceptor: Option<Arc<dyn StreamAcceptor>>,
     handler: Arc<dyn pollendrift_http::DynHandler>,
 ) -> Result<HttpServer, StartError> {
-    let bounds = ServerBounds {
+    let limits = ServerLimits {
         max_headers: to_usize(settings.max_header_count),
         max_head_bytes: to_usize(settings.max_header_bytes),
         head_timeout: settings.head_timeout,
         max_connections_per_address: to_usize(settings.max_connections_per_address),
         max_connections: to_usize(settings.max_connections),
     };
-    HttpServer::start(address, bounds, acceptor, handler)
+    HttpServer::start(address, limits, acceptor, handler)
         .await
         .map_err(|error| StartError::Listen { address, error })
 }
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -194,7 +194,7 @@
         let watch = self.link.sender.watch();
         let ended = tokio::select! {
             ended = self.run_attempts() => ended,
-            () = watch.gone() => {
+            () = watch.closed() => {
                 log::info!(request:% = self.job.id; "caller disconnected; draft cancelled");
                 return;
             }
--- a/crates/daemon/src/relay/answer.rs
+++ b/crates/daemon/src/relay/answer.rs
@@ -72,7 +72,7 @@
                 .map_err(|failure: ReadFailure| {
                     FailedSend::new(SendOutcome::IncompleteAnswer, failure.to_string())
                 })?;
-        self.connection.keep(&self.parts.headers);
+        self.connection.return_to_pool(&self.parts.headers);
         let mut response = Response::new(full_body(bytes));
         *response.status_mut() = self.parts.status;
         *response.headers_mut() = end_to_end_headers(&self.parts.headers);
@@ -149,7 +149,7 @@
 async fn keep_after_refusal(headers: &HeaderMap, body: Incoming, connection: PooledConnection) {
     let read = timeout(REFUSAL_BODY_TIMEOUT, read_bounded(body, MAX_ANSWER_BYTES)).await;
     if matches!(read, Ok(Ok(_))) {
-        connection.keep(headers);
+        connection.return_to_pool(headers);
     }
 }
 
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -328,7 +328,7 @@
             let (parts, body) = answer.response.into_parts();
             let body = read_bounded(body, MAX_REPLY_BYTES).await;
             let body = body.map_err(|error| error.to_string())?;
-            answer.connection.keep(&parts.headers);
+            answer.connection.return_to_pool(&parts.headers);
             Ok((parts.status, body))
         };
         timeout(ORDER_TIMEOUT, exchange)
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -175,7 +175,7 @@
             let answer = self.context.pool.send(address, request).await.ok()?;
             let (parts, body) = answer.response.into_parts();
             let body = read_bounded(body, MAX_REPLY_BYTES).await.ok()?;
-            answer.connection.keep(&parts.headers);
+            answer.connection.return_to_pool(&parts.headers);
             Some(dialect.read_reroute(parts.status, &body))
         };
         timeout(ORDER_TIMEOUT, exchange).await.ok().flatten()
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -47,7 +47,7 @@
                 running
                     .answer
                     .connection
-                    .keep(&running.answer.parts.headers);
+                    .return_to_pool(&running.answer.parts.headers);
                 sender.finish().await;
                 run.log_end(OutcomeKind::Complete, after);
                 return;
--- a/crates/daemon/src/relay/survey.rs
+++ b/crates/daemon/src/relay/survey.rs
@@ -102,7 +102,7 @@
         let Ok(body) = read_bounded(body, MAX_REPLY_BYTES).await else {
             return EngineState::Unclear;
         };
-        answer.connection.keep(&parts.headers);
+        answer.connection.return_to_pool(&parts.headers);
         dialect
             .read_report(&body)
             .map_or(EngineState::Unclear, EngineState::Reported)
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -66,7 +66,7 @@
 
 impl ReaderWatch {
     /// Resolves when the reader has gone away.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         self.chunks.closed().await;
     }
 }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -64,7 +64,7 @@
 }
 
 /// An answer whose body has not been read.
-pub type PendingCall = Response<Incoming>;
+pub type UnreadResponse = Response<Incoming>;
 
 impl HttpClient {
     /// A client that reads answers of at most `max_body` bytes.
@@ -86,7 +86,7 @@
     /// # Errors
     /// [`ClientError::NotSent`] only if no connection could be opened; else
     /// [`ClientError::NoAnswer`].
-    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<PendingCall, ClientError> {
+    pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<UnreadResponse, ClientError> {
         self.client.request(request).await.map_err(|error| {
             let reason = error_chain(&error);
             if error.is_connect() {
@@ -105,7 +105,7 @@
         address: &str,
         path: &str,
         body: &T,
-    ) -> Result<PendingCall, ClientError>
+    ) -> Result<UnreadResponse, ClientError>
     where
         T: Serialize,
     {
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// [`ClientError::NoAnswer`] if the body ends early or passes the client's bound.
-    pub async fn read(&self, response: PendingCall) -> Result<Bytes, ClientError> {
+    pub async fn read(&self, response: UnreadResponse) -> Result<Bytes, ClientError> {
         Ok(read_bounded(response.into_body(), self.max_body).await?)
     }
 }
@@ -178,7 +178,7 @@
 
 impl LineReader {
     /// A reader over the body of `response`.
-    pub fn new(response: PendingCall) -> Self {
+    pub fn new(response: UnreadResponse) -> Self {
         Self {
             body: response.into_body(),
             buffer: BytesMut::new(),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -9,9 +9,9 @@
     BodyError, BodySender, ReadFailure, ReaderWatch, ResponseBody, channel_body, empty_body,
     full_body, json_response, read_bounded, read_json, read_within, text_response,
 };
-pub use client::{ClientError, HttpClient, LineReader, PendingCall};
+pub use client::{ClientError, HttpClient, LineReader, UnreadResponse};
 pub use pool::{ConnectionPool, PoolClock, PoolSettings, PooledAnswer, PooledConnection};
 pub use server::{
     AcceptedStream, BoxedStream, ByteStream, DynHandler, HandlerFuture, HttpHandler, HttpServer,
-    ServerBounds, StreamAcceptor, StreamFuture,
+    ServerLimits, StreamAcceptor, StreamFuture,
 };
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -31,12 +31,12 @@
     /// Time after which sent bytes must be acknowledged, or the connection is broken.
     ///
     /// A connection that went silent looks open for minutes; whoever waits on it learns nothing.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Longest time that a connection is kept for reuse, where its server names no shorter one.
     pub max_idle: Duration,
     /// Part of the time that a server names for idle connections after which one is not used any
     /// more: a request that crosses the server's close is lost.
-    pub idle_share: f64,
+    pub idle_fraction: f64,
     /// Connections to one address.
     pub max_per_address: usize,
 }
@@ -45,9 +45,9 @@
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_millis(300),
-            silence: Duration::from_millis(1_500),
+            silence_timeout: Duration::from_millis(1_500),
             max_idle: Duration::from_secs(4),
-            idle_share: 0.5,
+            idle_fraction: 0.5,
             max_per_address: 256,
         }
     }
@@ -221,7 +221,7 @@
             .await
             .map_err(|_| not_sent(format!("{address} did not answer in time")))?
             .map_err(|error| not_sent(format!("{address}: {error}")))?;
-        watch_silence(&stream, self.settings.silence);
+        watch_silence(&stream, self.settings.silence_timeout);
         let opening = Builder::new().handshake(TokioIo::new(stream));
         let (sender, connection) = opening
             .await
@@ -296,7 +296,7 @@
 
     /// Gives the connection back for other requests; only after the whole body of the answer with
     /// these headers was read, and nothing about it was wrong.
-    pub fn keep(mut self, headers: &HeaderMap) {
+    pub fn return_to_pool(mut self, headers: &HeaderMap) {
         let settings = &self.pool.settings;
         let Some(idle) = idle_time(headers, settings) else {
             return;
@@ -339,6 +339,6 @@
     let Some(seconds) = named else {
         return Some(settings.max_idle);
     };
-    let named = Duration::from_secs(seconds).mul_f64(settings.idle_share);
+    let named = Duration::from_secs(seconds).mul_f64(settings.idle_fraction);
     Some(named.min(settings.max_idle)).filter(|idle| !idle.is_zero())
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -26,7 +26,7 @@
 
 /// What a stranger may use up; each bound is per server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerBounds {
+pub struct ServerLimits {
     /// Headers of one request.
     pub max_headers: usize,
     /// Bytes of the head of one request; hyper needs at least 8,192.
@@ -39,7 +39,7 @@
     pub max_connections: usize,
 }
 
-impl Default for ServerBounds {
+impl Default for ServerLimits {
     fn default() -> Self {
         Self {
             max_headers: 64,
@@ -96,13 +96,13 @@
 }
 
 impl ConnectionTable {
-    fn open(self: &Arc<Self>, address: IpAddr, bounds: &ServerBounds) -> Option<ConnectionGuard> {
+    fn open(self: &Arc<Self>, address: IpAddr, limits: &ServerLimits) -> Option<ConnectionGuard> {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        if self.total.load(Ordering::Relaxed) >= bounds.max_connections {
+        if self.total.load(Ordering::Relaxed) >= limits.max_connections {
             return None;
         }
         let count = counts.entry(address).or_insert(0);
-        if *count >= bounds.max_connections_per_address {
+        if *count >= limits.max_connections_per_address {
             return None;
         }
         *count += 1;
@@ -152,7 +152,7 @@
     /// The address can't be bound.
     pub async fn start(
         address: SocketAddr,
-        bounds: ServerBounds,
+        limits: ServerLimits,
         acceptor: Option<Arc<dyn StreamAcceptor>>,
         handler: Arc<dyn DynHandler>,
     ) -> io::Result<Self> {
@@ -160,7 +160,7 @@
         let address = listener.local_addr()?;
         let (drain, draining) = watch::channel(false);
         let context = Arc::new(ServerContext {
-            bounds,
+            limits,
             acceptor,
             handler,
             draining,
@@ -207,7 +207,7 @@
 }
 
 struct ServerContext {
-    bounds: ServerBounds,
+    limits: ServerLimits,
     acceptor: Option<Arc<dyn StreamAcceptor>>,
     handler: Arc<dyn DynHandler>,
     draining: watch::Receiver<bool>,
@@ -224,7 +224,7 @@
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                     continue;
                 };
-                let Some(guard) = table.open(peer.ip(), &context.bounds) else {
+                let Some(guard) = table.open(peer.ip(), &context.limits) else {
                     log::warn!(peer:% = peer; "connection refused: too many are open");
                     continue;
                 };
@@ -264,9 +264,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(context.bounds.head_timeout)
-        .max_headers(context.bounds.max_headers)
-        .max_buf_size(context.bounds.max_head_bytes)
+        .header_read_timeout(context.limits.head_timeout)
+        .max_headers(context.limits.max_headers)
+        .max_buf_size(context.limits.max_head_bytes)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut draining = context.draining.clone();
@@ -299,7 +299,7 @@
         });
     };
     let handshake =
-        tokio::time::timeout(context.bounds.head_timeout, acceptor.accept(stream)).await;
+        tokio::time::timeout(context.limits.head_timeout, acceptor.accept(stream)).await;
     match handshake {
         Ok(Ok(stream)) => Some(stream),
         Ok(Err(error)) => {
--- a/crates/http/tests/pool_reuse.rs
+++ b/crates/http/tests/pool_reuse.rs
@@ -54,7 +54,7 @@
     let answer = answer.await.expect("an answer");
     let (head, body) = answer.response.into_parts();
     body.collect().await.expect("a body");
-    answer.connection.keep(&head.headers);
+    answer.connection.return_to_pool(&head.headers);
 }
 
 // A filing must never go out on a connection that its server may have given up: whether it ran
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use pollendrift_border::{EngineOffer, ServerLoad, ServerOffer};
-use pollendrift_http::{HttpClient, HttpServer, ServerBounds};
+use pollendrift_http::{HttpClient, HttpServer, ServerLimits};
 
 pub use fault::FaultPlan;
 
@@ -103,7 +103,7 @@
             client: HttpClient::new(MAX_BODY_BYTES),
         });
         let handler = Arc::new(handler::EngineHandler::new(Arc::clone(&context)));
-        let server = HttpServer::start(address, ServerBounds::default(), None, handler).await?;
+        let server = HttpServer::start(address, ServerLimits::default(), None, handler).await?;
         Ok(Self {
             server,
             context,
--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -32,7 +32,7 @@
     let ended = tokio::select! {
         ended = generate(&context, &request, &mut stream) => ended,
         // The entry is gone: nobody reads on, so the slots are freed at once.
-        () = watch.gone() => StreamEnd::Gone,
+        () = watch.closed() => StreamEnd::Gone,
     };
     drop(watch);
     if ended == StreamEnd::Finished {
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use pollendrift_border::{ServerLoad, ServerOffer, ServiceOffer};
 use pollendrift_http::{
-    HandlerFuture, HttpHandler, HttpServer, ResponseBody, ServerBounds, read_bounded, text_response,
+    HandlerFuture, HttpHandler, HttpServer, ResponseBody, ServerLimits, read_bounded, text_response,
 };
 
 use tokio::sync::watch;
@@ -80,7 +80,7 @@
         let handler = Arc::new(ServiceHandler {
             context: Arc::clone(&context),
         });
-        let server = HttpServer::start(address, ServerBounds::default(), None, handler).await?;
+        let server = HttpServer::start(address, ServerLimits::default(), None, handler).await?;
         Ok(Self {
             server,
             context,
