--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -12,7 +12,7 @@
     AnnouncedLoad, BackendOffer, LeaseScope, MergeVerdict, ServerAnnounce, ServerState,
 };
 use pollendrift_coordination::routing::{SurveyResult, SurveyedEngine};
-use pollendrift_dialect::ServerNote;
+use pollendrift_dialect::ServerAnnouncement;
 
 use super::{AnnounceError, BackendFleet, FleetState};
 
@@ -65,7 +65,7 @@
     pub fn announce_worker(
         &self,
         now: MonotonicTime,
-        note: &ServerNote,
+        note: &ServerAnnouncement,
     ) -> Result<MergeVerdict, AnnounceError> {
         match self.lock().merge(now, encode_note(note)?) {
             MergeVerdict::Full => Err(AnnounceError::Full),
@@ -74,7 +74,7 @@
     }
 
     /// Takes a heartbeat that says nothing new; false where it says more, or the server is not known.
-    pub(crate) fn renew_worker(&self, now: MonotonicTime, note: &ServerNote) -> bool {
+    pub(crate) fn renew_worker(&self, now: MonotonicTime, note: &ServerAnnouncement) -> bool {
         let Ok(announce) = encode_note(note) else {
             return false;
         };
@@ -157,7 +157,7 @@
     }
 }
 
-fn encode_note(note: &ServerNote) -> Result<ServerAnnounce, AnnounceError> {
+fn encode_note(note: &ServerAnnouncement) -> Result<ServerAnnounce, AnnounceError> {
     let offer = serde_json::to_string(&note.offer).map_err(|error| {
         let reason = error.to_string();
         AnnounceError::Malformed { reason }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -148,7 +148,7 @@
         draft: call.draft.clone(),
         resume_after: call.resume_after,
         arrived,
-        deadline: arrived.after(call.patience.unwrap_or(route.timeout).min(route.timeout)),
+        deadline: arrived.after(call.timeout.unwrap_or(route.timeout).min(route.timeout)),
     };
     match route.kind {
         RouteKind::Stream { .. } => drafts::serve(context, request, meter).await,
--- a/crates/daemon/src/relay/control.rs
+++ b/crates/daemon/src/relay/control.rs
@@ -10,8 +10,8 @@
 use hyper::body::Incoming;
 use pollendrift_coordination::base::{HostName, MonotonicTime, ServerName};
 use pollendrift_dialect::{
-    OperatorCall, OperatorReply, PlatformDialect, RegistryAck, RegistryCall, RegistryFault,
-    ServerNote,
+    OperatorCall, OperatorReply, PlatformDialect, RegistryAck, RegistryCall, RegistryError,
+    ServerAnnouncement,
 };
 use pollendrift_http::{
     HandlerFuture, HttpHandler, ResponseBody, full_body, read_bounded, read_within, text_response,
@@ -82,7 +82,7 @@
         self.dialect.operators.reply(&reply)
     }
 
-    fn serve_registry(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
+    fn serve_registry(&self, call: Result<RegistryCall, RegistryError>) -> Response<Bytes> {
         let now = self.clock.now();
         if self.is_cut_off() {
             let reason = "this host is cut off from most keepers".to_owned();
@@ -90,7 +90,7 @@
             return self
                 .dialect
                 .registry
-                .refuse(&RegistryFault { reason, elsewhere });
+                .refuse(&RegistryError { reason, elsewhere });
         }
         let outcome = match call {
             Ok(RegistryCall::Announce(note)) => self.announce(now, &note),
@@ -115,10 +115,10 @@
     fn announce(
         &self,
         now: MonotonicTime,
-        note: &ServerNote,
-    ) -> Result<Option<SocketAddr>, RegistryFault> {
+        note: &ServerAnnouncement,
+    ) -> Result<Option<SocketAddr>, RegistryError> {
         let verdict = self.fleet.announce_worker(now, note);
-        let verdict = verdict.map_err(|error| RegistryFault {
+        let verdict = verdict.map_err(|error| RegistryError {
             reason: error.to_string(),
             elsewhere: false,
         })?;
@@ -148,12 +148,12 @@
     /// acknowledged the leave, no host would know of it, and work would still go to the server. It
     /// therefore refuses with `elsewhere`, which makes the server ask another host; after a refusal
     /// as malformed the server would ask no other host.
-    fn leave(&self, now: MonotonicTime, server: &ServerName) -> Result<(), RegistryFault> {
+    fn leave(&self, now: MonotonicTime, server: &ServerName) -> Result<(), RegistryError> {
         let is_known = self.fleet.leave_worker(now, server);
         if is_known || now.since(MonotonicTime::START) >= LEARNING_TIME {
             return Ok(());
         }
-        Err(RegistryFault {
+        Err(RegistryError {
             reason: format!("this host does not know {server} yet"),
             elsewhere: true,
         })
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -16,7 +16,9 @@
 use pollendrift_coordination::leases::{
     AssignmentSettings, AssignmentTable, HeartbeatHost, MergeVerdict,
 };
-use pollendrift_dialect::{PlatformDialect, RegistryAck, RegistryCall, RegistryFault, ServerNote};
+use pollendrift_dialect::{
+    PlatformDialect, RegistryAck, RegistryCall, RegistryError, ServerAnnouncement,
+};
 use pollendrift_http::{
     HandlerFuture, HttpHandler, ResponseBody, full_body, read_bounded, read_within, text_response,
 };
@@ -73,7 +75,7 @@
         }
     }
 
-    fn handle_call(&self, call: Result<RegistryCall, RegistryFault>) -> Response<Bytes> {
+    fn handle_call(&self, call: Result<RegistryCall, RegistryError>) -> Response<Bytes> {
         let now = self.clock.now();
         let outcome = match call {
             Ok(RegistryCall::Announce(_)) if self.is_cut_off(now) => {
@@ -88,7 +90,7 @@
                 let ack = RegistryAck { announce_at: None };
                 self.dialect.registry.acknowledge(&ack)
             }
-            Err(reason) => self.dialect.registry.refuse(&RegistryFault {
+            Err(reason) => self.dialect.registry.refuse(&RegistryError {
                 reason: reason.to_owned(),
                 elsewhere: true,
             }),
@@ -137,7 +139,7 @@
     pub(super) fn assign(
         &self,
         now: MonotonicTime,
-        note: &ServerNote,
+        note: &ServerAnnouncement,
         verdict: MergeVerdict,
         known_for: Duration,
     ) -> Option<SocketAddr> {
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -269,8 +269,8 @@
         };
         let outcome = dialect.read_order(status);
         match outcome {
-            OrderOutcome::Begun => self.set_count(worker, expected.next()),
-            OrderOutcome::Holds => {}
+            OrderOutcome::Started => self.set_count(worker, expected.next()),
+            OrderOutcome::AlreadyLoaded => {}
             _ => {
                 self.invalidate_count(worker);
                 self.record_refused(worker);
@@ -372,8 +372,8 @@
 /// Name of an order's outcome in log lines.
 fn outcome_name(outcome: OrderOutcome) -> &'static str {
     match outcome {
-        OrderOutcome::Begun => "load started",
-        OrderOutcome::Holds => "already loaded",
+        OrderOutcome::Started => "load started",
+        OrderOutcome::AlreadyLoaded => "already loaded",
         OrderOutcome::Conflict => "conflict",
         OrderOutcome::Fenced => "fenced",
         OrderOutcome::WrongServer => "wrong server",
--- a/crates/daemon/src/relay/publish.rs
+++ b/crates/daemon/src/relay/publish.rs
@@ -87,7 +87,7 @@
         match timeout_at(deadline, self.newest()).await {
             Ok(Ok(configuration)) => configuration
                 .source()
-                .map_or(OperatorReply::Nothing, |source| {
+                .map_or(OperatorReply::NotPublished, |source| {
                     OperatorReply::Document(Arc::clone(&source.text))
                 }),
             Ok(Err(reason)) => OperatorReply::Unavailable { reason },
--- a/crates/daemon/src/relay/request.rs
+++ b/crates/daemon/src/relay/request.rs
@@ -10,7 +10,7 @@
 use pollendrift_coordination::routes::{Route, ServiceSpec};
 use pollendrift_coordination::streams::EventId;
 use pollendrift_dialect::{
-    DraftSize, RefusalKind, RelayRefusal, ServerDialect, ServerSend, StageHop,
+    DraftSize, RefusalKind, RelayRefusal, ServerDialect, ServerRequest, StageHop,
 };
 
 /// A request for which the route, the service and the customer are known.
@@ -52,11 +52,11 @@
         dialect: &dyn ServerDialect,
         target: SendTarget<'_>,
     ) -> http::Request<Full<Bytes>> {
-        let send = ServerSend {
+        let send = ServerRequest {
             head: &self.head,
             server: target.server,
             customer: self.customer.as_ref(),
-            left: self.time_left(now),
+            time_left: self.time_left(now),
             stages: target.stages,
             resume_after: target.resume_after,
         };
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -126,15 +126,15 @@
             log::info!(request = self.request.attempt.as_str(), outcome = describe_outcome(outcome.as_ref()).as_str(),
                 lost = join_names(&lost).as_str(), after = self.reroutes.events_written; "first engine answered a reroute order");
             match outcome {
-                Some(RerouteOutcome::Taken) => return Some(next),
-                Some(RerouteOutcome::NoRoom { culprit }) => {
+                Some(RerouteOutcome::Accepted) => return Some(next),
+                Some(RerouteOutcome::NoCapacity { culprit }) => {
                     let full = full_stages(chain, &next.chain, culprit);
                     next.failed(None);
                     full.iter()
                         .for_each(|server| self.context.chains().record_declined(now, server));
                     lost.extend(full);
                 }
-                Some(RerouteOutcome::NotThere) | None => {
+                Some(RerouteOutcome::NotRunning) | None => {
                     next.failed(None);
                     break;
                 }
@@ -200,12 +200,12 @@
 /// Outcome of a reroute order in log lines; `None` stands for a missing answer.
 fn describe_outcome(outcome: Option<&RerouteOutcome>) -> String {
     match outcome {
-        Some(RerouteOutcome::Taken) => "accepted".to_owned(),
-        Some(RerouteOutcome::NoRoom { culprit: None }) => "no capacity".to_owned(),
-        Some(RerouteOutcome::NoRoom {
+        Some(RerouteOutcome::Accepted) => "accepted".to_owned(),
+        Some(RerouteOutcome::NoCapacity { culprit: None }) => "no capacity".to_owned(),
+        Some(RerouteOutcome::NoCapacity {
             culprit: Some(address),
         }) => format!("no capacity at {address}"),
-        Some(RerouteOutcome::NotThere) => "request not running".to_owned(),
+        Some(RerouteOutcome::NotRunning) => "request not running".to_owned(),
         None => "no answer".to_owned(),
     }
 }
--- a/crates/dialect/src/callers.rs
+++ b/crates/dialect/src/callers.rs
@@ -22,7 +22,7 @@
     /// Key that names the customer; never sent on.
     pub key: Option<Arc<str>>,
     /// Time that the caller will wait, counted from the arrival of the head.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Size of a draft; `None` for a call of a plain service.
     pub draft: Option<DraftSize>,
     /// Last event that the caller holds of an earlier answer.
@@ -45,7 +45,7 @@
 /// Why a request can't be read.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{reason}")]
-pub struct CallerFault {
+pub struct CallerRequestError {
     /// What is wrong, and what is accepted.
     pub reason: String,
 }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    fn read(&self, head: &Parts) -> Result<CallerRequest, CallerFault>;
+    fn read(&self, head: &Parts) -> Result<CallerRequest, CallerRequestError>;
 
     /// Writes a refusal of the request with identity `attempt`, where one could be read.
     fn refuse(&self, refusal: &RelayRefusal, attempt: Option<&RequestId>) -> Response<Bytes>;
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 
 pub use callers::{
-    CallerDialect, CallerFault, CallerRequest, DraftSize, RefusalKind, RelayRefusal,
+    CallerDialect, CallerRequest, CallerRequestError, DraftSize, RefusalKind, RelayRefusal,
 };
 pub use operators::{OperatorCall, OperatorDialect, OperatorReply};
-pub use registry::{RegistryAck, RegistryCall, RegistryDialect, RegistryFault, ServerNote};
+pub use registry::{RegistryAck, RegistryCall, RegistryDialect, RegistryError, ServerAnnouncement};
 pub use servers::{
     AnswerHead, EngineReport, OrderOutcome, PlaceOrder, RerouteOrder, RerouteOutcome,
-    ServerDialect, ServerLoad, ServerSend, StageHop,
+    ServerDialect, ServerLoad, ServerRequest, StageHop,
 };
 
 /// The dialects of one platform.
--- a/crates/dialect/src/operators.rs
+++ b/crates/dialect/src/operators.rs
@@ -27,7 +27,7 @@
     /// The newest document, as it was sent.
     Document(Arc<str>),
     /// No document was published yet.
-    Nothing,
+    NotPublished,
     /// The document is refused; nothing was changed.
     Invalid(FindingList),
     /// This host can't tell; another may, or this one later.
--- a/crates/dialect/src/registry.rs
+++ b/crates/dialect/src/registry.rs
@@ -10,7 +10,7 @@
 
 /// What a backend server says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ServerNote {
+pub struct ServerAnnouncement {
     /// Its name.
     pub server: ServerName,
     /// Life of its process; a restart under the same name has a higher one.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryCall {
     /// It is there, or is about to leave.
-    Announce(Box<ServerNote>),
+    Announce(Box<ServerAnnouncement>),
     /// It has left, or serves only what it has. Says nothing but the name.
     Leave(ServerName),
 }
@@ -48,7 +48,7 @@
 /// Why a call was not taken.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{reason}")]
-pub struct RegistryFault {
+pub struct RegistryError {
     /// All that is wrong with it.
     pub reason: String,
     /// Whether another host may take it.
@@ -63,11 +63,11 @@
         method: &Method,
         path: &str,
         body: &[u8],
-    ) -> Option<Result<RegistryCall, RegistryFault>>;
+    ) -> Option<Result<RegistryCall, RegistryError>>;
 
     /// Writes the answer to a call that was taken.
     fn acknowledge(&self, ack: &RegistryAck) -> Response<Bytes>;
 
     /// Writes the answer to a call that was not taken.
-    fn refuse(&self, fault: &RegistryFault) -> Response<Bytes>;
+    fn refuse(&self, fault: &RegistryError) -> Response<Bytes>;
 }
--- a/crates/dialect/src/servers.rs
+++ b/crates/dialect/src/servers.rs
@@ -22,7 +22,7 @@
 
 /// One send of a caller's request to a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerSend<'send> {
+pub struct ServerRequest<'send> {
     /// Head of the caller's request.
     pub head: &'send request::Parts,
     /// Server that must answer; any other that has its address now refuses.
@@ -30,7 +30,7 @@
     /// Whose request it is.
     pub customer: Option<&'send CustomerName>,
     /// Time that is left, now.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Stages of the pipeline, the receiver's first; empty where one server runs it all.
     pub stages: &'send [StageHop],
     /// Event after which a stream goes on.
@@ -84,9 +84,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// It began.
-    Begun,
+    Started,
     /// The engine holds the layers already.
-    Holds,
+    AlreadyLoaded,
     /// The engine has taken other orders than were expected, or can't take this one now.
     Conflict,
     /// A higher fencing number was seen.
@@ -110,14 +110,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RerouteOutcome {
     /// The request goes on over the new stages.
-    Taken,
+    Accepted,
     /// A new stage is not there or has no room.
-    NoRoom {
+    NoCapacity {
         /// The stage, where the engine names it.
         culprit: Option<SocketAddr>,
     },
     /// The engine does not run the request, or not any more.
-    NotThere,
+    NotRunning,
 }
 
 /// State of an engine that was asked for it.
@@ -143,7 +143,7 @@
 pub trait ServerDialect: Send + Sync {
     /// Writes the head of a send: the caller's, with what concerns only its connection and key taken
     /// out, and the router's own put in.
-    fn write(&self, send: &ServerSend<'_>) -> HeaderMap;
+    fn write(&self, send: &ServerRequest<'_>) -> HeaderMap;
 
     /// Reads the head of an answer.
     fn read(&self, head: &response::Parts) -> AnswerHead;
