--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -1,7 +1,8 @@
-//! Group commit: a thread of its own writes, and one sync serves all who wait.
+//! Group commit: a dedicated thread writes, and one sync serves all waiting requests.
 //!
-//! While a sync runs, requests queue up; the next sync takes them all. A caller waits for at most
-//! the running sync and its own, and the thread that decides never waits for the disk.
+//! Requests that arrive during a sync are queued, and the next sync covers all of them. A caller
+//! waits at most for the running sync and its own; the thread of the agreement state machine never
+//! waits for the disk.
 
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::thread::{Builder, JoinHandle};
@@ -12,18 +13,18 @@
 use crate::error::StoreError;
 use crate::log_store::{LogStore, PersistBatch, StoreSnapshot, StoreUsage, SyncMark};
 
-/// Number of a request to the commit thread; rises by one with each.
+/// Sequence number of a request to the commit thread; increases by one with each request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CommitTicket(pub u64);
 
-/// Bounds of one sync.
+/// Limits of the request queue and of one sync.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommitSettings {
-    /// Requests that may wait; more are refused.
+    /// Maximum number of queued requests; further requests are refused.
     pub queue: usize,
-    /// Requests that one sync takes at most.
+    /// Maximum number of requests in one sync.
     pub requests_per_sync: usize,
-    /// Bytes of commands after which a sync takes no further request.
+    /// Size of the commands in bytes at which no further request joins a sync.
     pub bytes_per_sync: usize,
 }
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// What the commit thread is asked to make durable.
+/// A change that the commit thread makes durable.
 #[derive(Debug)]
 pub enum CommitRequest {
     /// Hard state and entries.
@@ -46,30 +47,30 @@
     Save(StoreSnapshot),
     /// Snapshot from the leader.
     Install(StoreSnapshot),
-    /// Order of the agreement core, in its order of writing.
+    /// Persist request of the agreement state machine, written in the order that it requires.
     Agreement(PersistRequest),
 }
 
-/// All requests up to a ticket are durable, or the store has stopped.
+/// Result of one sync: all requests up to a ticket are durable, or the store has stopped.
 #[derive(Clone, Debug)]
 pub struct CommitReport {
-    /// Last request that the report speaks of.
+    /// Last request that the report covers.
     pub ticket: CommitTicket,
-    /// Mark of the sync, or why the store stopped; nothing after it becomes durable.
+    /// Mark of the sync, or the error that stopped the store; later requests never become durable.
     pub result: Result<SyncMark, StoreError>,
-    /// What the store takes up now.
+    /// Disk usage after the sync.
     pub usage: StoreUsage,
-    /// Requests that the sync served.
+    /// Number of requests that the sync covered.
     pub requests: usize,
 }
 
-/// Why a request was not taken.
+/// Reason why a request was not queued.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum CommitRefusal {
-    /// As many requests wait as the queue holds: the disk is too slow for the load.
+    /// The queue is full: the disk is too slow for the load.
     #[display("disk is behind: the queue to the store is full")]
     Full,
-    /// The thread has ended after a fault.
+    /// The thread has ended after an error.
     #[display("store has stopped")]
     Stopped,
 }
@@ -79,7 +80,8 @@
     request: CommitRequest,
 }
 
-/// Owner of the store's thread; dropping it lets the thread finish what is queued and end.
+/// Owner of the store's thread; dropping it waits until the thread has written all queued requests
+/// and ended.
 pub struct CommitThread {
     sender: Option<SyncSender<QueuedRequest>>,
     last: CommitTicket,
@@ -87,10 +89,10 @@
 }
 
 impl CommitThread {
-    /// Starts the thread; `report` is called on it after every sync, in the order of tickets.
+    /// Starts the thread, which calls `report` after every sync, in the order of tickets.
     ///
     /// # Errors
-    /// The operating system has no thread to give.
+    /// Fails if the operating system can't create a thread.
     pub fn start<F>(
         store: Box<dyn LogStore>,
         settings: CommitSettings,
@@ -102,7 +104,7 @@
         let (sender, receiver) = sync_channel(settings.queue.max(1));
         let thread = Builder::new()
             .name("store".to_owned())
-            .spawn(move || serve(report, store, settings, receiver))?;
+            .spawn(move || run_commits(report, store, settings, receiver))?;
         Ok(Self {
             sender: Some(sender),
             last: CommitTicket::default(),
@@ -110,10 +112,11 @@
         })
     }
 
-    /// Queues a request; its ticket comes back in a report once it is durable.
+    /// Queues a request and returns its ticket; a report with this ticket or a later one confirms that
+    /// the request is durable.
     ///
     /// # Errors
-    /// The queue is full, or the store has stopped; nothing was queued.
+    /// Fails if the queue is full or the store has stopped; the request is not queued.
     pub fn submit(&mut self, request: CommitRequest) -> Result<CommitTicket, CommitRefusal> {
         let sender = self.sender.as_ref().ok_or(CommitRefusal::Stopped)?;
         let ticket = CommitTicket(self.last.0 + 1);
@@ -126,7 +129,7 @@
         Ok(ticket)
     }
 
-    /// Lets the thread finish what is queued, and waits for its end.
+    /// Waits until the thread has written all queued requests and ended.
     pub fn finish(mut self) {
         self.end();
     }
@@ -145,8 +148,11 @@
     }
 }
 
-/// The receiver goes first at the end: who has seen the last report can queue nothing more.
-fn serve<F>(
+/// Commits requests until the queue closes or a write fails.
+///
+/// The receiver is the last parameter, so it is dropped first at the end. A caller that received the
+/// last report therefore can't queue another request.
+fn run_commits<F>(
     mut report: F,
     mut store: Box<dyn LogStore>,
     settings: CommitSettings,
@@ -154,10 +160,10 @@
 ) where
     F: FnMut(CommitReport),
 {
-    let mut waiting = None;
-    while let Some(first) = waiting.take().or_else(|| receiver.recv().ok()) {
-        let group = gather(first, settings, &receiver);
-        waiting = group.next;
+    let mut deferred = None;
+    while let Some(first) = deferred.take().or_else(|| receiver.recv().ok()) {
+        let group = collect_group(first, settings, &receiver);
+        deferred = group.deferred;
         let result = commit(store.as_mut(), group.request);
         let failed = result.is_err();
         report(CommitReport {
@@ -176,12 +182,12 @@
     request: CommitRequest,
     ticket: CommitTicket,
     requests: usize,
-    /// Request that was taken from the queue but doesn't join the group.
-    next: Option<QueuedRequest>,
+    /// Request that was removed from the queue but can't share the sync.
+    deferred: Option<QueuedRequest>,
 }
 
-/// Takes what waits, in order, until a request can't share the sync.
-fn gather(
+/// Collects queued requests in order, until one can't share the sync or a limit is reached.
+fn collect_group(
     first: QueuedRequest,
     settings: CommitSettings,
     receiver: &Receiver<QueuedRequest>,
@@ -190,21 +196,21 @@
         request: first.request,
         ticket: first.ticket,
         requests: 1,
-        next: None,
+        deferred: None,
     };
     let CommitRequest::Persist(batch) = &mut group.request else {
         return group;
     };
-    let mut bytes = batch_bytes(batch);
+    let mut bytes = command_bytes(batch);
     while group.requests < settings.requests_per_sync && bytes < settings.bytes_per_sync {
         let Ok(queued) = receiver.try_recv() else {
             break;
         };
         let CommitRequest::Persist(later) = queued.request else {
-            group.next = Some(queued);
+            group.deferred = Some(queued);
             break;
         };
-        bytes += batch_bytes(&later);
+        bytes += command_bytes(&later);
         batch.merge(later);
         group.ticket = queued.ticket;
         group.requests += 1;
@@ -212,7 +218,7 @@
     group
 }
 
-fn batch_bytes(batch: &PersistBatch) -> usize {
+fn command_bytes(batch: &PersistBatch) -> usize {
     let commands = batch.entries.iter().map(|entry| match &entry.payload {
         EntryPayload::Command(bytes) => bytes.len(),
         EntryPayload::Noop | EntryPayload::Membership(_) => 0,
@@ -225,28 +231,33 @@
         CommitRequest::Persist(batch) => store.persist(&batch),
         CommitRequest::Save(snapshot) => store.save_snapshot(&snapshot),
         CommitRequest::Install(snapshot) => store.install_snapshot(&snapshot),
-        CommitRequest::Agreement(order) => commit_order(store, order),
+        CommitRequest::Agreement(request) => commit_agreement(store, request),
     }
 }
 
-/// Writes hard state, snapshot, truncation and entries; without a snapshot that is one sync.
+/// Writes hard state, snapshot, truncation and entries, in this order; without a snapshot, one sync
+/// covers all of them.
 ///
-/// The log restarts behind a snapshot that reaches beyond it, or from which on everything is
-/// truncated: such a log may contradict the snapshot, and a crash before the truncation is written
-/// would leave the two joined. Behind any other snapshot the log goes on.
-fn commit_order(store: &mut dyn LogStore, order: PersistRequest) -> Result<SyncMark, StoreError> {
+/// If the snapshot reaches beyond the log, or the request truncates everything after the snapshot,
+/// the log restarts after the snapshot. Such a log may contradict the snapshot, and a crash before
+/// the truncation is written would otherwise combine the two. After any other snapshot the log
+/// continues.
+fn commit_agreement(
+    store: &mut dyn LogStore,
+    request: PersistRequest,
+) -> Result<SyncMark, StoreError> {
     let mut batch = PersistBatch {
-        hard: order.hard_state,
-        truncate_from: order.truncate_from,
-        entries: order.entries,
+        hard: request.hard_state,
+        truncate_from: request.truncate_from,
+        entries: request.entries,
     };
-    if let Some(snapshot) = order.snapshot {
+    if let Some(snapshot) = request.snapshot {
         let hard = PersistBatch {
             hard: batch.hard.take(),
             ..PersistBatch::default()
         };
         store.persist(&hard)?;
-        commit_snapshot(store, snapshot, order.truncate_from)?;
+        commit_snapshot(store, snapshot, request.truncate_from)?;
     }
     store.persist(&batch)
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a store can't go on, and what the operator does about it.
+//! Errors that stop a store; each text tells the operator how to recover.
 
 use std::io;
 use std::sync::Arc;
@@ -7,13 +7,13 @@
 use pollendrift_coordination::agreement::LogIndex;
 use pollendrift_coordination::base::HostName;
 
-/// A fault that stops the keeper.
+/// An error that stops the keeper.
 #[derive(Clone, Debug, Display, Error)]
 pub enum StoreError {
-    /// The disk has no room.
+    /// The disk is full.
     #[display("{path}: disk full while {action}: free space on this disk, then restart the keeper")]
     DiskFull {
-        /// What was being done.
+        /// Operation that failed.
         action: &'static str,
         /// File or folder.
         path: String,
@@ -24,14 +24,14 @@
          replace the disk and empty the data folder if not"
     )]
     Disk {
-        /// What was being done.
+        /// Operation that failed.
         action: &'static str,
         /// File or folder.
         path: String,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: Arc<io::Error>,
     },
-    /// Bytes that were synced once read back differently.
+    /// Synced bytes read back differently.
     #[display(
         "{path}: damaged at byte {offset}: {reason}: check the disk, then empty the data folder: \
          the keeper joins again as a learner"
@@ -41,16 +41,16 @@
         path: String,
         /// Offset of the damage in bytes.
         offset: u64,
-        /// What doesn't fit.
+        /// Check that failed.
         reason: String,
     },
-    /// A file that the others refer to isn't there.
+    /// A file to which another file refers does not exist.
     #[display(
         "{path}: missing, though {needed_by} refers to it: put it back, or empty the data folder: \
          the keeper joins again as a learner"
     )]
     Missing {
-        /// File that should exist.
+        /// Path of the missing file.
         path: String,
         /// File that refers to it.
         needed_by: String,
@@ -62,12 +62,12 @@
     UnknownFormat {
         /// File.
         path: String,
-        /// Format in the file.
+        /// Format number in the file.
         found: u32,
-        /// Format of this program.
+        /// Format number that this program supports.
         known: u32,
     },
-    /// Another process has the folder open.
+    /// Another process holds the lock of the folder.
     #[display("{folder}: in use by another process: stop it, or name another data folder")]
     Locked {
         /// Data folder.
@@ -83,10 +83,10 @@
         folder: String,
         /// Host in the identity file.
         found: HostName,
-        /// Host of the settings.
+        /// Host in the settings.
         expected: HostName,
     },
-    /// The folder's files aren't the ones that this keeper wrote.
+    /// The files in the folder are copies of those that the keeper wrote.
     #[display(
         "{folder}: is a copy of a keeper's folder: {reason}: empty the folder: the keeper joins \
          again as a learner"
@@ -94,41 +94,41 @@
     Copied {
         /// Data folder.
         folder: String,
-        /// What gave the copy away.
+        /// Differences that show the copy.
         reason: String,
     },
-    /// An append or snapshot doesn't join the log.
+    /// An append or snapshot leaves a gap in the log.
     #[display("log goes on at {expected}, not at {found}")]
     Gap {
-        /// Index that would join.
+        /// Next index that continues the log.
         expected: LogIndex,
-        /// Index that was given.
+        /// Index in the request.
         found: LogIndex,
     },
-    /// A frame is larger than a reader would accept.
+    /// A frame is larger than the limit of a reader.
     #[display("frame of {bytes} bytes is over the bound of {bound}")]
     TooLarge {
         /// Size in bytes.
         bytes: u64,
-        /// Bound in bytes.
+        /// Limit in bytes.
         bound: u64,
     },
     /// A record can't be encoded.
     #[display("record can't be encoded: {reason}")]
     Encode {
-        /// The encoder's words.
+        /// Error text of the encoder.
         reason: String,
     },
-    /// An earlier fault stopped the store.
+    /// An earlier error stopped the store.
     #[display("store stopped after an earlier fault: {first}")]
     Stopped {
-        /// The fault that stopped it.
+        /// Text of the error that stopped the store.
         first: Arc<str>,
     },
 }
 
 impl StoreError {
-    /// Sorts an error of the operating system.
+    /// Classifies an error of the operating system as a full disk or another disk error.
     pub(crate) fn disk(action: &'static str, path: &str, source: io::Error) -> Self {
         let path = path.to_owned();
         let full = matches!(
--- a/crates/store/src/files.rs
+++ b/crates/store/src/files.rs
@@ -1,4 +1,4 @@
-//! Access to files, as a border so that tests can fail every write and every sync.
+//! File access behind traits, so that tests can make any write or sync fail.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -7,101 +7,102 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What tells a file from a copy of it.
+/// Properties that distinguish a file from a copy of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileFingerprint {
-    /// Number of the file in its file system; 0 where the platform has none.
+    /// Inode number of the file; 0 if the platform has none.
     pub inode: u64,
-    /// Creation in nanoseconds since the Unix epoch; 0 where the file system keeps none.
+    /// Creation time in nanoseconds since the Unix epoch; 0 if the file system stores none.
     pub created: u64,
 }
 
-/// An open file that only grows.
+/// An open file that is only appended to.
 pub trait StoreFile: Send {
-    /// Writes all of `bytes` at the end.
+    /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// The operating system's; a part may have been written.
+    /// Returns the error of the operating system; a part of `bytes` may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once content and length are on disk.
+    /// Returns after content and length have reached the disk.
     ///
     /// # Errors
-    /// The operating system's; what was written since the last sync may be lost.
+    /// Returns the error of the operating system; data written since the last sync may be lost.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Exclusive use of a folder, given back on drop.
+/// Exclusive lock on a folder, released on drop.
 pub trait FolderLock: Send {}
 
-/// The files of one data folder; names have no folder part.
+/// The files of one data folder; file names contain no folder path.
 pub trait FileSystem: Send {
-    /// The folder, for messages.
+    /// Path of the folder, for messages.
     fn folder(&self) -> String;
 
-    /// Creates the folder if needed and takes the lock file `name`; `None` if another has it.
+    /// Creates the folder if it does not exist and locks the file `name`; returns `None` if another
+    /// process holds the lock.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn lock(&self, name: &str) -> io::Result<Option<Box<dyn FolderLock>>>;
 
-    /// Names of all files, sorted.
+    /// Lists the names of all files, sorted.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// Whole content of a file.
+    /// Reads the complete content of a file.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates an empty file, or empties the one that has the name.
+    /// Creates an empty file, or truncates an existing one.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn create(&self, name: &str) -> io::Result<Box<dyn StoreFile>>;
 
-    /// Opens an existing file to append to it.
+    /// Opens an existing file for appending.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn open(&self, name: &str) -> io::Result<Box<dyn StoreFile>>;
 
-    /// Renames a file over another.
+    /// Renames a file, replacing an existing file of the new name.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Returns once creations, renames and removals are on disk.
+    /// Returns after creations, renames and removals have reached the disk.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn sync_folder(&self) -> io::Result<()>;
 
-    /// What tells the file from a copy of it.
+    /// Reads the fingerprint that distinguishes the file from a copy.
     ///
     /// # Errors
-    /// The operating system's.
+    /// Returns the error of the operating system.
     fn fingerprint(&self, name: &str) -> io::Result<FileFingerprint>;
 }
 
-/// Files of a folder on disk.
+/// Files of a data folder on a local disk.
 #[derive(Clone, Debug)]
 pub struct DiskFiles {
     folder: PathBuf,
 }
 
 impl DiskFiles {
-    /// Files of `folder`, which is created when it is locked.
+    /// Refers to the files of `folder`; [`FileSystem::lock`] creates the folder.
     pub fn new<P>(folder: P) -> Self
     where
         P: AsRef<Path>,
@@ -208,7 +209,8 @@
     }
 }
 
-/// The operating system lets go of the lock with the last handle, also when the process is killed.
+/// The operating system releases the lock when the last handle is closed, also after a killed
+/// process.
 struct DiskLock {
     _file: File,
 }
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -1,4 +1,4 @@
-//! Whose folder this is, and which life of its disk.
+//! Identity of a data folder: its host, its incarnation and its group.
 
 use derive_more::Display;
 use pollendrift_coordination::agreement::Membership;
@@ -7,11 +7,11 @@
 
 use crate::error::StoreError;
 use crate::files::{FileFingerprint, FileSystem};
-use crate::segment::{FileKind, FileStart, TEMPORARY_ENDING, encode_start, read_start};
+use crate::segment::{FileKind, FileStart, TEMPORARY_SUFFIX, encode_start, read_start};
 
 const IDENTITY_NAME: &str = "identity";
 
-/// Identity of an agreement group; keepers of different groups never answer one another.
+/// Identity of an agreement group; keepers reject messages from other groups.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,9 +21,9 @@
 /// The group that a keeper belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoinedGroup {
-    /// The group.
+    /// Identity of the group.
     pub id: GroupId,
-    /// Its first membership, which every first voter writes as its first entry.
+    /// Initial membership, which every initial voter writes as the first log entry.
     pub founding: Membership,
 }
 
@@ -32,27 +32,28 @@
 pub struct StoreIdentity {
     /// Host that the folder was formatted for.
     pub host: HostName,
-    /// Life of the disk; an emptied folder comes back under another.
+    /// Incarnation of the folder; an emptied folder gets a new one.
     pub incarnation: Incarnation,
-    /// Group whose log the folder holds; `None` until the keeper has joined one.
+    /// Group whose log the folder contains; `None` until the keeper has joined one.
     pub group: Option<JoinedGroup>,
-    /// Times the folder was opened; written before anything is answered.
+    /// Number of times that the folder was opened; written before the keeper sends any reply.
     pub opens: u64,
-    /// The identity file's own fingerprint: a copied or restored file has another.
+    /// Fingerprint of the identity file; a copied or restored file has another one.
     fingerprint: FileFingerprint,
 }
 
-/// How the identity came about.
+/// Identity of an opened folder.
 pub(crate) struct OpenedIdentity {
     pub(crate) identity: StoreIdentity,
-    /// The log must be formatted: the folder, or its log, was empty.
+    /// Whether the log must be formatted because the folder contains none.
     pub(crate) fresh: bool,
 }
 
-/// Reads or makes the identity and counts this opening.
+/// Reads or creates the identity and increments its number of opens.
 ///
-/// An emptied folder can't know under which incarnation it voted before, so the wall clock in
-/// milliseconds gives the new one; a folder that lost only its log also outdoes its old one.
+/// An emptied folder has lost the incarnation under which it voted, so the wall clock in
+/// milliseconds gives the new incarnation. If a folder lost only its log, the new incarnation is also
+/// higher than the stored one.
 pub(crate) fn open_identity(
     files: &dyn FileSystem,
     host: &HostName,
@@ -108,7 +109,9 @@
         .map_err(|error| StoreError::disk("reading the identity", &path, error))?;
     let identity: StoreIdentity = match read_start(FileKind::Identity, &path, &bytes)? {
         FileStart::Complete(identity, _) => identity,
-        FileStart::Torn => return Err(StoreError::damaged(&path, 0, "identity is cut off")),
+        FileStart::Torn => {
+            return Err(StoreError::damaged(&path, 0, "identity file is incomplete"));
+        }
     };
     if identity.host != *host {
         return Err(StoreError::OtherHost {
@@ -133,23 +136,23 @@
     Ok(Some(identity))
 }
 
-/// Whether a file is another than the one that was written.
+/// Whether the fingerprints show that the file is a copy.
 ///
-/// Some file systems keep no creation time, and number their files anew at every start of a
-/// process; there every restart would look like a copy, and the keeper would refuse its own disk
-/// for ever. On those an old image of a disk is told by the other keepers alone: they remember what
-/// this one acknowledged, and refuse a start that holds less.
+/// Some file systems store no creation time and renumber their files at every start of a process.
+/// There every restart would look like a copy, and the keeper would refuse its own disk for ever, so
+/// this check is skipped. On these file systems only the other keepers detect an old image of a
+/// disk: they store the position that this keeper acknowledged, and refuse a start with a lower one.
 fn is_copied(written: FileFingerprint, found: FileFingerprint) -> bool {
     let has_creation_time = written.created != 0 || found.created != 0;
     has_creation_time && written != found
 }
 
-/// Replaces the identity file; the fingerprint is that of the new file and survives the rename.
+/// Replaces the identity file and stores the fingerprint of the new file, which a rename preserves.
 pub(crate) fn write_identity(
     files: &dyn FileSystem,
     mut identity: StoreIdentity,
 ) -> Result<StoreIdentity, StoreError> {
-    let temporary = format!("{IDENTITY_NAME}{TEMPORARY_ENDING}");
+    let temporary = format!("{IDENTITY_NAME}{TEMPORARY_SUFFIX}");
     let path = path_of(files, &temporary);
     let failed = |error| StoreError::disk("writing the identity", &path, error);
     let mut file = files.create(&temporary).map_err(failed)?;
@@ -164,11 +167,15 @@
 
 fn fingerprint_of(files: &dyn FileSystem, name: &str) -> Result<FileFingerprint, StoreError> {
     files.fingerprint(name).map_err(|error| {
-        StoreError::disk("reading the file's number", &path_of(files, name), error)
+        StoreError::disk(
+            "reading the file's inode and creation time",
+            &path_of(files, name),
+            error,
+        )
     })
 }
 
-/// Path of a file, for messages.
+/// Path of the file `name`, for messages.
 pub(crate) fn path_of(files: &dyn FileSystem, name: &str) -> String {
     format!("{}/{name}", files.folder())
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
 //! Durable log, snapshots and identity of a keeper.
 //!
-//! One data folder holds an identity file, numbered log segments and snapshots. Whatever
-//! [`LogStore::persist`] returned for is on disk; whatever can't be read back whole stops the
-//! keeper with the file, the offset and the way out, never with a silently shorter history.
-//! `docs/design/store.md` weighs the layout.
+//! A data folder contains an identity file, numbered log segments and snapshots. A batch is on disk
+//! when [`LogStore::persist`] returns. If a file can't be read completely, the keeper stops with an
+//! error that names the file, the offset and the recovery steps; it never silently drops history.
+//! `docs/design/store.md` compares the possible layouts.
 
 mod commit;
 mod error;
--- a/crates/store/src/log_store.rs
+++ b/crates/store/src/log_store.rs
@@ -1,13 +1,13 @@
-//! The border between a keeper and whatever keeps its log.
+//! Interface between a keeper and the storage of its log.
 
 use pollendrift_coordination::agreement::{HardState, LogEntry, LogIndex, SnapshotMetadata};
 
 use crate::error::StoreError;
 
-/// What one sync must make durable, applied in the order of the fields.
+/// Changes that one sync makes durable, applied in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistBatch {
-    /// New hard state; `None` leaves the last one in force.
+    /// New hard state; `None` keeps the current one.
     pub hard: Option<HardState>,
     /// First index to drop before appending.
     pub truncate_from: Option<LogIndex>,
@@ -22,7 +22,7 @@
         self.hard.is_none() && self.truncate_from.is_none() && self.entries.is_empty()
     }
 
-    /// Adds `later` to this batch, so that both become durable in one sync.
+    /// Appends `later` to this batch, so that both become durable in one sync.
     pub fn merge(&mut self, later: Self) {
         if later.hard.is_some() {
             self.hard = later.hard;
@@ -36,18 +36,18 @@
     }
 }
 
-/// A snapshot and what it stands for.
+/// A snapshot of the state machine and its metadata.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreSnapshot {
-    /// Last entry, its term and the membership in force there.
+    /// Index and term of the last entry that the snapshot covers, and the membership at that entry.
     pub mark: SnapshotMetadata,
     /// Encoded state of the state machine.
     pub state: Vec<u8>,
 }
 
-/// Point in the life of a data folder; rises with every sync.
+/// Position in the write history of a data folder; increases with every sync.
 ///
-/// Peers remember the highest mark a keeper has told them: a keeper that returns with a lower one
+/// Peers store the highest mark that a keeper has reported. A keeper that restarts with a lower mark
 /// runs on an old copy of its disk.
 #[derive(
     Clone,
@@ -64,51 +64,52 @@
 pub struct SyncMark {
     /// Frames written to the log since the folder was formatted.
     pub frame: u64,
-    /// Times the folder was opened.
+    /// Number of times that the folder was opened.
     pub opens: u64,
 }
 
-/// What the store takes up.
+/// Disk usage of the store and its number of syncs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreUsage {
-    /// Bytes of all log segments.
+    /// Size of all log segments in bytes.
     pub log_bytes: u64,
-    /// Bytes of the snapshot; 0 where none was taken.
+    /// Size of the snapshot in bytes; 0 without a snapshot.
     pub snapshot_bytes: u64,
-    /// Log segments.
+    /// Number of log segments.
     pub segments: u64,
-    /// Syncs of files and folders since the store was opened.
+    /// Number of file and folder syncs since the store was opened.
     pub syncs: u64,
 }
 
-/// A durable log; calls block until the disk has answered.
+/// A durable log; each call blocks until the disk operation has finished.
 ///
 /// Invariant: after any error the store refuses all further writes. A failed sync may have dropped
-/// the dirty pages, so that a second sync would report success for data that is gone; only a
-/// restart, which reads the disk again, tells what survived.
+/// the dirty pages, so that a second sync would report success for lost data. Only a restart, which
+/// reads the disk again, shows which data survived.
 pub trait LogStore: Send {
     /// Makes `batch` durable with one sync.
     ///
     /// # Errors
-    /// The batch leaves a gap in the log, is too large, or the disk failed.
+    /// Fails if the batch leaves a gap in the log or is too large, or if the disk failed.
     fn persist(&mut self, batch: &PersistBatch) -> Result<SyncMark, StoreError>;
 
-    /// Makes a snapshot of the store's own applied state durable, then drops the log up to it.
-    /// Entries after the snapshot stay.
+    /// Makes a snapshot of the keeper's own applied state durable, then removes the log up to the
+    /// snapshot. Entries after the snapshot remain.
     ///
     /// # Errors
-    /// The disk failed; the earlier snapshot is still whole.
+    /// Fails if the disk failed; the earlier snapshot is still complete.
     fn save_snapshot(&mut self, snapshot: &StoreSnapshot) -> Result<SyncMark, StoreError>;
 
-    /// Makes a snapshot that came from the leader durable and restarts the log after it.
+    /// Makes a snapshot from the leader durable and restarts the log after it.
     ///
     /// # Errors
-    /// The disk failed; either the earlier state or the whole snapshot is in force at restart.
+    /// Fails if the disk failed; a restart then recovers either the earlier state or the complete
+    /// snapshot.
     fn install_snapshot(&mut self, snapshot: &StoreSnapshot) -> Result<SyncMark, StoreError>;
 
-    /// Index at which the log goes on.
+    /// Index of the next entry to append.
     fn next_index(&self) -> LogIndex;
 
-    /// What the store takes up now.
+    /// Current disk usage and number of syncs.
     fn usage(&self) -> StoreUsage;
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,4 +1,5 @@
-//! What frames contain: `ciborium` of the agreement's types, with commands as byte strings.
+//! Records in frames: the types of the agreement state machine in CBOR, with commands as byte
+//! strings.
 
 use std::sync::Arc;
 
@@ -10,51 +11,51 @@
 
 use crate::error::StoreError;
 
-/// One synced change of the log, applied in the order of the fields.
+/// One synced change of the log; a reader applies the fields in their order.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct LogRecord {
-    /// Number of the frame, without gaps through all segments.
+    /// Sequence number of the frame, without gaps across all segments.
     #[serde(rename = "n")]
     pub(crate) number: u64,
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub(crate) hard: Option<HardState>,
-    /// Drops the whole log; it goes on at this index, behind an installed snapshot.
+    /// Removes all entries and continues the log at this index, after an installed snapshot.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub(crate) restart_at: Option<LogIndex>,
     #[serde(rename = "t", default, skip_serializing_if = "Option::is_none")]
     pub(crate) truncate_from: Option<LogIndex>,
     #[serde(rename = "e", default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) entries: Vec<StoredEntry>,
-    /// The segment ends here and another follows.
+    /// Whether this is the last frame of a segment that another segment follows.
     #[serde(rename = "s", default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) sealed: bool,
 }
 
-/// First frame of a segment: all that is needed when the segments before it are gone.
+/// First frame of a segment: the state that a reader needs if the earlier segments are removed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct SegmentHead {
     /// Number of the segment.
     pub(crate) number: u64,
-    /// Number of the first frame after the head.
+    /// Sequence number of the first frame after this record.
     pub(crate) frame: u64,
-    /// Index at which the log goes on.
+    /// Index of the next entry to append.
     pub(crate) next: LogIndex,
-    /// Hard state in force.
+    /// Hard state at the start of the segment.
     pub(crate) hard: HardState,
 }
 
-/// First frame of a snapshot file; the state follows in the second.
+/// First frame of a snapshot file; the second frame contains the state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct SnapshotHead {
     pub(crate) mark: SnapshotMetadata,
-    /// Lowest segment that is still needed beside this snapshot.
+    /// Number of the earliest segment that is needed in addition to this snapshot.
     pub(crate) first_segment: u64,
-    /// For a leader's snapshot: number of the frame that restarts the log behind it. Where that
-    /// frame isn't there yet, all that the log holds is void.
+    /// For a snapshot from the leader: number of the frame that restarts the log after it. While
+    /// this frame is missing, all entries of the log are invalid.
     pub(crate) restart_frame: Option<u64>,
 }
 
-/// A log entry as it is written.
+/// A log entry in its stored encoding.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct StoredEntry {
     #[serde(rename = "i")]
@@ -75,7 +76,7 @@
     Membership(Membership),
 }
 
-/// Bytes as one CBOR byte string; the derived form would write a number for each byte.
+/// Bytes encoded as one CBOR byte string; the derived encoding would write an array of numbers.
 #[derive(Debug)]
 struct StoredBytes(Arc<[u8]>);
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// Encodes a record.
+/// Encodes `record` in CBOR.
 pub(crate) fn encode_record<T>(record: &T) -> Result<Vec<u8>, StoreError>
 where
     T: Serialize,
@@ -140,7 +141,7 @@
     Ok(bytes)
 }
 
-/// Decodes a record that fills `bytes`; `Err` is the decoder's words.
+/// Decodes a record from all of `bytes`; `Err` is the error text of the decoder.
 pub(crate) fn decode_record<T>(bytes: &[u8]) -> Result<T, String>
 where
     T: DeserializeOwned,
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads a data folder back after any end of the process.
+//! Recovers the state of a data folder after a stop or crash.
 
 use std::collections::VecDeque;
 
@@ -11,15 +11,15 @@
 use crate::log_store::StoreSnapshot;
 use crate::record::{LogRecord, SegmentHead, decode_record};
 use crate::segment::{
-    FileKind, FileStart, LOCK_NAME, TEMPORARY_ENDING, read_start, segment_name, segment_number,
+    FileKind, FileStart, LOCK_NAME, TEMPORARY_SUFFIX, read_start, segment_name, segment_number,
     snapshot_index, snapshot_name,
 };
-use crate::snapshot::{ReadSnapshot, read_snapshot};
+use crate::snapshot::{SnapshotFile, read_snapshot};
 
-/// What a keeper starts from.
+/// Recovered state with which a keeper starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveredLog {
-    /// Hard state in force.
+    /// Newest hard state.
     pub hard: HardState,
     /// Newest snapshot; `None` if none was taken.
     pub snapshot: Option<StoreSnapshot>,
@@ -27,46 +27,47 @@
     pub entries: Vec<LogEntry>,
 }
 
-/// A frame whose write a crash cut off; nothing that depended on it was ever answered.
+/// An incomplete last frame whose write a crash interrupted. The keeper never acknowledged its
+/// content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// File.
+    /// Path of the segment.
     pub path: String,
-    /// Where the file was cut, in bytes.
+    /// Offset at which recovery truncates the file, in bytes.
     pub offset: u64,
-    /// Bytes that were cut off.
+    /// Number of bytes that recovery removes.
     pub bytes: u64,
 }
 
-/// What recovery found, for the log and the dump.
+/// Findings of recovery, for the log and the diagnostic dump.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// The folder or its log was empty and has been formatted.
+    /// Whether the folder contained no log and has been formatted.
     pub fresh: bool,
-    /// Segments read.
+    /// Number of segments read.
     pub segments: u64,
-    /// Frames read.
+    /// Number of frames read.
     pub frames: u64,
-    /// Cut end of the last segment.
+    /// Incomplete end of the last segment that recovery removed.
     pub torn_tail: Option<TornTail>,
-    /// Left-over files of an interrupted snapshot or segment change, now removed.
+    /// Names of removed files that an interrupted snapshot or segment change left behind.
     pub removed: Vec<String>,
 }
 
-/// The log as the segments give it.
+/// Log state after applying the frames of the segments.
 #[derive(Default)]
 pub(crate) struct ReplayedLog {
-    /// Index of the first entry in `entries`, or the next one to come.
+    /// Index of the first entry in `entries`, or of the next entry if it is empty.
     base: LogIndex,
     entries: VecDeque<LogEntry>,
     pub(crate) hard: HardState,
-    /// Number of the next frame.
+    /// Sequence number of the next frame.
     pub(crate) frame: u64,
     sealed: bool,
 }
 
 impl ReplayedLog {
-    /// Index at which the log goes on.
+    /// Index of the next entry to append.
     pub(crate) fn next(&self) -> LogIndex {
         LogIndex(self.base.0.saturating_add(self.entries.len() as u64))
     }
@@ -74,7 +75,7 @@
     fn apply(&mut self, record: LogRecord) -> Result<(), String> {
         if record.number != self.frame {
             return Err(format!(
-                "frame {} stands where frame {} belongs",
+                "found frame {}, expected frame {}",
                 record.number, self.frame
             ));
         }
@@ -93,7 +94,11 @@
         for entry in record.entries {
             let entry = LogEntry::from(entry);
             if entry.index != self.next() {
-                return Err(format!("entry {} follows {}", entry.index, self.next()));
+                return Err(format!(
+                    "found entry {}, expected entry {}",
+                    entry.index,
+                    self.next()
+                ));
             }
             self.entries.push_back(entry);
         }
@@ -110,29 +115,32 @@
     }
 }
 
-/// One segment and what is known of it without its frames.
+/// Number, start index and size of one segment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SegmentSpan {
     pub(crate) number: u64,
-    /// Index at which the log went on when the segment was opened.
+    /// Index of the next entry when the segment was created.
     pub(crate) next: LogIndex,
     pub(crate) bytes: u64,
 }
 
-/// Everything that recovery read.
+/// Complete result of recovery.
 pub(crate) struct Replay {
     pub(crate) log: ReplayedLog,
     pub(crate) recovered: RecoveredLog,
     pub(crate) spans: Vec<SegmentSpan>,
-    /// The segment that is written to from now on.
+    /// Number of the segment that receives new frames.
     pub(crate) last_segment: u64,
     pub(crate) snapshot_bytes: u64,
-    /// The next append must restart the log here, behind the snapshot.
+    /// Index after the snapshot at which the next append must restart the log.
     pub(crate) restart_at: Option<LogIndex>,
     pub(crate) report: RecoveryReport,
 }
 
-/// Reads everything, cuts a torn tail and removes what an interrupted step left behind.
+/// Reads all files, removes a torn tail and the files that an interrupted step left behind.
+///
+/// # Errors
+/// Fails if a file is missing or damaged, or if the disk failed.
 pub(crate) fn replay_folder(files: &dyn FileSystem) -> Result<Replay, StoreError> {
     let mut report = RecoveryReport::default();
     let names = list_names(files)?;
@@ -140,7 +148,7 @@
     let snapshot = newest
         .map(|index| read_snapshot(files, &snapshot_name(index)))
         .transpose()?;
-    remove_leftovers(files, &names, newest, &mut report)?;
+    remove_obsolete(files, &names, newest, &mut report)?;
     let first = snapshot.as_ref().map_or(1, |read| read.first_segment);
     let numbers = check_segments(files, &names, first, &mut report)?;
     let mut log = ReplayedLog::default();
@@ -166,7 +174,7 @@
     let last_segment = last.number;
     rewrite_tail(files, &spans)?;
     let snapshot_bytes = snapshot.as_ref().map_or(0, |read| read.bytes);
-    let (recovered, restart_at) = join_snapshot(files, &log, snapshot)?;
+    let (recovered, restart_at) = combine_snapshot(files, &log, snapshot)?;
     report.segments = spans.len() as u64;
     Ok(Replay {
         log,
@@ -185,16 +193,16 @@
         .map_err(|error| StoreError::disk("listing the folder", &files.folder(), error))
 }
 
-fn remove_leftovers(
+fn remove_obsolete(
     files: &dyn FileSystem,
     names: &[String],
     newest: Option<u64>,
     report: &mut RecoveryReport,
 ) -> Result<(), StoreError> {
     for name in names {
-        let older = snapshot_index(name).is_some_and(|index| Some(index) != newest);
-        let partial = name.ends_with(TEMPORARY_ENDING) && name != LOCK_NAME;
-        if older || partial {
+        let is_older = snapshot_index(name).is_some_and(|index| Some(index) != newest);
+        let is_partial = name.ends_with(TEMPORARY_SUFFIX) && name != LOCK_NAME;
+        if is_older || is_partial {
             remove_file(files, name, report)?;
         }
     }
@@ -207,13 +215,14 @@
     report: &mut RecoveryReport,
 ) -> Result<(), StoreError> {
     files.remove(name).map_err(|error| {
-        StoreError::disk("removing a left-over file", &path_of(files, name), error)
+        StoreError::disk("removing an obsolete file", &path_of(files, name), error)
     })?;
     report.removed.push(name.to_owned());
     Ok(())
 }
 
-/// Numbers of the segments to read, in order; those before `first` lie behind the snapshot.
+/// Returns the numbers of the segments to read, in order, and removes the segments before `first`,
+/// which the snapshot covers. Fails if a segment is missing.
 fn check_segments(
     files: &dyn FileSystem,
     names: &[String],
@@ -242,7 +251,7 @@
     Ok(numbers)
 }
 
-/// Applies one segment; `None` if a crash came before the segment ahead of it was sealed.
+/// Applies one segment; returns `None` if a crash came before the previous segment was sealed.
 fn replay_segment(
     files: &dyn FileSystem,
     number: u64,
@@ -257,7 +266,13 @@
         .map_err(|error| StoreError::disk("reading the log", &path, error))?;
     let (head, start): (SegmentHead, usize) = match read_start(FileKind::Segment, &path, &bytes)? {
         FileStart::Complete(head, start) => (head, start),
-        FileStart::Torn => return Err(StoreError::damaged(&path, 0, "segment head is cut off")),
+        FileStart::Torn => {
+            return Err(StoreError::damaged(
+                &path,
+                0,
+                "segment header is incomplete",
+            ));
+        }
     };
     let first = log.frame == 0;
     let empty = start == bytes.len();
@@ -266,7 +281,11 @@
     }
     if !first && !log.sealed {
         let before = path_of(files, &segment_name(number - 1));
-        return Err(StoreError::damaged(&before, 0, "segment has lost its end"));
+        return Err(StoreError::damaged(
+            &before,
+            0,
+            "segment has no final frame, but another segment follows",
+        ));
     }
     check_head(&path, number, &head, log, first)?;
     if first {
@@ -275,25 +294,25 @@
         log.hard = head.hard;
     }
     log.sealed = false;
-    let whole = replay_frames(&path, &bytes, start, log, report)?;
-    if whole < bytes.len() && log.sealed {
+    let end = replay_frames(&path, &bytes, start, log, report)?;
+    if end < bytes.len() && log.sealed {
         return Err(StoreError::damaged(
             &path,
-            whole as u64,
-            "bytes behind the segment's end",
+            end as u64,
+            "bytes after the final frame of the segment",
         ));
     }
-    if whole < bytes.len() {
+    if end < bytes.len() {
         report.torn_tail = Some(TornTail {
             path: path.clone(),
-            offset: whole as u64,
-            bytes: (bytes.len() - whole) as u64,
+            offset: end as u64,
+            bytes: (bytes.len() - end) as u64,
         });
     }
     Ok(Some(SegmentSpan {
         number,
         next: head.next,
-        bytes: whole as u64,
+        bytes: end as u64,
     }))
 }
 
@@ -305,17 +324,17 @@
     first: bool,
 ) -> Result<(), StoreError> {
     if head.number != number {
-        let reason = format!("holds segment {}", head.number);
+        let reason = format!("file contains segment {}", head.number);
         return Err(StoreError::damaged(path, 0, reason));
     }
     if !first && (head.frame != log.frame || head.next != log.next() || head.hard != log.hard) {
-        let reason = "doesn't go on where the segment before it ends";
+        let reason = "segment header does not match the end of the previous segment";
         return Err(StoreError::damaged(path, 0, reason));
     }
     Ok(())
 }
 
-/// Applies frames from `start`; returns the offset behind the last whole one.
+/// Applies the frames from offset `start`; returns the offset after the last complete frame.
 fn replay_frames(
     path: &str,
     bytes: &[u8],
@@ -341,24 +360,24 @@
     }
 }
 
-/// Segments at the end that are written anew: a failed sync is in the last one or, if it was that
-/// of a seal, in the one before.
+/// Number of segments at the end of the log that recovery rewrites. A failed sync affects the last
+/// segment or, if it was the sync of a sealing frame, the segment before it.
 const REWRITTEN_SEGMENTS: usize = 2;
 
-/// Writes the end of the log anew, without a torn tail, and syncs it before anything is answered.
+/// Rewrites the end of the log without a torn tail, and syncs it before the keeper sends any reply.
 ///
-/// What was read may be in the page cache only: a killed process leaves frames that were never
-/// synced, and a failed sync leaves frames whose pages count as clean, so that no later sync writes
-/// them. A keeper that answered from either would forget it in a power cut.
+/// The frames that were read may exist only in the page cache: a killed process leaves frames that
+/// were never synced, and a failed sync leaves frames whose pages count as clean, so that no later
+/// sync writes them. A keeper that replied from such frames would lose them in a power failure.
 fn rewrite_tail(files: &dyn FileSystem, spans: &[SegmentSpan]) -> Result<(), StoreError> {
     let first = spans.len().saturating_sub(REWRITTEN_SEGMENTS);
     for span in spans.iter().skip(first) {
         let name = segment_name(span.number);
         let path = path_of(files, &name);
-        let failed = |error| StoreError::disk("writing the end of the log anew", &path, error);
+        let failed = |error| StoreError::disk("rewriting the end of the log", &path, error);
         let mut bytes = files.read(&name).map_err(failed)?;
         bytes.truncate(usize::try_from(span.bytes).unwrap_or(usize::MAX));
-        let temporary = format!("{name}{TEMPORARY_ENDING}");
+        let temporary = format!("{name}{TEMPORARY_SUFFIX}");
         let mut file = files.create(&temporary).map_err(failed)?;
         file.append(&bytes).map_err(failed)?;
         file.sync().map_err(failed)?;
@@ -369,16 +388,17 @@
         .map_err(|error| StoreError::disk("syncing the folder", &files.folder(), error))
 }
 
-/// Puts the snapshot before the log's entries.
+/// Combines the snapshot with the entries after it.
 ///
-/// A leader's snapshot is written before the frame that restarts the log behind it. A crash between
-/// the two leaves a log that ends before the snapshot or contradicts it, at times only in entries
-/// whose segments are gone: so the snapshot itself names the frame, and while that is missing the
-/// log's entries are void. Any other log has to hold what its snapshot was taken of.
-fn join_snapshot(
+/// A snapshot from the leader is written before the frame that restarts the log after it. A crash
+/// between the two leaves a log that ends before the snapshot or contradicts it, sometimes only in
+/// entries whose segments are removed. Therefore the snapshot stores the number of this frame, and
+/// while the frame is missing all entries of the log are invalid. In any other case the log must
+/// contain the last entry of its snapshot.
+fn combine_snapshot(
     files: &dyn FileSystem,
     log: &ReplayedLog,
-    snapshot: Option<ReadSnapshot>,
+    snapshot: Option<SnapshotFile>,
 ) -> Result<(RecoveredLog, Option<LogIndex>), StoreError> {
     let hard = log.hard.clone();
     let Some(read) = snapshot else {
@@ -400,20 +420,20 @@
     }
     let restarts = read.restart_frame == Some(log.frame);
     let same_term = |entry: &LogEntry| entry.index != mark.index || entry.term == mark.term;
-    let holds_end = log.next() >= after && log.entries.iter().all(same_term);
-    if !restarts && !holds_end {
+    let contains_end = log.next() >= after && log.entries.iter().all(same_term);
+    if !restarts && !contains_end {
         let path = path_of(files, &snapshot_name(mark.index.0));
         return Err(StoreError::damaged(
             &path,
             0,
-            "log lacks the entry that the snapshot ends with",
+            "log does not contain the last entry of the snapshot",
         ));
     }
     let entries = if restarts {
         Vec::new()
     } else {
-        let joined = log.entries.iter().filter(|entry| entry.index > mark.index);
-        joined.cloned().collect()
+        let later = log.entries.iter().filter(|entry| entry.index > mark.index);
+        later.cloned().collect()
     };
     let recovered = RecoveredLog {
         hard,
--- a/crates/store/src/segment.rs
+++ b/crates/store/src/segment.rs
@@ -1,4 +1,4 @@
-//! Names, prefixes and heads of the store's files.
+//! Names, prefixes and header records of the store's files.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -7,18 +7,18 @@
 use crate::frame::{FrameScan, encode_frame, scan_frame};
 use crate::record::{decode_record, encode_record};
 
-/// Format of all files of this version.
+/// Format number of all files that this version writes and reads.
 pub(crate) const STORE_FORMAT: u32 = 1;
 /// Name of the lock file.
 pub(crate) const LOCK_NAME: &str = "lock";
-/// Ending of files that aren't whole yet.
-pub(crate) const TEMPORARY_ENDING: &str = ".tmp";
+/// File name suffix of files that are still being written.
+pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
 
 const PREFIX_MAGIC: &[u8; 7] = b"PDRIFT\n";
-/// Bytes of magic, kind and format before the first frame.
+/// Size of magic, kind and format before the first frame, in bytes.
 pub(crate) const PREFIX_BYTES: usize = 12;
 
-/// What a file holds.
+/// Content type of a file, encoded as one letter in the prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Identity,
@@ -36,31 +36,34 @@
     }
 }
 
-/// Name of log segment `number`.
+/// File name of log segment `number`.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("log-{number:020}.seg")
 }
 
-/// Number of the segment that `name` stands for.
+/// Segment number in the file name `name`; `None` if it names no segment.
 pub(crate) fn segment_number(name: &str) -> Option<u64> {
-    numbered(name, "log-", ".seg")
+    parse_number(name, "log-", ".seg")
 }
 
-/// Name of the snapshot that ends at log index `index`.
+/// File name of the snapshot whose last entry is `index`.
 pub(crate) fn snapshot_name(index: u64) -> String {
     format!("snapshot-{index:020}.snap")
 }
 
-/// Log index at which the snapshot `name` ends.
+/// Index of the last entry in the snapshot `name`; `None` if it names no snapshot.
 pub(crate) fn snapshot_index(name: &str) -> Option<u64> {
-    numbered(name, "snapshot-", ".snap")
+    parse_number(name, "snapshot-", ".snap")
 }
 
-fn numbered(name: &str, start: &str, end: &str) -> Option<u64> {
-    name.strip_prefix(start)?.strip_suffix(end)?.parse().ok()
+fn parse_number(name: &str, prefix: &str, suffix: &str) -> Option<u64> {
+    name.strip_prefix(prefix)?
+        .strip_suffix(suffix)?
+        .parse()
+        .ok()
 }
 
-/// Start of a file: the prefix and its head as the first frame.
+/// Encodes the start of a file: the prefix, then `head` as the first frame.
 pub(crate) fn encode_start<T>(kind: FileKind, head: &T) -> Result<Vec<u8>, StoreError>
 where
     T: Serialize,
@@ -72,15 +75,18 @@
     Ok(bytes)
 }
 
-/// How the start of a file reads.
+/// Result of reading the start of a file.
 pub(crate) enum FileStart<T> {
-    /// Its head, and the offset after it.
+    /// The header record, and the offset after its frame.
     Complete(T, usize),
-    /// A crash cut the start off.
+    /// A crash interrupted the write of the start.
     Torn,
 }
 
-/// Reads prefix and head.
+/// Reads the prefix and the header record of a file.
+///
+/// # Errors
+/// Fails if the file has another type or format, or if the header record is damaged.
 pub(crate) fn read_start<T>(
     kind: FileKind,
     path: &str,
@@ -97,7 +103,11 @@
     }
     let (magic, format) = prefix.split_at(PREFIX_MAGIC.len() + 1);
     if !magic.starts_with(PREFIX_MAGIC) || magic.last() != Some(&kind.letter()) {
-        return Err(StoreError::damaged(path, 0, "file type differs"));
+        return Err(StoreError::damaged(
+            path,
+            0,
+            "file prefix has another magic or file type",
+        ));
     }
     let found = format.try_into().map(u32::from_le_bytes).unwrap_or(0);
     if found != STORE_FORMAT {
--- a/crates/store/src/settings.rs
+++ b/crates/store/src/settings.rs
@@ -1,12 +1,12 @@
-//! Settings of the store.
+//! Settings for the file sizes of the store.
 
 use serde::{Deserialize, Serialize};
 
-/// Sizes of the store's files.
+/// Limits for the sizes of the store's files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreSettings {
-    /// Bytes after which a segment is closed and the next one opened.
+    /// Size in bytes at which a segment is closed and the next one is opened.
     pub segment_bytes: u64,
 }
 
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshot files: written aside, synced, then renamed into place.
+//! Snapshot files: written under a temporary name, synced, then renamed.
 
 use crate::error::StoreError;
 use crate::files::FileSystem;
@@ -7,21 +7,21 @@
 use crate::log_store::StoreSnapshot;
 use crate::record::SnapshotHead;
 use crate::segment::{
-    FileKind, FileStart, TEMPORARY_ENDING, encode_start, read_start, snapshot_name,
+    FileKind, FileStart, TEMPORARY_SUFFIX, encode_start, read_start, snapshot_name,
 };
 
-/// A snapshot that was read back.
-pub(crate) struct ReadSnapshot {
+/// Content of a snapshot file.
+pub(crate) struct SnapshotFile {
     pub(crate) snapshot: StoreSnapshot,
     pub(crate) first_segment: u64,
     pub(crate) restart_frame: Option<u64>,
     pub(crate) bytes: u64,
 }
 
-/// Writes a snapshot and returns its size in bytes; the earlier one is still there.
+/// Writes a snapshot and returns its size in bytes; the earlier snapshot remains.
 ///
-/// The name appears only over a whole, synced file: after a crash either the earlier snapshot is
-/// the newest one or this one is, and a partial file never carries a snapshot's name.
+/// Only a complete and synced file gets the name of a snapshot. After a crash the newest snapshot is
+/// therefore either the earlier one or this one, and always complete.
 pub(crate) fn write_snapshot(
     files: &dyn FileSystem,
     snapshot: &StoreSnapshot,
@@ -29,7 +29,7 @@
     restart_frame: Option<u64>,
 ) -> Result<u64, StoreError> {
     let name = snapshot_name(snapshot.mark.index.0);
-    let temporary = format!("{name}{TEMPORARY_ENDING}");
+    let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     let path = path_of(files, &temporary);
     let failed = |error| StoreError::disk("writing a snapshot", &path, error);
     let head = SnapshotHead {
@@ -48,11 +48,11 @@
     Ok((start.len() + state.len()) as u64)
 }
 
-/// Reads a snapshot back. Its name was given after a sync, so any fault in it is damage.
+/// Reads a snapshot file. It was synced before it got its name, so any error in it is damage.
 pub(crate) fn read_snapshot(
     files: &dyn FileSystem,
     name: &str,
-) -> Result<ReadSnapshot, StoreError> {
+) -> Result<SnapshotFile, StoreError> {
     let path = path_of(files, name);
     let bytes = files
         .read(name)
@@ -60,7 +60,9 @@
     let (head, offset): (SnapshotHead, usize) = match read_start(FileKind::Snapshot, &path, &bytes)?
     {
         FileStart::Complete(head, offset) => (head, offset),
-        FileStart::Torn => return Err(StoreError::damaged(&path, 0, "snapshot is cut off")),
+        FileStart::Torn => {
+            return Err(StoreError::damaged(&path, 0, "snapshot file is incomplete"));
+        }
     };
     let state = match scan_frame(&bytes, offset) {
         FrameScan::Complete { payload, next } if next == bytes.len() => payload.to_vec(),
@@ -71,18 +73,18 @@
             return Err(StoreError::damaged(
                 &path,
                 offset as u64,
-                "snapshot is too long",
+                "snapshot file has bytes after its state",
             ));
         }
         FrameScan::End | FrameScan::Torn => {
             return Err(StoreError::damaged(
                 &path,
                 offset as u64,
-                "snapshot is cut off",
+                "snapshot file is incomplete",
             ));
         }
     };
-    Ok(ReadSnapshot {
+    Ok(SnapshotFile {
         snapshot: StoreSnapshot {
             mark: head.mark,
             state,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The log store over one data folder.
+//! Log store that uses log segments in one data folder.
 
 use std::sync::Arc;
 
@@ -13,49 +13,49 @@
 use crate::record::{LogRecord, SegmentHead, StoredEntry, encode_record};
 use crate::recovery::{RecoveredLog, RecoveryReport, Replay, SegmentSpan, replay_folder};
 use crate::segment::{
-    FileKind, LOCK_NAME, TEMPORARY_ENDING, encode_start, segment_name, segment_number,
+    FileKind, LOCK_NAME, TEMPORARY_SUFFIX, encode_start, segment_name, segment_number,
     snapshot_index, snapshot_name,
 };
 use crate::settings::StoreSettings;
 use crate::snapshot::write_snapshot;
 
-/// What is needed to open a folder.
+/// Parameters for opening a data folder.
 #[derive(Clone, Debug)]
 pub struct OpenRequest {
-    /// Host that opens it.
+    /// Host that opens the folder.
     pub host: HostName,
-    /// Present time; gives a fresh folder its incarnation.
+    /// Current wall-clock time, from which an empty folder gets its incarnation.
     pub wall: WallTime,
-    /// Sizes of files.
+    /// Limits for file sizes.
     pub settings: StoreSettings,
 }
 
-/// An opened folder.
+/// An opened store and its recovered state.
 pub struct OpenedStore {
-    /// The store, ready to write.
+    /// Store that accepts writes.
     pub store: SegmentStore,
-    /// What the keeper starts from.
+    /// Recovered state with which the keeper starts.
     pub recovered: RecoveredLog,
-    /// What recovery found.
+    /// Findings of recovery.
     pub report: RecoveryReport,
 }
 
 /// Log segments, snapshots and identity in one data folder.
 ///
-/// Invariant: `next`, `hard` and `mark.frame` describe what is synced; a call that fails sets
-/// `stopped`, after which they no longer matter.
+/// Invariant: `next`, `hard` and `mark.frame` describe the synced state until `stopped` is set. A
+/// failed call sets `stopped`; after that the store does not use them.
 pub struct SegmentStore {
     files: Box<dyn FileSystem>,
     settings: StoreSettings,
     identity: StoreIdentity,
-    /// Closed and current segments in order; never empty.
+    /// Closed segments and the current one, in order; never empty.
     spans: Vec<SegmentSpan>,
     current: Box<dyn StoreFile>,
     next: LogIndex,
     hard: HardState,
     mark: SyncMark,
     restart_at: Option<LogIndex>,
-    /// Index of the newest snapshot; 0 where none was taken.
+    /// Index of the last entry in the newest snapshot; 0 without a snapshot.
     snapshot_index: LogIndex,
     snapshot_bytes: u64,
     syncs: u64,
@@ -64,11 +64,11 @@
 }
 
 impl SegmentStore {
-    /// Locks the folder, checks whose it is, recovers the log and counts the opening.
+    /// Locks the folder, checks its identity, recovers the log and increments the number of opens.
     ///
     /// # Errors
-    /// The folder is in use, is another host's or a copy, is damaged, or the disk failed; the
-    /// error names the file and what the operator does.
+    /// Fails if the folder is in use, belongs to another host, is a copy or is damaged, or if the
+    /// disk failed. The error names the file and the recovery steps for the operator.
     pub fn open(
         files: Box<dyn FileSystem>,
         request: &OpenRequest,
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Identity of the folder.
+    /// Identity of the data folder.
     #[must_use]
     pub fn identity(&self) -> &StoreIdentity {
         &self.identity
@@ -142,12 +142,12 @@
         self.mark
     }
 
-    /// Records the group that the keeper has joined.
+    /// Stores the group that the keeper has joined.
     ///
     /// # Errors
-    /// The disk failed.
+    /// Fails if the disk failed.
     pub fn join_group(&mut self, group: JoinedGroup) -> Result<(), StoreError> {
-        self.guarded(|store| {
+        self.run_unless_stopped(|store| {
             let mut identity = store.identity.clone();
             identity.group = Some(group);
             store.identity = write_identity(store.files.as_ref(), identity)?;
@@ -156,14 +156,16 @@
         })
     }
 
-    /// Takes a higher incarnation, where the group knows one of this host that stands against it.
+    /// Raises the incarnation above `above`, an incarnation of this host that the group knows and
+    /// that conflicts with the current one.
     ///
-    /// Only a keeper that has joined no group may: it has never voted.
+    /// Has no effect if the keeper has joined a group, because it may have voted under its
+    /// incarnation, or if the incarnation is already higher.
     ///
     /// # Errors
-    /// The disk failed.
+    /// Fails if the disk failed.
     pub fn raise_incarnation(&mut self, above: Incarnation) -> Result<(), StoreError> {
-        self.guarded(|store| {
+        self.run_unless_stopped(|store| {
             let mut identity = store.identity.clone();
             if identity.group.is_some() || identity.incarnation > above {
                 return Ok(());
@@ -175,8 +177,8 @@
         })
     }
 
-    /// Runs `step` unless an earlier one failed; a failure stops the store for good.
-    fn guarded<T, F>(&mut self, step: F) -> Result<T, StoreError>
+    /// Runs `step` unless an earlier step failed; a failure stops the store permanently.
+    fn run_unless_stopped<T, F>(&mut self, step: F) -> Result<T, StoreError>
     where
         F: FnOnce(&mut Self) -> Result<T, StoreError>,
     {
@@ -223,7 +225,7 @@
         if batch.is_empty() {
             return Ok(self.mark);
         }
-        let next = self.check_joins(batch)?;
+        let next = self.check_continuity(batch)?;
         if self.current_span().bytes >= self.settings.segment_bytes {
             self.roll_segment()?;
         }
@@ -242,8 +244,8 @@
         Ok(self.mark)
     }
 
-    /// Index behind the batch.
-    fn check_joins(&self, batch: &PersistBatch) -> Result<LogIndex, StoreError> {
+    /// Checks that `batch` continues the log; returns the next index after it.
+    fn check_continuity(&self, batch: &PersistBatch) -> Result<LogIndex, StoreError> {
         let mut expected = batch
             .truncate_from
             .map_or(self.next, |from| from.min(self.next));
@@ -259,10 +261,11 @@
         Ok(expected)
     }
 
-    /// Opens the next segment, then seals the current one.
+    /// Creates the next segment, then seals the current one with a final frame.
     ///
-    /// The seal tells a log whose last segment has vanished from one that ends here. It comes
-    /// second: a crash between the two leaves an empty segment, which recovery removes.
+    /// The sealing frame distinguishes a log whose last segment is missing from one that ends here.
+    /// The new segment is created first: a crash before the sealing frame is written leaves an
+    /// empty segment, which recovery removes.
     fn roll_segment(&mut self) -> Result<(), StoreError> {
         let head = SegmentHead {
             number: self.current_span().number + 1,
@@ -287,7 +290,7 @@
         Ok(())
     }
 
-    fn write_and_clean(
+    fn write_and_remove_covered(
         &mut self,
         snapshot: &StoreSnapshot,
         restart_frame: Option<u64>,
@@ -303,18 +306,19 @@
         self.snapshot_bytes = write_snapshot(self.files.as_ref(), snapshot, needed, restart_frame)?;
         self.syncs += 2;
         self.spans.retain(|span| span.number >= needed);
-        self.remove_behind(snapshot.mark.index, needed)
+        self.remove_covered(snapshot.mark.index, needed)
     }
 
-    /// Removes what the snapshot stands for; it is already durable.
-    fn remove_behind(&mut self, index: LogIndex, needed: u64) -> Result<(), StoreError> {
+    /// Removes the segments and snapshots that the durable snapshot at `index` replaces.
+    fn remove_covered(&mut self, index: LogIndex, needed: u64) -> Result<(), StoreError> {
         let folder = self.files.folder();
-        let failed = |error| StoreError::disk("removing files behind a snapshot", &folder, error);
+        let failed =
+            |error| StoreError::disk("removing files that a snapshot replaces", &folder, error);
         let newest = snapshot_name(index.0);
         for name in self.files.list().map_err(failed)? {
-            let old_segment = segment_number(&name).is_some_and(|number| number < needed);
-            let old_snapshot = snapshot_index(&name).is_some() && name != newest;
-            if old_segment || old_snapshot {
+            let is_old_segment = segment_number(&name).is_some_and(|number| number < needed);
+            let is_old_snapshot = snapshot_index(&name).is_some() && name != newest;
+            if is_old_segment || is_old_snapshot {
                 self.files.remove(&name).map_err(failed)?;
             }
         }
@@ -326,11 +330,11 @@
 
 impl LogStore for SegmentStore {
     fn persist(&mut self, batch: &PersistBatch) -> Result<SyncMark, StoreError> {
-        self.guarded(|store| store.persist_batch(batch))
+        self.run_unless_stopped(|store| store.persist_batch(batch))
     }
 
     fn save_snapshot(&mut self, snapshot: &StoreSnapshot) -> Result<SyncMark, StoreError> {
-        self.guarded(|store| {
+        self.run_unless_stopped(|store| {
             if snapshot.mark.index <= store.snapshot_index {
                 return Ok(store.mark);
             }
@@ -340,13 +344,13 @@
                     found: snapshot.mark.index.next(),
                 });
             }
-            store.write_and_clean(snapshot, None)?;
+            store.write_and_remove_covered(snapshot, None)?;
             Ok(store.mark)
         })
     }
 
     fn install_snapshot(&mut self, snapshot: &StoreSnapshot) -> Result<SyncMark, StoreError> {
-        self.guarded(|store| {
+        self.run_unless_stopped(|store| {
             let after = snapshot.mark.index.next();
             if snapshot.mark.index < store.snapshot_index {
                 return Err(StoreError::Gap {
@@ -354,7 +358,7 @@
                     found: snapshot.mark.index,
                 });
             }
-            store.write_and_clean(snapshot, Some(store.mark.frame))?;
+            store.write_and_remove_covered(snapshot, Some(store.mark.frame))?;
             store.write_record(LogRecord {
                 restart_at: Some(after),
                 ..LogRecord::default()
@@ -397,8 +401,8 @@
     }
 }
 
-/// Creates a segment whose head and name are on disk before anything is written behind them; the
-/// name is given last, so a segment never lacks its head.
+/// Creates a segment and syncs its header and name before any later write. The file gets its name
+/// last, so a segment always has a header.
 fn create_segment(
     files: &dyn FileSystem,
     head: &SegmentHead,
@@ -407,7 +411,7 @@
     let path = path_of(files, &name);
     let failed = |error| StoreError::disk("opening a log segment", &path, error);
     let bytes = encode_start(FileKind::Segment, head)?;
-    let temporary = format!("{name}{TEMPORARY_ENDING}");
+    let temporary = format!("{name}{TEMPORARY_SUFFIX}");
     let mut file = files.create(&temporary).map_err(failed)?;
     file.append(&bytes).map_err(failed)?;
     file.sync().map_err(failed)?;
