--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: bounded reading and streamed writing.
+//! Reading of request bodies with limits, and complete or streamed response bodies.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,42 +15,42 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-/// Error of a response body: the sender gave up before the end.
+/// Error of a response body whose sender was dropped before the end.
 ///
-/// hyper then cuts the connection, so a caller never takes a shortened body for a whole one.
+/// hyper then closes the connection, so a client never treats a truncated body as complete.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("body was abandoned before its end")]
 pub struct BodyError;
 
-/// Body of every response of this workspace.
+/// Body type of all responses in this workspace.
 pub type ResponseBody = BoxBody<Bytes, BodyError>;
 
-/// Writing end of a streamed body; dropping it without [`BodySender::finish`] cuts the stream.
+/// Sending half of a streamed body; dropping it without [`BodySender::finish`] aborts the stream.
 #[derive(Debug)]
 pub struct BodySender {
     chunks: mpsc::Sender<Option<Bytes>>,
 }
 
 impl BodySender {
-    /// Sends one chunk; false once the reader has gone away.
+    /// Sends one chunk; returns false if the reader has disconnected.
     pub async fn send(&self, chunk: Bytes) -> bool {
         self.chunks.send(Some(chunk)).await.is_ok()
     }
 
-    /// Ends the body in order.
+    /// Ends the body as complete.
     pub async fn finish(self) {
-        // A reader that has gone away needs no end mark.
+        // A reader that has disconnected needs no end marker.
         let _ = self.chunks.send(None).await;
     }
 
-    /// Resolves when the reader has gone away.
+    /// Resolves when the reader has disconnected.
     pub async fn closed(&self) {
         self.chunks.closed().await;
     }
 
-    /// A watch on the reader that can be held beside the sender.
+    /// Returns a watch on the reader that is independent of the sender.
     ///
-    /// An abandoned stream is cut only once its watches are dropped as well.
+    /// A stream without its sender is aborted only after all its watches are dropped.
     pub fn watch(&self) -> ReaderWatch {
         ReaderWatch {
             chunks: self.chunks.clone(),
@@ -58,20 +58,20 @@
     }
 }
 
-/// Tells when the reader of a streamed body has gone away.
+/// Detects that the reader of a streamed body has disconnected.
 #[derive(Debug)]
 pub struct ReaderWatch {
     chunks: mpsc::Sender<Option<Bytes>>,
 }
 
 impl ReaderWatch {
-    /// Resolves when the reader has gone away.
+    /// Resolves when the reader has disconnected.
     pub async fn closed(&self) {
         self.chunks.closed().await;
     }
 }
 
-/// A streamed body with its writing end; at most `capacity` chunks wait in between.
+/// Creates a streamed body and its sender, with a buffer of at most `capacity` chunks.
 pub fn channel_body(capacity: usize) -> (BodySender, ResponseBody) {
     let (chunks, receiver) = mpsc::channel(capacity);
     let frames = stream::unfold(Some(receiver), next_frame);
@@ -94,24 +94,24 @@
     }
 }
 
-/// A body held in memory.
+/// Creates a body from `bytes` in memory.
 pub fn full_body<B>(bytes: B) -> ResponseBody
 where
     B: Into<Bytes>,
 {
-    Full::new(bytes.into()).map_err(never).boxed()
+    Full::new(bytes.into()).map_err(from_infallible).boxed()
 }
 
-/// A body without content.
+/// Creates a body of length zero.
 pub fn empty_body() -> ResponseBody {
-    Empty::new().map_err(never).boxed()
+    Empty::new().map_err(from_infallible).boxed()
 }
 
-fn never(error: Infallible) -> BodyError {
+fn from_infallible(error: Infallible) -> BodyError {
     match error {}
 }
 
-/// A JSON response; 500 without a body if `value` can't be encoded.
+/// Creates a JSON response; returns status 500 without a body if `value` can't be encoded.
 pub fn json_response<T>(status: StatusCode, value: &T) -> Response<ResponseBody>
 where
     T: Serialize,
@@ -130,7 +130,7 @@
     }
 }
 
-/// A plain text response.
+/// Creates a plain text response.
 pub fn text_response<B>(status: StatusCode, text: B) -> Response<ResponseBody>
 where
     B: Into<Bytes>,
@@ -155,39 +155,40 @@
     response
 }
 
-/// Why a body could not be taken.
+/// Reason why reading a body failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ReadFailure {
-    /// More bytes came than are allowed.
+    /// The body is larger than the limit.
     #[display("body is larger than {limit} bytes")]
     TooLarge {
-        /// Bytes that are allowed.
+        /// Limit in bytes.
         limit: usize,
     },
-    /// The peer stopped before the declared end.
+    /// The body ended before its declared length.
     #[display("body ended early: {reason}")]
     EndedEarly {
-        /// The transport's words.
+        /// Error text of the transport.
         reason: String,
     },
-    /// The peer sent too slowly.
+    /// The body did not arrive within the time limit.
     #[display("body did not come within {} ms", limit.as_millis())]
     TooSlow {
-        /// Time that it had.
+        /// Time limit.
         limit: Duration,
     },
     /// The bytes are not the expected JSON.
     #[display("body is not valid JSON for this request: {reason}")]
     Malformed {
-        /// The decoder's words, with line and column.
+        /// Error text of the decoder, with line and column.
         reason: String,
     },
 }
 
-/// Gives up `read` after `limit`: a stranger who sends a byte now and then holds no memory for long.
+/// Aborts `read` after `limit`. Without this, an untrusted client that sends single bytes at long
+/// intervals would occupy memory without limit.
 ///
 /// # Errors
-/// [`ReadFailure::TooSlow`], and those of `read`.
+/// Returns [`ReadFailure::TooSlow`] after `limit`, and the errors of `read`.
 pub async fn read_within<F, T>(limit: Duration, read: F) -> Result<T, ReadFailure>
 where
     F: Future<Output = Result<T, ReadFailure>>,
@@ -197,18 +198,18 @@
         .unwrap_or(Err(ReadFailure::TooSlow { limit }))
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// [`ReadFailure::TooLarge`] as soon as the limit is passed, without reading the rest;
-/// [`ReadFailure::EndedEarly`] if the peer stopped before the end.
+/// Returns [`ReadFailure::TooLarge`] as soon as the limit is exceeded, without reading the rest, and
+/// [`ReadFailure::EndedEarly`] if the body ends before its declared length.
 pub async fn read_bounded<B>(body: B, limit: usize) -> Result<Bytes, ReadFailure>
 where
     B: Body<Data = Bytes>,
     B::Error: std::fmt::Display,
 {
-    // A length that is declared too large is refused before a byte is kept: read up to the limit
-    // first, many such bodies at once would fill the memory.
+    // Refuses a body whose declared length exceeds the limit before storing any byte. If such bodies
+    // were read up to the limit first, many of them at once would fill the memory.
     let declared = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if declared > limit {
         return Err(ReadFailure::TooLarge { limit });
@@ -233,7 +234,8 @@
 /// Reads a JSON body of at most `limit` bytes.
 ///
 /// # Errors
-/// Those of [`read_bounded`], and [`ReadFailure::Malformed`].
+/// Returns the errors of [`read_bounded`], and [`ReadFailure::Malformed`] if the bytes are not valid
+/// JSON for `T`.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, ReadFailure>
 where
     T: DeserializeOwned,
@@ -254,7 +256,7 @@
 
     use super::{BodyError, ReadFailure, read_bounded};
 
-    /// A body that declares a length and must never be read.
+    /// A body that declares a length and panics when it is read.
     struct DeclaredBody(u64);
 
     impl Body for DeclaredBody {
@@ -265,7 +267,7 @@
             self: std::pin::Pin<&mut Self>,
             _context: &mut std::task::Context<'_>,
         ) -> std::task::Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-            panic!("a body that is declared too large was read");
+            panic!("read a body whose declared length exceeds the limit");
         }
 
         fn size_hint(&self) -> SizeHint {
@@ -273,15 +275,15 @@
         }
     }
 
-    // A caller sends many bodies that are declared too large. Each is refused without keeping a
-    // byte, so memory does not grow with what strangers declare.
+    // Guards against memory growth by untrusted clients. A client sends many bodies whose declared
+    // length exceeds the limit; each is refused before any byte is stored.
     #[tokio::test]
-    async fn a_body_declared_too_large_is_not_read() {
-        let refused = read_bounded(DeclaredBody(101), 100).await;
-        assert_eq!(refused, Err(ReadFailure::TooLarge { limit: 100 }));
-        let whole = super::full_body(vec![0_u8; 100]).boxed();
+    async fn a_body_whose_declared_length_exceeds_the_limit_is_not_read() {
+        let result = read_bounded(DeclaredBody(101), 100).await;
+        assert_eq!(result, Err(ReadFailure::TooLarge { limit: 100 }));
+        let body = super::full_body(vec![0_u8; 100]).boxed();
         assert_eq!(
-            read_bounded(whole, 100).await.map(|body| body.len()),
+            read_bounded(body, 100).await.map(|body| body.len()),
             Ok(100)
         );
     }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Client: one pooled connector whose errors tell what is known about a sent request.
+//! HTTP client with pooled connections; its errors state whether a request may have been processed.
 
 use std::time::Duration;
 
@@ -15,32 +15,32 @@
 
 use crate::body::{ReadFailure, read_bounded};
 
-/// Longest time that a connection may take to open.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections that stay open to each address.
+/// Maximum number of idle connections to each address.
 const IDLE_CONNECTIONS: usize = 64;
-/// Longest line of an event stream, in bytes.
+/// Maximum length of a line in an event stream, in bytes.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Why a call failed, ordered by what is known of the far side.
+/// Reason why a call failed; each variant states whether the server may have received the request.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ClientError {
-    /// No byte of the request left this host: the far side can't have begun.
+    /// No byte of the request left this host, so the server can't have processed it.
     #[display("not sent: {reason}")]
     NotSent {
-        /// The connector's words.
+        /// Error text of the connector.
         reason: String,
     },
-    /// The request may have arrived; whether it ran is not known.
+    /// The request may have arrived; it is unknown whether it ran.
     #[display("sent, but no whole answer came: {reason}")]
     NoAnswer {
-        /// The transport's words.
+        /// Error text of the transport.
         reason: String,
     },
-    /// An answer came that can't be understood.
+    /// The response is invalid.
     #[display("answer not understood: {reason}")]
     BadAnswer {
-        /// The decoder's words.
+        /// Error text of the decoder.
         reason: String,
     },
 }
@@ -56,18 +56,18 @@
     }
 }
 
-/// A pooled HTTP client.
+/// HTTP client with a connection pool and a limit for response bodies.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
     max_body: usize,
 }
 
-/// An answer whose body has not been read.
+/// A response whose body has not been read.
 pub type UnreadResponse = Response<Incoming>;
 
 impl HttpClient {
-    /// A client that reads answers of at most `max_body` bytes.
+    /// Creates a client that reads response bodies of at most `max_body` bytes.
     pub fn new(max_body: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -75,16 +75,16 @@
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_max_idle_per_host(IDLE_CONNECTIONS)
-            // A silent resend on a dead pooled connection would break "at most once".
+            // An automatic resend after a closed pooled connection could run a request twice.
             .retry_canceled_requests(false)
             .build(connector);
         Self { client, max_body }
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// [`ClientError::NotSent`] only if no connection could be opened; else
+    /// Returns [`ClientError::NotSent`] only if no connection could be opened, otherwise
     /// [`ClientError::NoAnswer`].
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<UnreadResponse, ClientError> {
         self.client.request(request).await.map_err(|error| {
@@ -96,10 +96,11 @@
         })
     }
 
-    /// Posts JSON and waits for the head of the answer.
+    /// Posts JSON and waits for the head of the response.
     ///
     /// # Errors
-    /// Those of [`HttpClient::send`]; [`ClientError::NotSent`] if `body` can't be encoded.
+    /// Returns the errors of [`HttpClient::send`], and [`ClientError::NotSent`] if `body` can't be
+    /// encoded.
     pub async fn post<T>(
         &self,
         address: &str,
@@ -117,10 +118,11 @@
         self.send(request).await
     }
 
-    /// Posts JSON and reads a JSON answer with its status.
+    /// Posts JSON and reads a JSON response and its status.
     ///
     /// # Errors
-    /// Those of [`HttpClient::post`]; [`ClientError::BadAnswer`] if the answer is not of type `R`.
+    /// Returns the errors of [`HttpClient::post`] and [`HttpClient::read`]. The inner result is
+    /// [`ClientError::BadAnswer`] if the response is not of type `R`.
     pub async fn call<T, R>(
         &self,
         address: &str,
@@ -140,10 +142,10 @@
         Ok((status, value))
     }
 
-    /// Reads the whole body of an answer.
+    /// Reads the complete body of a response.
     ///
     /// # Errors
-    /// [`ClientError::NoAnswer`] if the body ends early or passes the client's bound.
+    /// Returns [`ClientError::NoAnswer`] if the body ends early or exceeds the limit of the client.
     pub async fn read(&self, response: UnreadResponse) -> Result<Bytes, ClientError> {
         Ok(read_bounded(response.into_body(), self.max_body).await?)
     }
@@ -177,7 +179,7 @@
 }
 
 impl LineReader {
-    /// A reader over the body of `response`.
+    /// Creates a reader at the start of the body of `response`.
     pub fn new(response: UnreadResponse) -> Self {
         Self {
             body: response.into_body(),
@@ -185,10 +187,10 @@
         }
     }
 
-    /// The next line without its end mark; `None` at the end of the body.
+    /// Reads the next line without its newline; returns `None` at the end of the body.
     ///
     /// # Errors
-    /// [`ClientError::NoAnswer`] if the stream breaks or ends inside a line;
+    /// Returns [`ClientError::NoAnswer`] if the connection fails or the stream ends inside a line, and
     /// [`ClientError::BadAnswer`] if a line is too long.
     pub async fn next_line(&mut self) -> Result<Option<Bytes>, ClientError> {
         loop {
@@ -200,8 +202,8 @@
                     reason: "line too long".to_owned(),
                 });
             }
-            if !self.fill().await? {
-                return self.end();
+            if !self.read_frame().await? {
+                return self.check_end();
             }
         }
     }
@@ -213,7 +215,7 @@
         Some(line)
     }
 
-    async fn fill(&mut self) -> Result<bool, ClientError> {
+    async fn read_frame(&mut self) -> Result<bool, ClientError> {
         let Some(frame) = self.body.frame().await else {
             return Ok(false);
         };
@@ -226,7 +228,7 @@
         Ok(true)
     }
 
-    fn end(&self) -> Result<Option<Bytes>, ClientError> {
+    fn check_end(&self) -> Result<Option<Bytes>, ClientError> {
         if self.buffer.is_empty() {
             return Ok(None);
         }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP plumbing over hyper: a bounded server loop, a client and bodies.
+//! HTTP server with limits, HTTP client, connection pool and bodies, built on hyper.
 
 mod body;
 mod client;
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -1,8 +1,9 @@
-//! Connections to backend servers, bounded by address and used by one request at a time.
+//! Connection pool for backend servers, with a limit for each address; one request at a time uses a
+//! connection.
 //!
-//! The pool of a general client keeps a connection after any answer that ended well. Here the
-//! caller of the pool decides: a server that sends a second answer, or bytes that are none, has
-//! spoiled its connection for whatever request comes next.
+//! The pool of a general HTTP client reuses a connection after any complete response. In this pool
+//! the caller decides: if a server sends a second response or invalid bytes, the next request on its
+//! connection would read a wrong response.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,22 +23,24 @@
 
 use crate::client::ClientError;
 
-/// Bounds and times of a pool.
+/// Limits and timeouts of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolSettings {
-    /// Longest time that a connection may take to open. Within a region a round trip is a few
-    /// milliseconds; a host that is gone answers nothing.
+    /// Timeout for opening a connection. A round trip within a region takes a few milliseconds, and
+    /// a host that is down does not answer.
     pub connect_timeout: Duration,
-    /// Time after which sent bytes must be acknowledged, or the connection is broken.
+    /// Time after which a connection with unacknowledged sent bytes is closed.
     ///
-    /// A connection that went silent looks open for minutes; whoever waits on it learns nothing.
+    /// Without this timeout, a connection whose peer is silent looks open for minutes, and its
+    /// request waits without an error.
     pub silence_timeout: Duration,
-    /// Longest time that a connection is kept for reuse, where its server names no shorter one.
+    /// Maximum time that an idle connection remains reusable, unless its server announces a shorter
+    /// one.
     pub max_idle: Duration,
-    /// Part of the time that a server names for idle connections after which one is not used any
-    /// more: a request that crosses the server's close is lost.
+    /// Fraction of the idle timeout announced by a server after which its connection is no longer
+    /// reused. A request that is sent while the server closes the connection is lost.
     pub idle_fraction: f64,
-    /// Connections to one address.
+    /// Maximum number of connections to one address.
     pub max_per_address: usize,
 }
 
@@ -53,7 +56,7 @@
     }
 }
 
-/// Reads a clock that never goes back: the time since some moment before the pool was made.
+/// Reads a monotonic clock: the time since a fixed moment before the creation of the pool.
 pub type PoolClock = fn() -> Duration;
 
 type PoolSender = SendRequest<Full<Bytes>>;
@@ -62,18 +65,18 @@
 struct IdleConnection {
     sender: PoolSender,
     task: AbortHandle,
-    /// When it must not be used any more, by the pool's clock.
-    until: Duration,
+    /// Time on the clock of the pool from which the connection is no longer reused.
+    reusable_until: Duration,
 }
 
 #[derive(Default)]
 struct AddressSlot {
     idle: Vec<IdleConnection>,
-    /// Connections in use and idle.
+    /// Number of connections, both in use and idle.
     open: usize,
 }
 
-/// Connections by address; clones share them.
+/// Pool of connections by address; clones share the connections.
 #[derive(Clone)]
 pub struct ConnectionPool {
     settings: PoolSettings,
@@ -81,21 +84,21 @@
     slots: Arc<Mutex<BTreeMap<SocketAddr, AddressSlot>>>,
 }
 
-/// A connection in use; dropping it closes the connection, and with it the server's work.
+/// A connection in use. Dropping it closes the connection, so that the server aborts the request.
 pub struct PooledConnection {
     pool: ConnectionPool,
     address: SocketAddr,
     sender: Option<PoolSender>,
     task: AbortHandle,
-    /// Whether it served a request before.
+    /// Whether the connection has served an earlier request.
     reused: bool,
 }
 
-/// An answer whose body has not been read, and its connection.
+/// A response whose body has not been read, and its connection.
 pub struct PooledAnswer {
-    /// The answer.
+    /// Response with its unread body.
     pub response: Response<Incoming>,
-    /// Its connection.
+    /// Connection that delivers the body.
     pub connection: PooledConnection,
 }
 
@@ -109,11 +112,10 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections, whose idle ones grow old by `clock`.
+    /// Creates a pool without connections that measures idle time with `clock`.
     ///
-    /// The clock should go on while the machine is suspended. By one that stands still, connections
-    /// that their servers gave up long ago look fresh, and a request written on one may or may not
-    /// have run.
+    /// The clock should advance while the machine is suspended. Otherwise the pool reuses connections
+    /// that their servers closed long ago, and it is unknown whether a request sent on one has run.
     pub fn new(settings: PoolSettings, clock: PoolClock) -> Self {
         Self {
             settings,
@@ -122,18 +124,19 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer. The path and query of its URI are
-    /// written, and its headers as they are.
+    /// Sends a request and waits for the head of the response. The request line contains the path and
+    /// query of the URI; headers are sent unchanged.
     ///
     /// # Errors
-    /// [`ClientError::NotSent`] only if no byte of the request left this host.
+    /// Returns [`ClientError::NotSent`] only if no byte of the request left this host, otherwise
+    /// [`ClientError::NoAnswer`].
     pub async fn send(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
     ) -> Result<PooledAnswer, ClientError> {
         loop {
-            let mut connection = self.take(address).await?;
+            let mut connection = self.acquire(address).await?;
             let reused = connection.reused;
             match connection.send(request).await {
                 Ok(response) => {
@@ -142,21 +145,21 @@
                         connection,
                     });
                 }
-                // The server had closed it while it was idle: nothing was written, so another
-                // connection is as good as the first.
-                Err(SendFailure::Unsent(unsent)) if reused => request = *unsent,
-                Err(SendFailure::Unsent(_)) => {
+                // The server closed the idle connection before any byte was written, so a retry on
+                // another connection is safe.
+                Err(SendError::NotSent(unsent)) if reused => request = *unsent,
+                Err(SendError::NotSent(_)) => {
                     return Err(ClientError::NotSent {
                         reason: "the connection was closed before the request was written"
                             .to_owned(),
                     });
                 }
-                Err(SendFailure::Unknown(reason)) => return Err(ClientError::NoAnswer { reason }),
+                Err(SendError::Unknown(reason)) => return Err(ClientError::NoAnswer { reason }),
             }
         }
     }
 
-    async fn take(&self, address: SocketAddr) -> Result<PooledConnection, ClientError> {
+    async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, ClientError> {
         if let Some(idle) = self.take_idle(address) {
             return Ok(PooledConnection {
                 pool: self.clone(),
@@ -185,7 +188,7 @@
         let mut slots = self.lock();
         let slot = slots.get_mut(&address)?;
         while let Some(idle) = slot.idle.pop() {
-            if idle.until > now && idle.sender.is_ready() {
+            if idle.reusable_until > now && idle.sender.is_ready() {
                 return Some(idle);
             }
             idle.task.abort();
@@ -197,11 +200,11 @@
     fn reserve(&self, address: SocketAddr) -> bool {
         let mut slots = self.lock();
         let slot = slots.entry(address).or_default();
-        let has_room = slot.open < self.settings.max_per_address;
-        if has_room {
+        let has_capacity = slot.open < self.settings.max_per_address;
+        if has_capacity {
             slot.open += 1;
         }
-        has_room
+        has_capacity
     }
 
     fn release(&self, address: SocketAddr) {
@@ -221,7 +224,7 @@
             .await
             .map_err(|_| not_sent(format!("{address} did not answer in time")))?
             .map_err(|error| not_sent(format!("{address}: {error}")))?;
-        watch_silence(&stream, self.settings.silence_timeout);
+        set_silence_timeout(&stream, self.settings.silence_timeout);
         let opening = Builder::new().handshake(TokioIo::new(stream));
         let (sender, connection) = opening
             .await
@@ -245,30 +248,30 @@
     }
 }
 
-/// Has the system break a connection whose other side acknowledges nothing.
+/// Configures the operating system to close a connection whose peer acknowledges nothing.
 ///
-/// A frozen host, a partition or a dropped connection sends no reset, and a request on it would
-/// wait for its whole deadline.
-fn watch_silence(stream: &TcpStream, silence: Duration) {
+/// A frozen host, a network partition or a dropped connection sends no reset. Without this, a request
+/// would wait until its deadline.
+fn set_silence_timeout(stream: &TcpStream, timeout: Duration) {
     let socket = SockRef::from(stream);
-    let probe = silence / 3;
+    let probe_delay = timeout / 3;
     let keepalive = TcpKeepalive::new()
-        .with_time(probe.max(Duration::from_secs(1)))
+        .with_time(probe_delay.max(Duration::from_secs(1)))
         .with_interval(Duration::from_secs(1))
         .with_retries(2);
     let set = stream
         .set_nodelay(true)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(silence)))
+        .and_then(|()| socket.set_tcp_user_timeout(Some(timeout)))
         .and_then(|()| socket.set_tcp_keepalive(&keepalive));
     if let Err(error) = set {
-        log::warn!(error:% = error; "connection without a watch on silence");
+        log::warn!(error:% = error; "setting the silence timeout of a connection failed");
     }
 }
 
-enum SendFailure {
-    /// No byte left this host; the request is given back.
-    Unsent(Box<Request<Full<Bytes>>>),
-    /// It may have arrived.
+enum SendError {
+    /// No byte left this host; contains the request.
+    NotSent(Box<Request<Full<Bytes>>>),
+    /// The request may have arrived; contains the error text.
     Unknown(String),
 }
 
@@ -276,26 +279,26 @@
     async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, SendFailure> {
+    ) -> Result<Response<Incoming>, SendError> {
         let Some(sender) = &mut self.sender else {
-            return Err(SendFailure::Unsent(Box::new(request)));
+            return Err(SendError::NotSent(Box::new(request)));
         };
         match sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => match error.take_message() {
-                Some(request) => Err(SendFailure::Unsent(Box::new(request))),
-                None => Err(SendFailure::Unknown(error.into_error().to_string())),
+                Some(request) => Err(SendError::NotSent(Box::new(request))),
+                None => Err(SendError::Unknown(error.into_error().to_string())),
             },
         }
     }
 
-    /// Whether the connection served a request before.
+    /// Whether the connection has served an earlier request.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Gives the connection back for other requests; only after the whole body of the answer with
-    /// these headers was read, and nothing about it was wrong.
+    /// Returns the connection to the pool for reuse. Call this only after the complete body of the
+    /// response with these headers was read without any protocol error.
     pub fn return_to_pool(mut self, headers: &HeaderMap) {
         let settings = &self.pool.settings;
         let Some(idle) = idle_time(headers, settings) else {
@@ -307,7 +310,7 @@
         let idle = IdleConnection {
             sender,
             task: self.task.clone(),
-            until: (self.pool.clock)() + idle,
+            reusable_until: (self.pool.clock)() + idle,
         };
         let mut slots = self.pool.lock();
         slots.entry(self.address).or_default().idle.push(idle);
@@ -316,7 +319,7 @@
 
 impl Drop for PooledConnection {
     fn drop(&mut self) {
-        // Kept connections have given their sender away.
+        // `return_to_pool` has moved the sender of a reusable connection.
         if self.sender.take().is_some() {
             self.task.abort();
             self.pool.release(self.address);
@@ -324,21 +327,22 @@
     }
 }
 
-/// Time for which a connection may wait for its next request; `None` if the server closes it.
+/// Maximum idle time of a connection until its next request; `None` if the server closes it.
 fn idle_time(headers: &HeaderMap, settings: &PoolSettings) -> Option<Duration> {
-    let lists = |name| {
+    let list_items = |name| {
         let values = headers.get_all(name).iter();
         let texts = values.filter_map(|value| value.to_str().ok());
         texts.flat_map(|text| text.split(',')).map(str::trim)
     };
-    if lists(header::CONNECTION).any(|option| option.eq_ignore_ascii_case("close")) {
+    if list_items(header::CONNECTION).any(|option| option.eq_ignore_ascii_case("close")) {
         return None;
     }
     let keep_alive = http::HeaderName::from_static("keep-alive");
-    let named = lists(keep_alive).find_map(|part| part.strip_prefix("timeout=")?.parse().ok());
-    let Some(seconds) = named else {
+    let announced =
+        list_items(keep_alive).find_map(|part| part.strip_prefix("timeout=")?.parse().ok());
+    let Some(seconds) = announced else {
         return Some(settings.max_idle);
     };
-    let named = Duration::from_secs(seconds).mul_f64(settings.idle_fraction);
-    Some(named.min(settings.max_idle)).filter(|idle| !idle.is_zero())
+    let announced = Duration::from_secs(seconds).mul_f64(settings.idle_fraction);
+    Some(announced.min(settings.max_idle)).filter(|idle| !idle.is_zero())
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Bounded server loop: accepts connections and hands requests to a handler.
+//! HTTP server with limits: accepts connections and passes requests to a handler.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -21,21 +21,21 @@
 
 use crate::body::ResponseBody;
 
-/// Pause after a failed accept, so that a full file table does not spin a core.
+/// Pause after a failed accept; without it, a full file table would cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a stranger may use up; each bound is per server.
+/// Limits for the resources that untrusted clients use; each applies to one server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerLimits {
-    /// Headers of one request.
+    /// Maximum number of headers in one request.
     pub max_headers: usize,
-    /// Bytes of the head of one request; hyper needs at least 8,192.
+    /// Maximum size of the head of one request in bytes; hyper requires at least 8,192.
     pub max_head_bytes: usize,
-    /// Time in which the head of a request must have come.
+    /// Timeout for reading the head of a request, and for the handshake of a connection.
     pub head_timeout: Duration,
-    /// Open connections from one address.
+    /// Maximum number of open connections from one address.
     pub max_connections_per_address: usize,
-    /// Open connections in all.
+    /// Maximum number of open connections in total.
     pub max_connections: usize,
 }
 
@@ -51,47 +51,50 @@
     }
 }
 
-/// Answer of a handler, still to be awaited.
+/// Future that resolves to the response of a handler.
 pub type HandlerFuture = Pin<Box<dyn Future<Output = Response<ResponseBody>> + Send>>;
 
 /// Handles the requests of one server.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Answers one request that came from `peer`.
+    /// Processes one request from `peer` and returns its response.
     fn handle(self: Arc<Self>, request: Request<Incoming>, peer: SocketAddr) -> HandlerFuture;
 }
 
-/// A byte stream, in plain text or decrypted.
+/// Byte stream of a connection, unencrypted or decrypted.
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin + Send {}
 
 impl<S> ByteStream for S where S: AsyncRead + AsyncWrite + Unpin + Send {}
 
-/// A stream behind a trait object.
+/// A byte stream as a trait object.
 pub type BoxedStream = Box<dyn ByteStream>;
 
-/// An accepted stream, with what its handshake proved.
+/// An accepted byte stream and the properties that its handshake verified.
 pub struct AcceptedStream {
-    /// The stream.
+    /// Byte stream after the handshake.
     pub stream: BoxedStream,
-    /// Put into every request of the connection.
+    /// Extensions that the server adds to every request of the connection.
     pub extensions: Extensions,
 }
 
-/// A stream that is being accepted.
+/// Future that resolves to an accepted stream.
 pub type StreamFuture = Pin<Box<dyn Future<Output = io::Result<AcceptedStream>> + Send>>;
 
-/// Turns an accepted connection into a byte stream, such as by a TLS handshake.
+/// Converts an accepted connection into a byte stream, for example by a TLS handshake.
 pub trait StreamAcceptor: Send + Sync {
-    /// Takes over `stream`.
+    /// Performs the handshake on `stream`.
+    ///
+    /// The future fails if the handshake is refused.
     fn accept(&self, stream: TcpStream) -> StreamFuture;
 }
 
-/// Connections open from each address.
+/// Number of open connections from each address.
 ///
-/// Invariant: holds no address with a count of zero, so it is bounded by the open connections.
+/// Invariant: contains no address with a count of zero, so the number of open connections limits its
+/// size.
 #[derive(Debug, Default)]
 struct ConnectionTable {
     counts: Mutex<BTreeMap<IpAddr, usize>>,
-    /// Sum of the counts; changed under their lock only.
+    /// Sum of the counts; changed only while `counts` is locked.
     total: AtomicUsize,
 }
 
@@ -149,7 +152,7 @@
     /// Listens on `address` and serves until drained or dropped.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn start(
         address: SocketAddr,
         limits: ServerLimits,
@@ -173,12 +176,12 @@
         })
     }
 
-    /// Address that the server listens on, with the port that was given for port 0.
+    /// Address on which the server listens; contains the assigned port if port 0 was requested.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops listening and lets open connections finish the request that they are in.
+    /// Stops listening and waits until open connections have finished their current request.
     pub async fn drain(mut self) {
         let _ = self.drain.send(true);
         let _ = (&mut self.task).await;
@@ -191,9 +194,9 @@
     }
 }
 
-/// Object-safe face of [`HttpHandler`].
+/// Object-safe version of [`HttpHandler`].
 pub trait DynHandler: Send + Sync {
-    /// Answers one request that came from `peer`.
+    /// Processes one request from `peer` and returns its response.
     fn handle_dyn(self: Arc<Self>, request: Request<Incoming>, peer: SocketAddr) -> HandlerFuture;
 }
 
@@ -225,21 +228,21 @@
                     continue;
                 };
                 let Some(guard) = table.open(peer.ip(), &context.limits) else {
-                    log::warn!(peer:% = peer; "connection refused: too many are open");
+                    log::warn!(peer:% = peer; "connection refused: limit of open connections reached");
                     continue;
                 };
                 connections.spawn(serve_connection(stream, peer, Arc::clone(&context), guard));
             }
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
-            () = drain_asked(&mut draining) => break,
+            () = drain_requested(&mut draining) => break,
         }
     }
     drop(listener);
     while connections.join_next().await.is_some() {}
 }
 
-async fn drain_asked(draining: &mut watch::Receiver<bool>) {
-    // An error means that the server was dropped, which ends its connections as well.
+async fn drain_requested(draining: &mut watch::Receiver<bool>) {
+    // An error means that the server was dropped, which also closes its connections.
     let _ = draining.wait_for(|draining| *draining).await;
 }
 
@@ -250,7 +253,7 @@
     guard: ConnectionGuard,
 ) {
     let _guard = guard;
-    // A token must leave at once: without this, small writes wait for the peer's acknowledgement.
+    // Sends each token immediately: without this, small writes wait for an acknowledgement.
     let _ = stream.set_nodelay(true);
     let Some(accepted) = accept_stream(stream, peer, &context).await else {
         return;
@@ -259,8 +262,8 @@
     let handler = Arc::clone(&context.handler);
     let service = service_fn(move |mut request: Request<Incoming>| {
         request.extensions_mut().extend(extensions.clone());
-        let answer = Arc::clone(&handler).handle_dyn(request, peer);
-        async move { Ok::<Response<ResponseBody>, std::convert::Infallible>(answer.await) }
+        let response = Arc::clone(&handler).handle_dyn(request, peer);
+        async move { Ok::<Response<ResponseBody>, std::convert::Infallible>(response.await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -270,11 +273,11 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let mut draining = context.draining.clone();
-    let drained = tokio::select! {
+    let finished = tokio::select! {
         result = connection.as_mut() => Some(result),
-        () = drain_asked(&mut draining) => None,
+        () = drain_requested(&mut draining) => None,
     };
-    let result = match drained {
+    let result = match finished {
         Some(result) => result,
         None => {
             connection.as_mut().graceful_shutdown();
--- a/crates/http/tests/pool_reuse.rs
+++ b/crates/http/tests/pool_reuse.rs
@@ -1,6 +1,6 @@
-//! Which connections serve another request.
+//! Reuse of pooled connections, and the error after a refused connection.
 
-#![allow(clippy::expect_used, reason = "a helper that fails is a failed test")]
+#![allow(clippy::expect_used, reason = "a failed helper fails its test")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Milliseconds that the pool's clock shows.
+/// Current time on the clock of the pool, in milliseconds.
 static NOW: AtomicU64 = AtomicU64::new(0);
 
 fn clock() -> Duration {
     Duration::from_millis(NOW.load(Ordering::SeqCst))
 }
 
-/// A server that answers every request with an empty body; counts its connections.
+/// Starts a server that sends an empty response to every request and counts its connections.
 async fn start_server() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -30,21 +30,21 @@
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             counted.fetch_add(1, Ordering::SeqCst);
-            tokio::spawn(answer(stream));
+            tokio::spawn(serve(stream));
         }
     });
     (address, connections)
 }
 
-async fn answer(mut stream: TcpStream) {
-    let mut heard = Vec::new();
+async fn serve(mut stream: TcpStream) {
+    let mut received = Vec::new();
     let mut buffer = [0; 1_024];
     while let Ok(length @ 1..) = stream.read(&mut buffer).await {
-        heard.extend_from_slice(&buffer[..length]);
-        if heard.ends_with(b"\r\n\r\n") {
-            heard.clear();
-            let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-            stream.write_all(answer).await.expect("written");
+        received.extend_from_slice(&buffer[..length]);
+        if received.ends_with(b"\r\n\r\n") {
+            received.clear();
+            let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+            stream.write_all(response).await.expect("written");
         }
     }
 }
@@ -57,11 +57,11 @@
     answer.connection.return_to_pool(&head.headers);
 }
 
-// A filing must never go out on a connection that its server may have given up: whether it ran
-// would be unknown. A connection serves again while it is young by a clock that goes on during a
-// suspension of the machine; afterwards a new one is opened, though no timer has moved.
+// Guards against a non-idempotent call on a connection that its server may have closed, after which
+// it is unknown whether the call ran. The clock of the pool advances during a suspension of the
+// machine, while no timer fires; the pool must then open a new connection.
 #[tokio::test]
-async fn a_connection_that_grew_old_is_not_used_again() {
+async fn an_expired_idle_connection_is_not_reused() {
     let (address, connections) = start_server().await;
     let pool = ConnectionPool::new(PoolSettings::default(), clock);
     let mut opened = Vec::new();
@@ -73,9 +73,10 @@
     assert_eq!(opened, [1, 1, 2, 2]);
 }
 
-// A server that no longer listens has surely not run the request, and the caller may be told so.
+// Guards against reporting an unknown outcome when nothing was sent. The server no longer listens,
+// so it can't have run the request.
 #[tokio::test]
-async fn a_refused_connection_proves_that_nothing_was_sent() {
+async fn a_refused_connection_is_reported_as_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
