--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,7 +1,7 @@
-//! Border types of pollendrift: the bodies that cross its HTTP borders.
+//! Types of the request and response bodies in the HTTP interfaces of pollendrift.
 //!
-//! The types are generated from `schema/border.json` by `cargo-typify` and committed, so a build
-//! needs no generator. `CONTRIBUTING.md` gives the command.
+//! `cargo-typify` generates the types from `schema/border.json`. The generated file is committed, so
+//! a build needs no generator. `CONTRIBUTING.md` contains the command.
 
 #[allow(
     missing_docs,
--- a/crates/border/tests/interface_pages.rs
+++ b/crates/border/tests/interface_pages.rs
@@ -1,4 +1,5 @@
-//! Examples on the pages about interfaces: each must be a body of the border, field by field.
+//! Guards against examples in the interface pages that differ from the body types. Each example must
+//! decode into a type and encode back without a lost or added field.
 
 use std::error::Error;
 use std::path::Path;
@@ -14,7 +15,7 @@
 
 type BodyCheck = fn(&Value) -> bool;
 
-/// Whether `example` is a `T` from which nothing is lost or added.
+/// Whether `example` decodes into `T` and encodes back to the same JSON.
 fn is_body<T>(example: &Value) -> bool
 where
     T: DeserializeOwned + Serialize,
@@ -22,7 +23,7 @@
     let body: Result<T, _> = serde_json::from_value(example.clone());
     body.ok()
         .and_then(|body| serde_json::to_value(body).ok())
-        .is_some_and(|back| back == *example)
+        .is_some_and(|encoded| encoded == *example)
 }
 
 fn body_name(example: &Value) -> String {
@@ -38,16 +39,16 @@
         ("StepReply", is_body::<StepReply>),
         ("StepRequest", is_body::<StepRequest>),
     ];
-    let found = known.iter().find(|(_, fits)| fits(example));
+    let found = known.iter().find(|(_, matches)| matches(example));
     let object = || example.get("object").and_then(Value::as_str);
     match found {
         Some((name, _)) => (*name).to_owned(),
-        None => format!("no body of the border: {}", object().unwrap_or("?")),
+        None => format!("unknown body: {}", object().unwrap_or("?")),
     }
 }
 
-/// Names of the bodies in the JSON blocks and `data:` lines of a page.
-fn bodies(page: &str) -> Result<String, Box<dyn Error>> {
+/// Names of the body types in the JSON blocks and `data:` lines of a page.
+fn body_names(page: &str) -> Result<String, Box<dyn Error>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/interfaces");
     let text = std::fs::read_to_string(path.join(page))?;
     let code: Vec<&str> = text
@@ -65,21 +66,21 @@
 }
 
 #[test]
-fn callers_page_shows_bodies_of_the_border() {
-    assert_snapshot!(bodies("callers.md").unwrap(), @r"
+fn examples_in_the_callers_page_match_the_body_types() {
+    assert_snapshot!(body_names("callers.md").unwrap(), @r"
     CompletionRequest
     ChatRequest
-    no body of the border: text_completion
-    no body of the border: text_completion
+    unknown body: text_completion
+    unknown body: text_completion
     ProblemReport
-    no body of the border: text_completion
+    unknown body: text_completion
     ProblemReport
     ");
 }
 
 #[test]
-fn engines_page_shows_bodies_of_the_border() {
-    assert_snapshot!(bodies("engines.md").unwrap(), @r"
+fn examples_in_the_engines_page_match_the_body_types() {
+    assert_snapshot!(body_names("engines.md").unwrap(), @r"
     Announcement
     AnnouncementReply
     SequenceRequest
--- a/crates/dialect/src/callers.rs
+++ b/crates/dialect/src/callers.rs
@@ -1,4 +1,4 @@
-//! What callers ask, and how they are refused.
+//! Requests of callers, and refusals to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,94 +10,94 @@
 use pollendrift_coordination::base::{ModelName, RequestId};
 use pollendrift_coordination::streams::EventId;
 
-/// A caller's request, as far as the router decides on it.
+/// Properties of a caller's request that the router uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// Identity of this attempt of the caller; a caller that tries again takes another.
+    /// Identity of this attempt; a caller uses another one for each retry.
     pub attempt: RequestId,
-    /// Host that the request names, without a port.
+    /// Host name in the request, without a port.
     pub host: Arc<str>,
-    /// Path, without the query.
+    /// Path without the query.
     pub path: Arc<str>,
-    /// Key that names the customer; never sent on.
+    /// API key of the customer; never forwarded.
     pub key: Option<Arc<str>>,
-    /// Time that the caller will wait, counted from the arrival of the head.
+    /// Time that the caller waits for the response, measured from the arrival of the request head.
     pub timeout: Option<Duration>,
     /// Size of a draft; `None` for a call of a plain service.
     pub draft: Option<DraftSize>,
-    /// Last event that the caller holds of an earlier answer.
+    /// Last event that the caller received of an earlier response.
     pub resume_after: Option<EventId>,
 }
 
-/// What a draft is expected to take.
+/// Model and expected token counts of a draft.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DraftSize {
-    /// Model that is asked for.
+    /// Requested model.
     pub model: Option<ModelName>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub answer_tokens: u32,
-    /// Tokens of the answer by the caller's own estimate.
+    /// Number of tokens in the answer as estimated by the caller.
     pub expected_tokens: Option<u32>,
 }
 
-/// Why a request can't be read.
+/// Reason why a request can't be decoded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{reason}")]
 pub struct CallerRequestError {
-    /// What is wrong, and what is accepted.
+    /// Invalid part of the request, and the accepted form.
     pub reason: String,
 }
 
-/// What a caller is told in place of an answer.
+/// Refusal that a caller receives instead of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayRefusal {
-    /// What is known of the request.
+    /// Kind of refusal, which states whether the request may have run.
     pub kind: RefusalKind,
-    /// Why, for the caller and the log.
+    /// Reason for the caller and the log.
     pub reason: String,
-    /// When it is worth trying again.
+    /// Time after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// What is known of a request that gets no answer of a backend server.
+/// Outcome of a request that gets no answer from a backend server.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalKind {
-    /// It has not run and never will; another attempt may be served.
+    /// The request has not run and never will; a retry may succeed.
     #[display("not-run")]
     NotRun,
-    /// It can't be read.
+    /// The request can't be decoded.
     #[display("malformed")]
     Malformed,
-    /// Its body is larger than operators allow.
+    /// The body exceeds the limit that operators set.
     #[display("body-too-large")]
     BodyTooLarge,
-    /// Its key names no customer.
+    /// The key belongs to no customer.
     #[display("unknown-key")]
     UnknownKey,
-    /// No route serves it.
+    /// No route matches the request.
     #[display("unknown-route")]
     UnknownRoute,
-    /// It may have run; no whole answer came.
+    /// The request may have run; no complete answer was received.
     #[display("unknown-outcome")]
     UnknownOutcome,
-    /// It may have run; its time was over before an answer came.
+    /// The request may have run; its deadline passed before an answer was received.
     #[display("timed-out")]
     TimedOut,
 }
 
-/// How callers speak.
+/// Decodes requests of callers and encodes refusals to them.
 pub trait CallerDialect: Send + Sync {
-    /// Reads the head of a request.
+    /// Decodes the head of a request.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Returns the invalid part of the head.
     fn read(&self, head: &Parts) -> Result<CallerRequest, CallerRequestError>;
 
-    /// Writes a refusal of the request with identity `attempt`, where one could be read.
+    /// Encodes a refusal of the request with identity `attempt`; `None` if the identity is unknown.
     fn refuse(&self, refusal: &RelayRefusal, attempt: Option<&RequestId>) -> Response<Bytes>;
 
-    /// Path on which the balancer asks whether this host takes requests.
+    /// Path on which the load balancer probes whether this host accepts requests.
     fn readiness_path(&self) -> &str;
 }
--- a/crates/dialect/src/lib.rs
+++ b/crates/dialect/src/lib.rs
@@ -1,8 +1,8 @@
-//! Border between pollendrift and a platform that speaks a dialect of its own.
+//! Interface between pollendrift and a platform with its own HTTP protocol, here called a dialect.
 //!
-//! The router works on the types of this crate; an adapter decodes what the platform says into
-//! them, once, and encodes what the router answers. An adapter decides nothing: which request runs
-//! where, what is refused and what is believed is the router's.
+//! The router works with the types of this crate. An adapter decodes the messages of the platform
+//! into these types once, and encodes the replies of the router. An adapter makes no decisions: the
+//! router decides where a request runs, which requests are refused and which data is trusted.
 
 mod callers;
 mod operators;
@@ -21,16 +21,16 @@
     ServerDialect, ServerLoad, ServerRequest, StageHop,
 };
 
-/// The dialects of one platform.
+/// Protocol adapters of one platform.
 #[derive(Clone)]
 pub struct PlatformDialect {
-    /// How callers speak.
+    /// Adapter for requests of callers.
     pub callers: Arc<dyn CallerDialect>,
-    /// How operators speak.
+    /// Adapter for requests of operators.
     pub operators: Arc<dyn OperatorDialect>,
-    /// How backend servers announce themselves.
+    /// Adapter for announcements of backend servers.
     pub registry: Arc<dyn RegistryDialect>,
-    /// How backend servers take work and orders.
+    /// Adapter for requests and orders to backend servers.
     pub servers: Arc<dyn ServerDialect>,
 }
 
--- a/crates/dialect/src/operators.rs
+++ b/crates/dialect/src/operators.rs
@@ -1,4 +1,4 @@
-//! How operators change routes, and read them back.
+//! Requests of operators that publish and read routes.
 
 use std::sync::Arc;
 
@@ -7,47 +7,47 @@
 use pollendrift_coordination::base::FindingList;
 use pollendrift_coordination::routes::{RouteDocument, SourceVersion};
 
-/// What an operator asks.
+/// Request of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Puts a document in force.
+    /// Publishes a route document.
     Publish,
-    /// Reads the newest document.
+    /// Reads the newest route document.
     Read,
 }
 
-/// What an operator is told.
+/// Reply to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// The document, or a newer one, is in force.
+    /// The document or a newer one is in force.
     Published {
         /// Version in force.
         version: SourceVersion,
     },
-    /// The newest document, as it was sent.
+    /// Source text of the newest document.
     Document(Arc<str>),
-    /// No document was published yet.
+    /// No document has been published yet.
     NotPublished,
-    /// The document is refused; nothing was changed.
+    /// The document is invalid; the routes are unchanged.
     Invalid(FindingList),
-    /// This host can't tell; another may, or this one later.
+    /// This host can't process the request now; another host can, or this host later.
     Unavailable {
-        /// Why.
+        /// Reason for the operator and the log.
         reason: String,
     },
 }
 
-/// How operators speak.
+/// Decodes requests of operators and encodes replies to them.
 pub trait OperatorDialect: Send + Sync {
-    /// What a request asks; `None` if it is none of an operator's.
+    /// Decodes the method and path of a request; returns `None` if it is not an operator request.
     fn call(&self, method: &Method, path: &str) -> Option<OperatorCall>;
 
-    /// Reads and checks a document.
+    /// Decodes and validates a route document.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// Returns all findings about an invalid document.
     fn read_document(&self, text: &[u8]) -> Result<RouteDocument, FindingList>;
 
-    /// Writes an answer.
+    /// Encodes a reply.
     fn reply(&self, reply: &OperatorReply) -> Response<Bytes>;
 }
--- a/crates/dialect/src/registry.rs
+++ b/crates/dialect/src/registry.rs
@@ -1,4 +1,4 @@
-//! How backend servers announce themselves.
+//! Announcements of backend servers.
 
 use std::net::SocketAddr;
 
@@ -8,56 +8,56 @@
 use pollendrift_coordination::base::{DataCentreName, Incarnation, SequenceNumber, ServerName};
 use pollendrift_coordination::leases::{BackendOffer, ServerState};
 
-/// What a backend server says of itself.
+/// Announcement of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerAnnouncement {
-    /// Its name.
+    /// Name of the server.
     pub server: ServerName,
-    /// Life of its process; a restart under the same name has a higher one.
+    /// Incarnation of the process; a restart under the same name has a higher one.
     pub incarnation: Incarnation,
-    /// Rises with every announcement of that life.
+    /// Increases with every announcement of the same incarnation.
     pub sequence: SequenceNumber,
-    /// Where it takes requests.
+    /// Address on which the server accepts requests.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the server.
     pub data_centre: DataCentreName,
-    /// Whether it takes new work.
+    /// Whether the server accepts new requests.
     pub state: ServerState,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the server refuses orders with an old fencing number.
     pub checks_fencing: bool,
-    /// What it offers.
+    /// Service, layers and capacity that the server offers.
     pub offer: BackendOffer,
 }
 
-/// One call of a backend server.
+/// Registry call of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegistryCall {
-    /// It is there, or is about to leave.
+    /// The server is running, or will leave soon.
     Announce(Box<ServerAnnouncement>),
-    /// It has left, or serves only what it has. Says nothing but the name.
+    /// The server has left, or only finishes its running requests. Contains only the name.
     Leave(ServerName),
 }
 
-/// Answer to a call.
+/// Acknowledgement of a registry call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryAck {
-    /// Where later announcements should go; `None` leaves it to the server.
+    /// Address for later announcements; with `None` the server chooses.
     pub announce_at: Option<SocketAddr>,
 }
 
-/// Why a call was not taken.
+/// Reason why a registry call was refused.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{reason}")]
 pub struct RegistryError {
-    /// All that is wrong with it.
+    /// Reason for the server and the log.
     pub reason: String,
-    /// Whether another host may take it.
+    /// Whether another host may accept the call.
     pub elsewhere: bool,
 }
 
-/// How backend servers speak of themselves.
+/// Decodes registry calls of backend servers and encodes the replies.
 pub trait RegistryDialect: Send + Sync {
-    /// Reads a call; `None` if the path is none of a backend server's.
+    /// Decodes a call; returns `None` if the path is not one of the registry.
     fn read(
         &self,
         method: &Method,
@@ -65,9 +65,9 @@
         body: &[u8],
     ) -> Option<Result<RegistryCall, RegistryError>>;
 
-    /// Writes the answer to a call that was taken.
+    /// Encodes the reply to an accepted call.
     fn acknowledge(&self, ack: &RegistryAck) -> Response<Bytes>;
 
-    /// Writes the answer to a call that was not taken.
-    fn refuse(&self, fault: &RegistryError) -> Response<Bytes>;
+    /// Encodes the reply to a refused call.
+    fn refuse(&self, error: &RegistryError) -> Response<Bytes>;
 }
--- a/crates/dialect/src/servers.rs
+++ b/crates/dialect/src/servers.rs
@@ -1,4 +1,4 @@
-//! How backend servers take work and orders.
+//! Requests and orders to backend servers, and their answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,158 +11,158 @@
 use pollendrift_coordination::placement::UnloadPolicy;
 use pollendrift_coordination::streams::EventId;
 
-/// One stage of a pipeline that its servers run themselves.
+/// One stage of a pipeline whose engines forward the request among themselves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StageHop {
-    /// Where the stage takes work.
+    /// Address on which the stage accepts requests.
     pub address: SocketAddr,
-    /// Layers that it runs of the request.
+    /// Layers that the stage runs for the request.
     pub layers: LayerRange,
 }
 
-/// One send of a caller's request to a backend server.
+/// A caller's request, as sent once to one backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct ServerRequest<'send> {
+pub struct ServerRequest<'request> {
     /// Head of the caller's request.
-    pub head: &'send request::Parts,
-    /// Server that must answer; any other that has its address now refuses.
-    pub server: &'send ServerName,
-    /// Whose request it is.
-    pub customer: Option<&'send CustomerName>,
-    /// Time that is left, now.
+    pub head: &'request request::Parts,
+    /// Name of the intended server; any other server at the same address refuses the request.
+    pub server: &'request ServerName,
+    /// Customer of the request, if known.
+    pub customer: Option<&'request CustomerName>,
+    /// Time until the deadline of the request.
     pub time_left: Duration,
-    /// Stages of the pipeline, the receiver's first; empty where one server runs it all.
-    pub stages: &'send [StageHop],
-    /// Event after which a stream goes on.
+    /// Stages of the pipeline, starting with the receiver; empty if one server runs all layers.
+    pub stages: &'request [StageHop],
+    /// Event after which a stream resumes.
     pub resume_after: Option<EventId>,
 }
 
-/// Load that a server told with an answer.
+/// Load that a server reported in an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at a time.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
 }
 
-/// What the head of an answer says.
+/// Decoded head of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// Request that it answers.
+    /// Identity of the answered request.
     pub attempt: Option<RequestId>,
-    /// Whether the server signed it; a success without is not the server's.
+    /// Whether the server signed the answer; an unsigned success does not come from the server.
     pub signed: bool,
-    /// Whether it says that the request did not run.
+    /// Whether the answer states that the request did not run.
     pub not_run: bool,
-    /// Whether it comes from another server than the one that was meant.
+    /// Whether another server than the intended one answered.
     pub wrong_server: bool,
-    /// Whether its body is encoded, so that it is not the server's.
+    /// Whether the body has a content encoding, which shows that it does not come from the server.
     pub encoded: bool,
-    /// Server that is at fault, where the answer names one.
+    /// Address of the server that caused a failure, if the answer contains it.
     pub culprit: Option<SocketAddr>,
-    /// Load, where told.
+    /// Load of the server, if the answer contains it.
     pub load: Option<ServerLoad>,
 }
 
-/// Order to hold a range of layers in place of what an engine holds.
+/// Order to replace the held layers of an engine with a range of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlaceOrder {
-    /// Layers to hold.
+    /// Layers that the engine must hold.
     pub layers: LayerRange,
-    /// What becomes of requests on layers that are given up.
+    /// Policy for running requests on layers that the engine unloads.
     pub given_up: UnloadPolicy,
-    /// Number of the right under which it is given.
+    /// Fencing number of the order right under which the order is sent.
     pub fencing: FencingNumber,
-    /// Orders that the engine must have taken before; `None` to leave it unchecked.
+    /// Number of orders that the engine must have accepted before; `None` disables the check.
     pub expected: Option<SequenceNumber>,
 }
 
-/// What became of an order.
+/// Result of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It began.
+    /// The engine started to load the layers.
     Started,
-    /// The engine holds the layers already.
+    /// The engine already holds the layers.
     AlreadyLoaded,
-    /// The engine has taken other orders than were expected, or can't take this one now.
+    /// The engine has accepted another number of orders than expected, or can't accept this one now.
     Conflict,
-    /// A higher fencing number was seen.
+    /// The engine has received a higher fencing number.
     Fenced,
-    /// Another engine has the address.
+    /// Another engine uses the address.
     WrongServer,
-    /// It was refused for good.
+    /// The engine refuses the order permanently.
     Refused,
 }
 
-/// An order to the first engine of a pipeline: a request goes on over other stages.
+/// Order to the first engine of a pipeline to continue a request on other stages.
 #[derive(Clone, Copy, Debug)]
 pub struct RerouteOrder<'order> {
-    /// The request.
+    /// Identity of the request.
     pub request: &'order RequestId,
-    /// Its stages from now on; the first one is as before.
+    /// New stages of the request; the first one is unchanged.
     pub stages: &'order [StageHop],
 }
 
-/// What became of such an order.
+/// Result of a reroute order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RerouteOutcome {
-    /// The request goes on over the new stages.
+    /// The request continues on the new stages.
     Accepted,
-    /// A new stage is not there or has no room.
+    /// A new stage is unreachable or has no free capacity.
     NoCapacity {
-        /// The stage, where the engine names it.
+        /// Address of the stage, if the answer contains it.
         culprit: Option<SocketAddr>,
     },
-    /// The engine does not run the request, or not any more.
+    /// The engine does not run the request, or no longer runs it.
     NotRunning,
 }
 
-/// State of an engine that was asked for it.
+/// State of an engine, as reported to a probe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Orders that it has taken.
+    /// Number of orders that the engine has accepted.
     pub orders: SequenceNumber,
-    /// Whether one is in progress.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// How slow it is, in percent of its kind's usual time; 100 is usual.
+    /// Processing time in percent of the typical time for its kind of engine; 100 is typical.
     pub slowness: u32,
-    /// Request memory in use, in tokens times layers.
+    /// KV memory in use, in tokens times layers.
     pub kv_used: u64,
-    /// Request memory in all, in tokens times layers.
+    /// Total KV memory, in tokens times layers.
     pub kv_total: u64,
 }
 
-/// How backend servers speak.
+/// Encodes requests to backend servers and decodes their answers.
 pub trait ServerDialect: Send + Sync {
-    /// Writes the head of a send: the caller's, with what concerns only its connection and key taken
-    /// out, and the router's own put in.
-    fn write(&self, send: &ServerRequest<'_>) -> HeaderMap;
+    /// Encodes the headers of a request: the caller's headers without hop-by-hop headers and the API
+    /// key, plus the headers of the router.
+    fn write(&self, request: &ServerRequest<'_>) -> HeaderMap;
 
-    /// Reads the head of an answer.
+    /// Decodes the head of an answer.
     fn read(&self, head: &response::Parts) -> AnswerHead;
 
-    /// Writes an order to the engine `server`.
+    /// Encodes a load order to the engine `server`.
     fn write_order(&self, server: &ServerName, order: &PlaceOrder) -> Request<Bytes>;
 
-    /// Reads the answer to an order.
+    /// Decodes the answer to a load order.
     fn read_order(&self, status: StatusCode) -> OrderOutcome;
 
-    /// Writes an order to the engine `server` to go on with a request over other stages.
+    /// Encodes a reroute order to the engine `server`.
     fn write_reroute(&self, server: &ServerName, order: RerouteOrder<'_>) -> Request<Bytes>;
 
-    /// Reads the answer to that order.
+    /// Decodes the answer to a reroute order.
     fn read_reroute(&self, status: StatusCode, body: &[u8]) -> RerouteOutcome;
 
-    /// Writes a question for an engine's state.
+    /// Encodes a probe for the state of an engine.
     fn write_report(&self) -> Request<Bytes>;
 
-    /// Reads the answer to that question; `None` if it is none.
+    /// Decodes the answer to a probe; returns `None` if it is invalid.
     fn read_report(&self, body: &[u8]) -> Option<EngineReport>;
 }
