--- a/crates/store/benches/group_commit.rs
+++ b/crates/store/benches/group_commit.rs
@@ -1,14 +1,11 @@
-//! One sync for all who wait against one sync per entry, with 1, 8 and 64 writers.
+//! Compares group commit with one sync per entry, for 1, 8 and 64 writers.
 //!
-//! Every writer appends one entry of 256 bytes and waits until it is durable, then the next.
+//! Each writer appends one entry of 256 bytes and waits until it is durable before the next.
 
-#![allow(
-    clippy::expect_used,
-    reason = "a bench without its disk has nothing to measure"
-)]
+#![allow(clippy::expect_used, reason = "a benchmark can't run without its disk")]
 #![allow(
     missing_docs,
-    reason = "the macros of the bench library make undocumented items"
+    reason = "the macros of criterion generate undocumented items"
 )]
 
 use std::sync::mpsc::{Sender, channel};
@@ -27,13 +24,13 @@
 const WRITERS: [usize; 3] = [1, 8, 64];
 const COMMAND_BYTES: usize = 256;
 
-/// A writer that waits for its ticket.
+/// A writer that waits until its ticket is durable.
 struct WaitingWriter {
     ticket: u64,
     wake: Sender<()>,
 }
 
-/// Submits in log order and remembers whom to wake.
+/// Submits entries in log order and stores the waiting writers.
 struct WriterQueue {
     commit: CommitThread,
     next: LogIndex,
@@ -66,7 +63,7 @@
     }
 }
 
-/// Appends `entries` from `writers` threads and returns the time taken.
+/// Appends `entries` from `writers` threads and returns the elapsed time.
 fn append_all(writers: usize, requests_per_sync: usize, entries: u64) -> Duration {
     let folder = tempfile::tempdir().expect("a folder");
     let queue = Mutex::new(start_queue(&folder, requests_per_sync));
--- a/crates/store/benches/restart.rs
+++ b/crates/store/benches/restart.rs
@@ -1,12 +1,9 @@
-//! Time to open a folder after many changes, and its size, with and without snapshots.
+//! Measures the time to open a folder after many changes, and its size, with and without snapshots.
 
-#![allow(
-    clippy::expect_used,
-    reason = "a bench without its disk has nothing to measure"
-)]
+#![allow(clippy::expect_used, reason = "a benchmark can't run without its disk")]
 #![allow(
     missing_docs,
-    reason = "the macros of the bench library make undocumented items"
+    reason = "the macros of criterion generate undocumented items"
 )]
 
 use std::hint::black_box;
@@ -25,10 +22,10 @@
 
 const CHANGE_BYTES: usize = 1_024;
 const CHANGES_PER_SYNC: u64 = 16;
-/// State after any number of changes: as large as 200 changes.
+/// Size of the state in bytes after any number of changes, equal to 200 changes.
 const STATE_BYTES: usize = 200 * CHANGE_BYTES;
 
-/// Changes, and changes between snapshots; 0 takes none.
+/// Number of changes, and number of changes between snapshots; 0 disables snapshots.
 const CASES: [(u64, u64); 5] = [
     (100, 0),
     (1_000, 0),
--- a/crates/store/tests/store/commit.rs
+++ b/crates/store/tests/store/commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: one sync for all who wait, in order, and none after a fault.
+//! Group commit: one sync for all queued requests, in order, and no commit after an error.
 
 use std::sync::mpsc::channel;
 
@@ -10,15 +10,15 @@
 
 use crate::workload::{entry, snapshot};
 
-/// Blocks each call until the test lets it go, and fails at the call of the given number.
-struct GateStore {
+/// Blocks each call until the test releases it, and fails at call number `fail_at`.
+struct BlockingStore {
     entered: std::sync::mpsc::Sender<Vec<LogIndex>>,
     gate: std::sync::mpsc::Receiver<()>,
     fail_at: u64,
     calls: u64,
 }
 
-impl GateStore {
+impl BlockingStore {
     fn call(&mut self, entries: Vec<LogIndex>) -> Result<SyncMark, StoreError> {
         self.calls += 1;
         drop(self.entered.send(entries));
@@ -35,7 +35,7 @@
     }
 }
 
-impl LogStore for GateStore {
+impl LogStore for BlockingStore {
     fn persist(&mut self, batch: &PersistBatch) -> Result<SyncMark, StoreError> {
         self.call(batch.entries.iter().map(|entry| entry.index).collect())
     }
@@ -64,14 +64,15 @@
     })
 }
 
-/// The caller sees: writers that came during a sync share the next; a snapshot keeps its place;
-/// after a failed sync nothing more is reported durable, and further requests are refused.
+// Guards against one sync per request, a snapshot out of order, and a request that is reported
+// durable after a failed sync. Requests that arrive during a sync share the next one, and requests
+// after the failed sync are refused.
 #[test]
-fn waiting_requests_share_one_sync_until_a_fault() {
+fn queued_requests_share_one_sync_until_an_error() {
     let (entered, calls) = channel();
     let (open_gate, gate) = channel();
     let (report, reports) = channel();
-    let store = GateStore {
+    let store = BlockingStore {
         entered,
         gate,
         fail_at: 4,
--- a/crates/store/tests/store/crash.rs
+++ b/crates/store/tests/store/crash.rs
@@ -1,4 +1,4 @@
-//! Power loss and disk errors at every write and every sync.
+//! Power loss and disk errors at every write and sync.
 
 use std::io::ErrorKind;
 
@@ -6,41 +6,41 @@
 use pollendrift_store::{LogStore, PersistBatch, RecoveredLog, StoreError};
 
 use crate::fault_files::{Fault, FaultFiles};
-use crate::workload::{entry, expect, open, run, script};
+use crate::workload::{entry, expected_after, open, run, script};
 
 const SEEDS: [u64; 4] = [1, 20, 300, 4_000];
 
-/// What a run with a fault left behind.
+/// Files and expected states after a run with a fault.
 struct Interrupted {
     files: FaultFiles,
-    answered: RecoveredLog,
-    /// What the failed call would have made.
+    acknowledged: RecoveredLog,
+    /// State that the failed call would have produced.
     attempted: RecoveredLog,
     /// Error of the failed call and of the one after it.
     errors: Vec<StoreError>,
 }
 
-/// Plays the script up to the fault; `None` if the fault lies behind its end.
+/// Runs the script up to the fault; returns `None` if the script ends before the fault.
 fn interrupt(step: u64, fault: Fault) -> Option<Interrupted> {
     let files = FaultFiles::default();
     files.fail_after(step, fault);
-    let mut answered = RecoveredLog::default();
+    let mut acknowledged = RecoveredLog::default();
     let mut opened = match open(&files) {
         Ok(opened) => opened,
         Err(error) => {
-            let attempted = answered.clone();
+            let attempted = acknowledged.clone();
             return Some(Interrupted {
                 files,
-                answered,
+                acknowledged,
                 attempted,
                 errors: vec![error],
             });
         }
     };
     for call in script() {
-        let attempted = expect(&answered, &call);
+        let attempted = expected_after(&acknowledged, &call);
         let Err(error) = run(&mut opened.store, &call) else {
-            answered = attempted;
+            acknowledged = attempted;
             continue;
         };
         let again = PersistBatch {
@@ -53,7 +53,7 @@
             .expect_err("a stopped store refuses");
         return Some(Interrupted {
             files,
-            answered,
+            acknowledged,
             attempted,
             errors: vec![error, refused],
         });
@@ -61,12 +61,11 @@
     None
 }
 
-/// The caller sees: what was answered is there after the restart, whole and in order.
-/// Power is lost at each write, sync, rename and removal in turn; of what was not yet synced, any
-/// part survives, with holes. Recovery gives the answered state or that of the call in flight:
-/// one frame is one sync, so nothing in between can be read.
+// Guards against loss of acknowledged changes. Power fails at each write, sync, rename and removal in
+// turn, and any part of the unsynced data survives, with holes. Recovery gives the acknowledged state
+// or that of the call in progress: one frame is one sync, so no intermediate state can be read.
 #[test]
-fn power_loss_at_every_step_loses_nothing_answered() {
+fn power_loss_at_any_step_keeps_all_acknowledged_changes() {
     let mut step = 0;
     while let Some(first) = interrupt(step, Fault::PowerLoss) {
         drop(first);
@@ -80,10 +79,10 @@
     assert!(step > 100, "the script has only {step} steps");
 }
 
-/// The caller sees: a second power loss, in the middle of the recovery from the first, changes
-/// nothing. Recovery only cuts, removes and syncs what a first recovery would handle the same way.
+// Guards against loss of acknowledged changes by a second power loss during the recovery from the
+// first. Recovery only truncates, removes and syncs, so a second recovery gives the same state.
 #[test]
-fn power_loss_during_recovery_loses_nothing_answered() {
+fn power_loss_during_recovery_keeps_all_acknowledged_changes() {
     let mut step = 0;
     while interrupt(step, Fault::PowerLoss).is_some() {
         for recovery_step in 0..12 {
@@ -98,43 +97,43 @@
     }
 }
 
-/// The caller sees: an error at the failed call, and a refusal for every call after it.
-/// A disk that is full or fails once at each step stops the store; the failed sync is not tried
-/// again, as the pages may be gone. After the restart what was answered is there.
+// Guards against a success after a failed sync, which may have dropped its pages. A full disk or one
+// error at any step stops the store: it refuses all later calls and does not repeat the sync. After a
+// restart all acknowledged changes are present.
 #[test]
-fn a_disk_error_at_every_step_stops_the_store() {
+fn a_disk_error_at_any_step_stops_the_store() {
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
         let mut step = 0;
         while let Some(run) = interrupt(step, Fault::Error(kind)) {
-            let place = format!("step {step} {kind:?}");
+            let context = format!("step {step} {kind:?}");
             let full = matches!(run.errors[0], StoreError::DiskFull { .. });
             assert_eq!(
                 full,
                 kind == ErrorKind::StorageFull,
-                "{place}: {}",
+                "{context}: {}",
                 run.errors[0]
             );
             if let Some(refused) = run.errors.get(1) {
                 assert!(
                     matches!(refused, StoreError::Stopped { .. }),
-                    "{place}: {refused}"
+                    "{context}: {refused}"
                 );
             }
             run.files.restore_power(step);
-            check_recovery(&run, &place);
+            check_recovery(&run, &context);
             step += 1;
         }
     }
 }
 
-fn check_recovery(run: &Interrupted, place: &str) {
-    run.files.heal();
-    let opened = open(&run.files).unwrap_or_else(|error| panic!("{place}: {error}"));
+fn check_recovery(run: &Interrupted, context: &str) {
+    run.files.clear_fault();
+    let opened = open(&run.files).unwrap_or_else(|error| panic!("{context}: {error}"));
     let found = &opened.recovered;
     assert!(
-        *found == run.answered || *found == run.attempted,
-        "{place}: read {found:#?}, answered {:#?}",
-        run.answered
+        *found == run.acknowledged || *found == run.attempted,
+        "{context}: read {found:#?}, acknowledged {:#?}",
+        run.acknowledged
     );
     let mut store = opened.store;
     let next = found.entries.last().map_or_else(
@@ -152,25 +151,26 @@
     };
     store
         .persist(&batch)
-        .unwrap_or_else(|error| panic!("{place}: {error}"));
+        .unwrap_or_else(|error| panic!("{context}: {error}"));
     drop(store);
-    let again = open(&run.files).unwrap_or_else(|error| panic!("{place}: {error}"));
+    let again = open(&run.files).unwrap_or_else(|error| panic!("{context}: {error}"));
     assert_eq!(
         again.recovered.entries.last(),
         Some(&entry(next, 9)),
-        "{place}"
+        "{context}"
     );
 }
 
-/// The caller sees: the script's end state after a plain restart, and a bounded folder.
+// Guards against a clean restart that changes the state, and against old files that remain in the
+// folder.
 #[test]
-fn a_whole_run_reads_back_the_same() {
+fn a_clean_restart_recovers_the_same_state() {
     let files = FaultFiles::default();
     let mut opened = open(&files).expect("fresh folder");
     let mut expected = RecoveredLog::default();
     for call in script() {
         run(&mut opened.store, &call).expect("no fault");
-        expected = expect(&expected, &call);
+        expected = expected_after(&expected, &call);
     }
     let usage = opened.store.usage();
     drop(opened);
@@ -194,16 +194,15 @@
     "#);
 }
 
-/// The caller sees: what a restarted store has read and answered from stays, through a power loss.
-/// A sync fails, so the pages are dropped but stay readable; the process is started again, reads
-/// them, and syncs: that sync succeeds and writes nothing. Only writing the end of the log anew
-/// puts on disk what was read.
+// Guards against loss of data that a restarted store has read and used. After a failed sync the pages
+// are dropped but stay readable. The restarted process reads them, and its own sync succeeds without
+// writing them; only rewriting the end of the log puts this data on disk.
 #[test]
-fn what_is_read_after_a_failed_sync_survives_a_power_loss() {
+fn data_read_after_a_failed_sync_survives_a_power_loss() {
     let mut step = 0;
     while let Some(run) = interrupt(step, Fault::Error(ErrorKind::Other)) {
-        let place = format!("step {step}");
-        let mut opened = open(&run.files).unwrap_or_else(|error| panic!("{place}: {error}"));
+        let context = format!("step {step}");
+        let mut opened = open(&run.files).unwrap_or_else(|error| panic!("{context}: {error}"));
         let batch = PersistBatch {
             hard: Some(HardState {
                 term: Term(50),
@@ -215,15 +214,15 @@
         opened
             .store
             .persist(&batch)
-            .unwrap_or_else(|error| panic!("{place}: {error}"));
+            .unwrap_or_else(|error| panic!("{context}: {error}"));
         drop(opened.store);
         run.files.restore_power(step);
-        let again = open(&run.files).unwrap_or_else(|error| panic!("{place}: {error}"));
+        let again = open(&run.files).unwrap_or_else(|error| panic!("{context}: {error}"));
         let expected = RecoveredLog {
             hard,
             ..opened.recovered
         };
-        assert_eq!(again.recovered, expected, "{place}");
+        assert_eq!(again.recovered, expected, "{context}");
         step += 1;
     }
 }
--- a/crates/store/tests/store/damage.rs
+++ b/crates/store/tests/store/damage.rs
@@ -1,12 +1,12 @@
-//! Damage that a crash can't cause: the keeper stops and says where.
+//! Damage that a crash can't cause: the store refuses to open and names the location.
 
 use pollendrift_store::{LogStore, StoreError};
 
 use crate::fault_files::FaultFiles;
 use crate::workload::{open, run, script};
 
-/// A folder with snapshots and several segments, after a plain stop.
-fn filled() -> FaultFiles {
+/// A folder with a snapshot and several segments, after a clean stop.
+fn filled_files() -> FaultFiles {
     let files = FaultFiles::default();
     let mut opened = open(&files).expect("fresh folder");
     for call in script().iter().take(7) {
@@ -30,12 +30,12 @@
         .expect("a log")
 }
 
-/// The operator sees: the keeper doesn't start and names file and offset.
-/// One bit of any synced file flips; also in the last frame, where a crash could have left a part
-/// but never a wrong bit. Taking it for a torn tail would drop an answered entry in silence.
+// Guards against silent loss of an acknowledged entry. One bit of a synced file flips, also in the
+// last frame; a crash can truncate that frame but never flip a bit, so it must not count as a torn
+// tail.
 #[test]
-fn one_flipped_bit_anywhere_stops_the_keeper() {
-    let files = filled();
+fn one_flipped_bit_in_any_file_prevents_the_start() {
+    let files = filled_files();
     for name in files.names() {
         for offset in 0..length(&files, &name) {
             let flip = |bytes: &mut Vec<u8>| bytes[offset] ^= 1 << (offset % 8);
@@ -50,11 +50,11 @@
     open(&files).expect("undamaged again");
 }
 
-/// The operator sees: the keeper doesn't start and names the missing file.
-/// Any one file vanishes; the seal of the segment before it gives the last segment away.
+// Guards against a start without one of the files. Each file is removed in turn; the sealing frame
+// of the previous segment shows that the last segment is missing.
 #[test]
-fn any_missing_file_stops_the_keeper() {
-    let files = filled();
+fn any_missing_file_prevents_the_start() {
+    let files = filled_files();
     let mut errors = Vec::new();
     for name in files.names() {
         let damaged = files.image();
@@ -75,16 +75,16 @@
     "#);
 }
 
-/// The operator sees: a report of the cut, and the entries before it.
-/// The last frame ends early at each byte, as after a crash during its write.
+// Guards against a start that fails, or loses earlier entries, after a crash during a write. The last
+// frame is truncated at each byte; recovery removes it and reports the torn tail.
 #[test]
-fn a_torn_tail_is_cut_at_every_length_and_reported() {
-    let files = filled();
+fn a_torn_tail_of_any_length_is_removed_and_reported() {
+    let files = filled_files();
     let name = last_segment(&files);
-    let whole = open(&files).expect("undamaged");
-    let entries = whole.recovered.entries.len();
-    let frames = whole.report.frames;
-    drop(whole);
+    let intact = open(&files).expect("undamaged");
+    let entries = intact.recovered.entries.len();
+    let frames = intact.report.frames;
+    drop(intact);
     let full = length(&files, &name);
     let mut cuts = 0;
     for cut in (0..full).rev() {
@@ -101,17 +101,17 @@
         if let Some(tail) = opened.report.torn_tail {
             assert_eq!(tail.offset + tail.bytes, cut as u64);
             drop(opened.store);
-            assert_eq!(open(&torn).expect("cut").report.torn_tail, None);
+            assert_eq!(open(&torn).expect("recovered").report.torn_tail, None);
         }
     }
     assert!(cuts > 100, "only {cuts} cuts of the last frame");
 }
 
-/// The operator sees: a torn segment that isn't the last is damage, not a tail.
-/// Were it cut, all later segments would be history without a middle.
+// Guards against a log with a gap. A truncated segment before the last is damage; if recovery removed
+// its end as a torn tail, the later segments would not continue it.
 #[test]
-fn a_cut_segment_before_the_last_stops_the_keeper() {
-    let files = filled();
+fn a_truncated_segment_before_the_last_prevents_the_start() {
+    let files = filled_files();
     let names: Vec<String> = files
         .names()
         .into_iter()
@@ -123,8 +123,8 @@
             let damaged = files.image();
             damaged.edit(name, |bytes| bytes.truncate(cut));
             let error = open(&damaged).err();
-            let stopped = matches!(error, Some(StoreError::Damaged { .. }));
-            assert!(stopped, "{name} cut to {cut}: {error:?}");
+            let is_damaged = matches!(error, Some(StoreError::Damaged { .. }));
+            assert!(is_damaged, "{name} truncated to {cut}: {error:?}");
         }
     }
 }
--- a/crates/store/tests/store/fault_files.rs
+++ b/crates/store/tests/store/fault_files.rs
@@ -1,4 +1,4 @@
-//! Files in memory that fail or lose power at a chosen step.
+//! In-memory files that fail or lose power at a given step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -9,14 +9,14 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-const SECTOR: usize = 512;
+const SECTOR_BYTES: usize = 512;
 
-/// What happens at the chosen step.
+/// Fault at the given step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// The step fails with this error, once; later steps work.
     Error(io::ErrorKind),
-    /// Power is lost: the step and all later ones fail.
+    /// Power is lost: this step and all later ones fail.
     PowerLoss,
 }
 
@@ -24,8 +24,8 @@
 struct FileData {
     content: Vec<u8>,
     synced: Vec<u8>,
-    /// Bytes that a failed sync has dropped: readable until power is lost, and no later sync writes
-    /// them, as their pages count as clean.
+    /// Ranges that a failed sync dropped. They stay readable until power is lost, but no later sync
+    /// writes them, because their pages count as clean.
     dropped: Vec<Range<usize>>,
 }
 
@@ -52,7 +52,7 @@
     locked: bool,
 }
 
-/// A folder in memory; clones share it.
+/// An in-memory folder; clones share it.
 #[derive(Clone, Default)]
 pub(crate) struct FaultFiles {
     disk: Arc<Mutex<Disk>>,
@@ -62,26 +62,27 @@
     fn disk(&self) -> MutexGuard<'_, Disk> {
         self.disk
             .lock()
-            .expect("no test panics while it holds the disk")
+            .expect("no test panics while it locks the disk")
     }
 
-    /// Sets the fault for the step `after` steps from now.
+    /// Sets the fault for the step after `after` further steps.
     pub(crate) fn fail_after(&self, after: u64, fault: Fault) {
         let mut disk = self.disk();
         disk.fault = Some((disk.steps + after, fault));
     }
 
-    /// Takes the fault away.
-    pub(crate) fn heal(&self) {
+    /// Removes the fault.
+    pub(crate) fn clear_fault(&self) {
         self.disk().fault = None;
     }
 
-    /// Whether power is lost.
+    /// Whether power has been lost.
     pub(crate) fn is_off(&self) -> bool {
         self.disk().off
     }
 
-    /// Power returns: of what was not synced, names are old or new and content is a part.
+    /// Restores power. Each unsynced name is the old or the new one, and a random part of unsynced
+    /// content remains.
     pub(crate) fn restore_power(&self, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut disk = self.disk();
@@ -93,17 +94,17 @@
             .collect();
         let mut kept = BTreeMap::new();
         for name in names {
-            let side = if random.random() {
+            let source = if random.random() {
                 &disk.names
             } else {
                 &disk.synced_names
             };
-            if let Some(inode) = side.get(&name) {
+            if let Some(inode) = source.get(&name) {
                 kept.insert(name, *inode);
             }
         }
         for file in disk.files.values_mut() {
-            let bytes = keep_part(file, &mut random);
+            let bytes = surviving_bytes(file, &mut random);
             file.content.clone_from(&bytes);
             file.synced = bytes;
         }
@@ -118,7 +119,7 @@
         self.disk().names.keys().cloned().collect()
     }
 
-    /// Changes a file's bytes behind the store's back.
+    /// Changes the bytes of a file without the store.
     pub(crate) fn edit<F>(&self, name: &str, change: F)
     where
         F: FnOnce(&mut Vec<u8>),
@@ -129,7 +130,7 @@
         change(&mut file.content);
     }
 
-    /// The same bytes in new files, as a copy or a restored backup has them.
+    /// Returns the same bytes in new files, like a copy or a restored backup.
     pub(crate) fn copy(&self) -> Self {
         let copied = Self::default();
         let source = self.disk();
@@ -145,7 +146,7 @@
         copied
     }
 
-    /// The same disk again, file numbers included, as a disk image has it.
+    /// Returns the same files with the same inodes, like a disk image.
     pub(crate) fn image(&self) -> Self {
         let image = Self::default();
         let source = self.disk();
@@ -180,8 +181,8 @@
     }
 }
 
-/// A prefix of what was not synced, at times with a sector that was never written.
-fn keep_part<R>(file: &FileData, random: &mut R) -> Vec<u8>
+/// Returns the synced bytes and a random prefix of the unsynced ones, some of whose sectors are zero.
+fn surviving_bytes<R>(file: &FileData, random: &mut R) -> Vec<u8>
 where
     R: Rng,
 {
@@ -189,7 +190,7 @@
     let mut bytes = file.content[..random.random_range(synced..=file.content.len())].to_vec();
     let mut start = synced;
     while start < bytes.len() {
-        let end = ((start / SECTOR + 1) * SECTOR).min(bytes.len());
+        let end = ((start / SECTOR_BYTES + 1) * SECTOR_BYTES).min(bytes.len());
         if random.random_bool(0.3) {
             bytes[start..end].fill(0);
         }
--- a/crates/store/tests/store/identity.rs
+++ b/crates/store/tests/store/identity.rs
@@ -1,4 +1,4 @@
-//! Whose folder it is, and which life of its disk.
+//! Identity of a data folder: lock, host, incarnation and copies.
 
 use pollendrift_coordination::agreement::Membership;
 use pollendrift_coordination::base::Incarnation;
@@ -14,7 +14,7 @@
     }
 }
 
-fn filled() -> FaultFiles {
+fn filled_files() -> FaultFiles {
     let files = FaultFiles::default();
     let mut opened = open(&files).expect("fresh folder");
     opened.store.join_group(group()).expect("no fault");
@@ -22,37 +22,42 @@
     files
 }
 
-/// The operator sees: two daemons on one folder can't both start.
+// Guards against two daemons that write to one folder. The second start finds the folder locked.
 #[test]
 fn a_second_process_is_refused() {
-    let files = filled();
+    let files = filled_files();
     let first = open(&files).expect("free");
     insta::assert_snapshot!(open(&files).err().expect("locked"), @"data: in use by another process: stop it, or name another data folder");
     drop(first);
     open(&files).expect("free again");
 }
 
-/// The operator sees: a folder mounted on the wrong host is refused.
+// Guards against a keeper that runs on the folder of another host, for example one mounted on the
+// wrong host.
 #[test]
 fn a_folder_of_another_host_is_refused() {
-    let files = filled();
+    let files = filled_files();
     insta::assert_snapshot!(open_as(&files, "h2", 9).err().expect("refused"), @"data: belongs to host h1, not h2: name this host's own data folder, or empty it: the keeper joins as a learner");
 }
 
-/// The operator sees: a folder restored from a backup is refused.
-/// The copy holds an old vote and a short log; a keeper that voted by it could elect a leader that
-/// lacks accepted entries. The identity file knows its own inode and creation time.
+// Guards against a keeper that votes from a folder restored from a backup. The copy contains an old
+// vote and a short log, so its vote could elect a leader that lacks accepted entries. The identity
+// file stores its own inode and creation time, which differ in a copy.
 #[test]
 fn a_copied_folder_is_refused() {
-    let error = open(&filled().copy()).err().expect("refused");
+    let error = open(&filled_files().copy()).err().expect("refused");
     assert!(matches!(error, StoreError::Copied { .. }), "{error}");
 }
 
-/// The operator sees: an emptied folder comes back as another keeper that belongs to no group.
-/// It can't know its old votes, so nothing may take it for its former self.
+// Guards against an emptied folder that continues as its former incarnation. It has lost its votes,
+// so it must become a new keeper that belongs to no group.
 #[test]
 fn an_emptied_folder_has_another_incarnation() {
-    let before = open(&filled()).expect("free").store.identity().clone();
+    let before = open(&filled_files())
+        .expect("free")
+        .store
+        .identity()
+        .clone();
     let opened = open_as(&FaultFiles::default(), "h1", 1_001).expect("fresh");
     let after = opened.store.identity();
     assert!(opened.report.fresh);
@@ -60,11 +65,11 @@
     assert_eq!((before.group, &after.group), (Some(group()), &None));
 }
 
-/// The operator sees: a folder that lost its log, but not its identity, is another keeper too,
-/// also when the wall clock has gone back.
+// Guards against a folder without its log that continues as its former incarnation. The identity
+// file still exists, and the wall clock has gone back.
 #[test]
 fn an_emptied_log_has_a_higher_incarnation() {
-    let files = filled();
+    let files = filled_files();
     for name in files.names().iter().filter(|name| name.starts_with("log-")) {
         files.remove(name).expect("it exists");
     }
@@ -73,21 +78,24 @@
     assert_eq!(opened.store.identity().group, None);
 }
 
-/// Peers see: a disk image from before the last sync has a lower mark than they were told.
-/// Inodes are the same in an image, so only what others remember gives it away.
+// Guards against an old disk image that peers can't detect. Inodes are the same in an image, so only
+// a mark lower than the one that the keeper reported to its peers shows it.
 #[test]
 fn an_old_image_has_a_lower_mark() {
-    let files = filled();
+    let files = filled_files();
     let image = files.image();
     let mut opened = open(&files).expect("free");
-    let told = run(&mut opened.store, &script()[1]).expect("no fault");
-    let restored = open(&image).expect("an image passes for the folder").store;
-    assert!(restored.mark() < told);
+    let reported = run(&mut opened.store, &script()[1]).expect("no fault");
+    let restored = open(&image)
+        .expect("an image has the same fingerprint")
+        .store;
+    assert!(restored.mark() < reported);
     assert_eq!(restored.usage().segments, 1);
 }
 
-/// The operator sees: a fresh folder on a host whose clock went back still gets an incarnation that
-/// the group takes for a new one; a keeper that has voted never changes its own.
+// Guards against a fresh folder whose incarnation the group considers old, after the clock of the
+// host went back, and against a keeper that changes its incarnation after it joined a group and may
+// have voted.
 #[test]
 fn only_a_keeper_without_a_group_raises_its_incarnation() {
     let files = FaultFiles::default();
--- a/crates/store/tests/store/main.rs
+++ b/crates/store/tests/store/main.rs
@@ -1,9 +1,9 @@
-//! Contract of the log store: what survives which end of the process.
+//! Contract of the log store: which data survives a stop, a crash, a power loss or damage.
 
 #![allow(
     clippy::expect_used,
     clippy::panic,
-    reason = "helpers of tests fail like the tests themselves"
+    reason = "a failed helper fails its test"
 )]
 
 mod commit;
@@ -12,6 +12,6 @@
 mod fault_files;
 mod frames;
 mod identity;
-mod orders;
 mod outer_files;
+mod persist_requests;
 mod workload;
--- a/crates/store/tests/store/orders.rs
+++ b/crates/store/tests/store/persist_requests.rs
@@ -1,4 +1,4 @@
-//! Orders of the agreement core under power loss.
+//! Persist requests of the agreement state machine under power loss.
 
 use std::sync::mpsc::channel;
 
@@ -10,8 +10,8 @@
 use crate::fault_files::{Fault, FaultFiles};
 use crate::workload::{entry, open, snapshot};
 
-/// An order with entries `first..=last` of `term`.
-fn order(term: u64, first: u64, last: u64) -> PersistRequest {
+/// A persist request with entries `first..=last` of `term`.
+fn request(term: u64, first: u64, last: u64) -> PersistRequest {
     PersistRequest {
         sequence: PersistSequence(0),
         hard_state: Some(HardState {
@@ -23,7 +23,7 @@
     }
 }
 
-fn with_snapshot(index: u64, term: u64, order: PersistRequest) -> PersistRequest {
+fn with_snapshot(index: u64, term: u64, request: PersistRequest) -> PersistRequest {
     let snapshot = snapshot(index, term);
     let bytes = snapshot.state.into();
     PersistRequest {
@@ -31,37 +31,37 @@
             mark: snapshot.mark,
             bytes,
         }),
-        ..order
+        ..request
     }
 }
 
-fn truncated(from: u64, order: PersistRequest) -> PersistRequest {
+fn truncated(from: u64, request: PersistRequest) -> PersistRequest {
     PersistRequest {
         truncate_from: Some(LogIndex(from)),
-        ..order
+        ..request
     }
 }
 
-/// Appends, a replaced suffix, an own snapshot, a leader's snapshot over a log that disagrees with
-/// it, and one beyond the log.
-fn orders() -> Vec<PersistRequest> {
+/// Appends, a replaced suffix, an own snapshot, a snapshot from the leader that contradicts the log,
+/// and one that reaches beyond the log.
+fn requests() -> Vec<PersistRequest> {
     vec![
-        order(1, 1, 12),
-        order(1, 13, 20),
-        with_snapshot(17, 1, order(2, 21, 22)),
-        truncated(19, order(3, 19, 30)),
-        truncated(26, with_snapshot(25, 9, order(9, 26, 27))),
-        with_snapshot(60, 9, order(10, 61, 70)),
-        truncated(65, order(11, 65, 66)),
+        request(1, 1, 12),
+        request(1, 13, 20),
+        with_snapshot(17, 1, request(2, 21, 22)),
+        truncated(19, request(3, 19, 30)),
+        truncated(26, with_snapshot(25, 9, request(9, 26, 27))),
+        with_snapshot(60, 9, request(10, 61, 70)),
+        truncated(65, request(11, 65, 66)),
     ]
 }
 
-/// States that may be read back while `order` is written on top of `log`; the last is the whole.
-fn states(log: &RecoveredLog, order: &PersistRequest) -> Vec<RecoveredLog> {
+/// States that recovery may return while `request` is written after `log`; the last is complete.
+fn states(log: &RecoveredLog, request: &PersistRequest) -> Vec<RecoveredLog> {
     let mut states = vec![log.clone()];
     let mut log = log.clone();
-    log.hard = order.hard_state.clone().unwrap_or(log.hard);
-    if let Some(stored) = &order.snapshot {
+    log.hard = request.hard_state.clone().unwrap_or(log.hard);
+    if let Some(stored) = &request.snapshot {
         states.push(log.clone());
         let mark = &stored.mark;
         let agrees = log
@@ -73,21 +73,21 @@
         log.snapshot = Some(snapshot(mark.index.0, mark.term.0));
         states.push(log.clone());
     }
-    if let Some(from) = order.truncate_from {
+    if let Some(from) = request.truncate_from {
         log.entries.retain(|entry| entry.index < from);
     }
-    log.entries.extend(order.entries.iter().cloned());
+    log.entries.extend(request.entries.iter().cloned());
     states.push(log);
     states
 }
 
-/// The caller sees: after a power loss at any step the disk holds some prefix of the order in
-/// flight (hard state, snapshot, then truncation and entries), and all of the orders before it.
-/// A leader's snapshot that disagrees with the log takes the log's rest with it, also when power
-/// goes before the truncation is written. At first the rest came back where the entry that shows
-/// the disagreement had been removed with its segment.
+// Guards against a state that is no prefix of the writes. After a power loss at any step the disk
+// contains all earlier requests and some prefix of the request in progress: hard state, snapshot,
+// then truncation and entries. A snapshot from the leader that contradicts the log also removes the
+// rest of the log, even if power fails before the truncation is written and the segment with the
+// contradicting entry is already removed.
 #[test]
-fn power_loss_leaves_a_prefix_of_the_order_in_flight() {
+fn power_loss_leaves_a_prefix_of_the_request_in_progress() {
     for step in 0.. {
         let files = FaultFiles::default();
         let opened = open(&files).expect("fresh folder");
@@ -98,11 +98,11 @@
         let mut commit =
             CommitThread::start(store, CommitSettings::default(), send).expect("a thread");
         let mut possible = vec![RecoveredLog::default()];
-        for order in orders() {
+        for request in requests() {
             let before = possible.last().expect("never empty").clone();
-            possible = states(&before, &order);
+            possible = states(&before, &request);
             commit
-                .submit(CommitRequest::Agreement(order))
+                .submit(CommitRequest::Agreement(request))
                 .expect("it runs");
             let done: pollendrift_store::CommitReport = reports.recv().expect("a report");
             if done.result.is_err() {
@@ -124,7 +124,7 @@
             );
         }
         if finished {
-            assert!(step > 40, "the orders have only {step} steps");
+            assert!(step > 40, "the requests have only {step} steps");
             return;
         }
     }
--- a/crates/store/tests/store/workload.rs
+++ b/crates/store/tests/store/workload.rs
@@ -1,4 +1,4 @@
-//! A script of store calls, and the model of what must be read back after each.
+//! A script of store calls, and a model of the recovered state after each call.
 
 use pollendrift_coordination::agreement::{
     EntryPayload, HardState, LogEntry, LogIndex, SnapshotMetadata, Term,
@@ -11,7 +11,7 @@
 
 use crate::fault_files::FaultFiles;
 
-/// One call.
+/// One call of the store.
 pub(crate) enum Call {
     Persist(PersistBatch),
     Save(StoreSnapshot),
@@ -74,7 +74,7 @@
     })
 }
 
-/// Appends over several segments, a replaced suffix, own snapshots and two from a leader.
+/// Appends across several segments, replaced suffixes, own snapshots and two from the leader.
 pub(crate) fn script() -> Vec<Call> {
     let mut calls = vec![
         append(1, 12, 1),
@@ -109,8 +109,8 @@
     }
 }
 
-/// What must be read back after `call` on top of `log`.
-pub(crate) fn expect(log: &RecoveredLog, call: &Call) -> RecoveredLog {
+/// State that recovery must return after `call` is applied to `log`.
+pub(crate) fn expected_after(log: &RecoveredLog, call: &Call) -> RecoveredLog {
     let mut log = log.clone();
     match call {
         Call::Persist(batch) => {
