--- a/crates/border/src/lib.rs
+++ b/crates/border/src/lib.rs
@@ -1,7 +1,7 @@
 //! Types of the request and response bodies in the HTTP interfaces of pollendrift.
 //!
-//! `cargo-typify` generates the types from `schema/border.json`. The generated file is committed, so
-//! a build needs no generator. `CONTRIBUTING.md` contains the command.
+//! `cargo-typify` generates the types from `schema/border.json`. The generated file is committed,
+//! so a build needs no generator. `CONTRIBUTING.md` contains the command.
 
 #[allow(
     missing_docs,
--- a/crates/border/tests/interface_pages.rs
+++ b/crates/border/tests/interface_pages.rs
@@ -1,5 +1,5 @@
-//! Guards against examples in the interface pages that differ from the body types. Each example must
-//! decode into a type and encode back without a lost or added field.
+//! Guards against examples in the interface pages that differ from the body types. Each example
+//! must decode into a type and encode back without a lost or added field.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/dialect/src/servers.rs
+++ b/crates/dialect/src/servers.rs
@@ -87,7 +87,8 @@
     Started,
     /// The engine already holds the layers.
     AlreadyLoaded,
-    /// The engine has accepted another number of orders than expected, or can't accept this one now.
+    /// The engine has accepted another number of orders than expected, or can't accept this one
+    /// now.
     Conflict,
     /// The engine has received a higher fencing number.
     Fenced,
@@ -141,8 +142,8 @@
 
 /// Encodes requests to backend servers and decodes their answers.
 pub trait ServerDialect: Send + Sync {
-    /// Encodes the headers of a request: the caller's headers without hop-by-hop headers and the API
-    /// key, plus the headers of the router.
+    /// Encodes the headers of a request: the caller's headers without hop-by-hop headers and the
+    /// API key, plus the headers of the router.
     fn write(&self, request: &ServerRequest<'_>) -> HeaderMap;
 
     /// Decodes the head of an answer.
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -185,7 +185,7 @@
 }
 
 /// Aborts `read` after `limit`. Without this, an untrusted client that sends single bytes at long
-/// intervals would occupy memory without limit.
+/// intervals would occupy memory for an unlimited time.
 ///
 /// # Errors
 /// Returns [`ReadFailure::TooSlow`] after `limit`, and the errors of `read`.
@@ -201,15 +201,15 @@
 /// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// Returns [`ReadFailure::TooLarge`] as soon as the limit is exceeded, without reading the rest, and
-/// [`ReadFailure::EndedEarly`] if the body ends before its declared length.
+/// Returns [`ReadFailure::TooLarge`] as soon as the limit is exceeded, without reading the rest,
+/// and [`ReadFailure::EndedEarly`] if the body ends before its declared length.
 pub async fn read_bounded<B>(body: B, limit: usize) -> Result<Bytes, ReadFailure>
 where
     B: Body<Data = Bytes>,
     B::Error: std::fmt::Display,
 {
-    // Refuses a body whose declared length exceeds the limit before storing any byte. If such bodies
-    // were read up to the limit first, many of them at once would fill the memory.
+    // Refuses a body whose declared length exceeds the limit before storing any byte. If such
+    // bodies were read up to the limit first, many of them at once would fill the memory.
     let declared = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if declared > limit {
         return Err(ReadFailure::TooLarge { limit });
@@ -234,8 +234,8 @@
 /// Reads a JSON body of at most `limit` bytes.
 ///
 /// # Errors
-/// Returns the errors of [`read_bounded`], and [`ReadFailure::Malformed`] if the bytes are not valid
-/// JSON for `T`.
+/// Returns the errors of [`read_bounded`], and [`ReadFailure::Malformed`] if the bytes are not
+/// valid JSON for `T`.
 pub async fn read_json<T, B>(body: B, limit: usize) -> Result<T, ReadFailure>
 where
     T: DeserializeOwned,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -190,8 +190,8 @@
     /// Reads the next line without its newline; returns `None` at the end of the body.
     ///
     /// # Errors
-    /// Returns [`ClientError::NoAnswer`] if the connection fails or the stream ends inside a line, and
-    /// [`ClientError::BadAnswer`] if a line is too long.
+    /// Returns [`ClientError::NoAnswer`] if the connection fails or the stream ends inside a line,
+    /// and [`ClientError::BadAnswer`] if a line is too long.
     pub async fn next_line(&mut self) -> Result<Option<Bytes>, ClientError> {
         loop {
             if let Some(line) = self.take_line() {
--- a/crates/http/src/pool.rs
+++ b/crates/http/src/pool.rs
@@ -2,8 +2,8 @@
 //! connection.
 //!
 //! The pool of a general HTTP client reuses a connection after any complete response. In this pool
-//! the caller decides: if a server sends a second response or invalid bytes, the next request on its
-//! connection would read a wrong response.
+//! the caller decides: if a server sends a second response or invalid bytes, the next request on
+//! its connection would read a wrong response.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -114,8 +114,9 @@
 impl ConnectionPool {
     /// Creates a pool without connections that measures idle time with `clock`.
     ///
-    /// The clock should advance while the machine is suspended. Otherwise the pool reuses connections
-    /// that their servers closed long ago, and it is unknown whether a request sent on one has run.
+    /// The clock should advance while the machine is suspended. Otherwise the pool reuses
+    /// connections that their servers closed long ago, and it is unknown whether a request sent on
+    /// one has run.
     pub fn new(settings: PoolSettings, clock: PoolClock) -> Self {
         Self {
             settings,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Sends a request and waits for the head of the response. The request line contains the path and
-    /// query of the URI; headers are sent unchanged.
+    /// Sends a request and waits for the head of the response. The request line contains the path
+    /// and query of the URI; headers are sent unchanged.
     ///
     /// # Errors
     /// Returns [`ClientError::NotSent`] only if no byte of the request left this host, otherwise
@@ -250,8 +251,8 @@
 
 /// Configures the operating system to close a connection whose peer acknowledges nothing.
 ///
-/// A frozen host, a network partition or a dropped connection sends no reset. Without this, a request
-/// would wait until its deadline.
+/// A frozen host, a network partition or a dropped connection sends no reset. Without this, a
+/// request would wait until its deadline.
 fn set_silence_timeout(stream: &TcpStream, timeout: Duration) {
     let socket = SockRef::from(stream);
     let probe_delay = timeout / 3;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -89,8 +89,8 @@
 
 /// Number of open connections from each address.
 ///
-/// Invariant: contains no address with a count of zero, so the number of open connections limits its
-/// size.
+/// Invariant: contains no address with a count of zero, so the number of open connections limits
+/// its size.
 #[derive(Debug, Default)]
 struct ConnectionTable {
     counts: Mutex<BTreeMap<IpAddr, usize>>,
--- a/crates/store/src/commit.rs
+++ b/crates/store/src/commit.rs
@@ -112,8 +112,8 @@
         })
     }
 
-    /// Queues a request and returns its ticket; a report with this ticket or a later one confirms that
-    /// the request is durable.
+    /// Queues a request and returns its ticket; a report with this ticket or a later one confirms
+    /// that the request is durable.
     ///
     /// # Errors
     /// Fails if the queue is full or the store has stopped; the request is not queued.
@@ -150,8 +150,8 @@
 
 /// Commits requests until the queue closes or a write fails.
 ///
-/// The receiver is the last parameter, so it is dropped first at the end. A caller that received the
-/// last report therefore can't queue another request.
+/// The receiver is the last parameter, so it is dropped first at the end. A caller that received
+/// the last report therefore can't queue another request.
 fn run_commits<F>(
     mut report: F,
     mut store: Box<dyn LogStore>,
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -62,8 +62,8 @@
 
 /// Reads the frame at `offset` of a file's `bytes`; never fails or panics on any input.
 ///
-/// A crash can only truncate the file or leave complete sectors of the last frame zero; such a frame
-/// is torn. Any other invalid frame was complete once and is damaged. The header has its own
+/// A crash can only truncate the file or leave complete sectors of the last frame zero; such a
+/// frame is torn. Any other invalid frame was complete once and is damaged. The header has its own
 /// checksum, because a flipped bit of the length would otherwise look like a truncated file.
 #[must_use]
 pub fn scan_frame(bytes: &[u8], offset: usize) -> FrameScan<'_> {
--- a/crates/store/src/identity.rs
+++ b/crates/store/src/identity.rs
@@ -52,8 +52,8 @@
 /// Reads or creates the identity and increments its number of opens.
 ///
 /// An emptied folder has lost the incarnation under which it voted, so the wall clock in
-/// milliseconds gives the new incarnation. If a folder lost only its log, the new incarnation is also
-/// higher than the stored one.
+/// milliseconds gives the new incarnation. If a folder lost only its log, the new incarnation is
+/// also higher than the stored one.
 pub(crate) fn open_identity(
     files: &dyn FileSystem,
     host: &HostName,
@@ -139,9 +139,10 @@
 /// Whether the fingerprints show that the file is a copy.
 ///
 /// Some file systems store no creation time and renumber their files at every start of a process.
-/// There every restart would look like a copy, and the keeper would refuse its own disk for ever, so
-/// this check is skipped. On these file systems only the other keepers detect an old image of a
-/// disk: they store the position that this keeper acknowledged, and refuse a start with a lower one.
+/// There every restart would look like a copy, and the keeper would refuse its own disk for ever,
+/// so this check is skipped. On these file systems only the other keepers detect an old image of a
+/// disk: they store the position that this keeper acknowledged, and refuse a start with a lower
+/// one.
 fn is_copied(written: FileFingerprint, found: FileFingerprint) -> bool {
     let has_creation_time = written.created != 0 || found.created != 0;
     has_creation_time && written != found
--- a/crates/store/src/log_store.rs
+++ b/crates/store/src/log_store.rs
@@ -47,8 +47,8 @@
 
 /// Position in the write history of a data folder; increases with every sync.
 ///
-/// Peers store the highest mark that a keeper has reported. A keeper that restarts with a lower mark
-/// runs on an old copy of its disk.
+/// Peers store the highest mark that a keeper has reported. A keeper that restarts with a lower
+/// mark runs on an old copy of its disk.
 #[derive(
     Clone,
     Copy,
--- a/crates/store/src/snapshot.rs
+++ b/crates/store/src/snapshot.rs
@@ -20,8 +20,8 @@
 
 /// Writes a snapshot and returns its size in bytes; the earlier snapshot remains.
 ///
-/// Only a complete and synced file gets the name of a snapshot. After a crash the newest snapshot is
-/// therefore either the earlier one or this one, and always complete.
+/// Only a complete and synced file gets the name of a snapshot. After a crash the newest snapshot
+/// is therefore either the earlier one or this one, and always complete.
 pub(crate) fn write_snapshot(
     files: &dyn FileSystem,
     snapshot: &StoreSnapshot,
--- a/crates/store/tests/store/crash.rs
+++ b/crates/store/tests/store/crash.rs
@@ -61,9 +61,10 @@
     None
 }
 
-// Guards against loss of acknowledged changes. Power fails at each write, sync, rename and removal in
-// turn, and any part of the unsynced data survives, with holes. Recovery gives the acknowledged state
-// or that of the call in progress: one frame is one sync, so no intermediate state can be read.
+// Guards against loss of acknowledged changes. Power fails at each write, sync, rename and removal
+// in turn, and any part of the unsynced data survives, with holes. Recovery gives the acknowledged
+// state or that of the call in progress: one frame is one sync, so no intermediate state can be
+// read.
 #[test]
 fn power_loss_at_any_step_keeps_all_acknowledged_changes() {
     let mut step = 0;
@@ -97,9 +98,9 @@
     }
 }
 
-// Guards against a success after a failed sync, which may have dropped its pages. A full disk or one
-// error at any step stops the store: it refuses all later calls and does not repeat the sync. After a
-// restart all acknowledged changes are present.
+// Guards against a success after a failed sync, which may have dropped its pages. A full disk or
+// one error at any step stops the store: it refuses all later calls and does not repeat the sync.
+// After a restart all acknowledged changes are present.
 #[test]
 fn a_disk_error_at_any_step_stops_the_store() {
     for kind in [ErrorKind::StorageFull, ErrorKind::Other] {
@@ -194,9 +195,9 @@
     "#);
 }
 
-// Guards against loss of data that a restarted store has read and used. After a failed sync the pages
-// are dropped but stay readable. The restarted process reads them, and its own sync succeeds without
-// writing them; only rewriting the end of the log puts this data on disk.
+// Guards against loss of data that a restarted store has read and used. After a failed sync the
+// pages are dropped but stay readable. The restarted process reads them, and its own sync succeeds
+// without writing them; only rewriting the end of the log puts this data on disk.
 #[test]
 fn data_read_after_a_failed_sync_survives_a_power_loss() {
     let mut step = 0;
--- a/crates/store/tests/store/damage.rs
+++ b/crates/store/tests/store/damage.rs
@@ -75,8 +75,8 @@
     "#);
 }
 
-// Guards against a start that fails, or loses earlier entries, after a crash during a write. The last
-// frame is truncated at each byte; recovery removes it and reports the torn tail.
+// Guards against a start that fails, or loses earlier entries, after a crash during a write. The
+// last frame is truncated at each byte; recovery removes it and reports the torn tail.
 #[test]
 fn a_torn_tail_of_any_length_is_removed_and_reported() {
     let files = filled_files();
@@ -107,8 +107,8 @@
     assert!(cuts > 100, "only {cuts} cuts of the last frame");
 }
 
-// Guards against a log with a gap. A truncated segment before the last is damage; if recovery removed
-// its end as a torn tail, the later segments would not continue it.
+// Guards against a log with a gap. A truncated segment before the last is damage; if recovery
+// removed its end as a torn tail, the later segments would not continue it.
 #[test]
 fn a_truncated_segment_before_the_last_prevents_the_start() {
     let files = filled_files();
--- a/crates/store/tests/store/fault_files.rs
+++ b/crates/store/tests/store/fault_files.rs
@@ -181,7 +181,8 @@
     }
 }
 
-/// Returns the synced bytes and a random prefix of the unsynced ones, some of whose sectors are zero.
+/// Returns the synced bytes and a random prefix of the unsynced ones, some of whose sectors are
+/// zero.
 fn surviving_bytes<R>(file: &FileData, random: &mut R) -> Vec<u8>
 where
     R: Rng,
--- a/crates/store/tests/store/frames.rs
+++ b/crates/store/tests/store/frames.rs
@@ -15,7 +15,8 @@
         }
     }
 
-    // Guards against accepting bytes with a zeroed end, as a crash leaves them, as a complete frame.
+    // Guards against accepting bytes with a zeroed end, as a crash leaves them, as a complete
+    // frame.
     #[test]
     fn bytes_with_a_zeroed_end_are_torn_or_damaged(mut bytes in vec(any::<u8>(), 16..600), zero_from in 0usize..600) {
         let from = zero_from.min(bytes.len());
--- a/crates/store/tests/store/identity.rs
+++ b/crates/store/tests/store/identity.rs
@@ -78,8 +78,8 @@
     assert_eq!(opened.store.identity().group, None);
 }
 
-// Guards against an old disk image that peers can't detect. Inodes are the same in an image, so only
-// a mark lower than the one that the keeper reported to its peers shows it.
+// Guards against an old disk image that peers can't detect. Inodes are the same in an image, so
+// only a mark lower than the one that the keeper reported to its peers shows it.
 #[test]
 fn an_old_image_has_a_lower_mark() {
     let files = filled_files();
--- a/crates/store/tests/store/persist_requests.rs
+++ b/crates/store/tests/store/persist_requests.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Appends, a replaced suffix, an own snapshot, a snapshot from the leader that contradicts the log,
-/// and one that reaches beyond the log.
+/// Appends, a replaced suffix, an own snapshot, a snapshot from the leader that contradicts the
+/// log, and one that reaches beyond the log.
 fn requests() -> Vec<PersistRequest> {
     vec![
         request(1, 1, 12),
