--- a/crates/http/tests/pool_reuse.rs
+++ b/crates/http/tests/pool_reuse.rs
@@ -23,7 +23,7 @@
 
 /// Starts a server that sends an empty response to every request and counts its connections.
 async fn start_server() -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let connections = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&connections);
@@ -44,7 +44,10 @@
         if received.ends_with(b"\r\n\r\n") {
             received.clear();
             let response = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
-            stream.write_all(response).await.expect("written");
+            stream
+                .write_all(response)
+                .await
+                .expect("response is written");
         }
     }
 }
@@ -77,13 +80,13 @@
 // so it can't have run the request.
 #[tokio::test]
 async fn a_refused_connection_is_reported_as_not_sent() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let pool = ConnectionPool::new(PoolSettings::default(), clock);
     let answer = pool
         .send(address, Request::new(Full::new(Bytes::new())))
         .await;
-    let error = answer.err().expect("nobody listens");
+    let error = answer.err().expect("no server listens");
     assert!(matches!(error, ClientError::NotSent { .. }), "{error}");
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -15,7 +15,7 @@
     DiskFull {
         /// Operation that failed.
         action: &'static str,
-        /// File or folder.
+        /// Path of the file or folder.
         path: String,
     },
     /// The disk or file system failed.
@@ -26,7 +26,7 @@
     Disk {
         /// Operation that failed.
         action: &'static str,
-        /// File or folder.
+        /// Path of the file or folder.
         path: String,
         /// Error of the operating system.
         source: Arc<io::Error>,
@@ -37,7 +37,7 @@
          the keeper joins again as a learner"
     )]
     Damaged {
-        /// File.
+        /// Path of the file.
         path: String,
         /// Offset of the damage in bytes.
         offset: u64,
@@ -60,7 +60,7 @@
         "{path}: format {found} is not known (known: {known}): run the version that wrote it"
     )]
     UnknownFormat {
-        /// File.
+        /// Path of the file.
         path: String,
         /// Format number in the file.
         found: u32,
@@ -70,7 +70,7 @@
     /// Another process holds the lock of the folder.
     #[display("{folder}: in use by another process: stop it, or name another data folder")]
     Locked {
-        /// Data folder.
+        /// Path of the data folder.
         folder: String,
     },
     /// The folder was formatted for another host.
@@ -79,7 +79,7 @@
          empty it: the keeper joins as a learner"
     )]
     OtherHost {
-        /// Data folder.
+        /// Path of the data folder.
         folder: String,
         /// Host in the identity file.
         found: HostName,
@@ -92,7 +92,7 @@
          again as a learner"
     )]
     Copied {
-        /// Data folder.
+        /// Path of the data folder.
         folder: String,
         /// Differences that show the copy.
         reason: String,
--- a/crates/store/src/log_store.rs
+++ b/crates/store/src/log_store.rs
@@ -9,14 +9,14 @@
 pub struct PersistBatch {
     /// New hard state; `None` keeps the current one.
     pub hard: Option<HardState>,
-    /// First index to drop before appending.
+    /// First index to remove before appending.
     pub truncate_from: Option<LogIndex>,
     /// Entries to append, without gaps.
     pub entries: Vec<LogEntry>,
 }
 
 impl PersistBatch {
-    /// Whether there is nothing to write.
+    /// Whether the batch changes nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hard.is_none() && self.truncate_from.is_none() && self.entries.is_empty()
--- a/crates/store/tests/store/crash.rs
+++ b/crates/store/tests/store/crash.rs
@@ -167,15 +167,15 @@
 #[test]
 fn a_clean_restart_recovers_the_same_state() {
     let files = FaultFiles::default();
-    let mut opened = open(&files).expect("fresh folder");
+    let mut opened = open(&files).expect("a fresh folder");
     let mut expected = RecoveredLog::default();
     for call in script() {
-        run(&mut opened.store, &call).expect("no fault");
+        run(&mut opened.store, &call).expect("no injected fault");
         expected = expected_after(&expected, &call);
     }
     let usage = opened.store.usage();
     drop(opened);
-    let again = open(&files).expect("restart");
+    let again = open(&files).expect("the store restarts");
     assert_eq!(again.recovered, expected);
     assert_eq!(again.report.torn_tail, None);
     insta::assert_debug_snapshot!((usage, files.names()), @r#"
--- a/crates/store/tests/store/damage.rs
+++ b/crates/store/tests/store/damage.rs
@@ -8,9 +8,9 @@
 /// A folder with a snapshot and several segments, after a clean stop.
 fn filled_files() -> FaultFiles {
     let files = FaultFiles::default();
-    let mut opened = open(&files).expect("fresh folder");
+    let mut opened = open(&files).expect("a fresh folder");
     for call in script().iter().take(7) {
-        run(&mut opened.store, call).expect("no fault");
+        run(&mut opened.store, call).expect("no injected fault");
     }
     assert!(opened.store.usage().segments >= 3);
     files
@@ -27,7 +27,7 @@
     names
         .into_iter()
         .rfind(|name| name.starts_with("log-"))
-        .expect("a log")
+        .expect("a log segment")
 }
 
 // Guards against silent loss of an acknowledged entry. One bit of a synced file flips, also in the
@@ -47,7 +47,7 @@
             files.edit(&name, flip);
         }
     }
-    open(&files).expect("undamaged again");
+    open(&files).expect("the damage is reverted");
 }
 
 // Guards against a start without one of the files. Each file is removed in turn; the sealing frame
@@ -58,7 +58,7 @@
     let mut errors = Vec::new();
     for name in files.names() {
         let damaged = files.image();
-        pollendrift_store::FileSystem::remove(&damaged, &name).expect("it exists");
+        pollendrift_store::FileSystem::remove(&damaged, &name).expect("the file exists");
         let error = open(&damaged)
             .err()
             .map_or("opened".to_owned(), |error| error.to_string());
@@ -81,7 +81,7 @@
 fn a_torn_tail_of_any_length_is_removed_and_reported() {
     let files = filled_files();
     let name = last_segment(&files);
-    let intact = open(&files).expect("undamaged");
+    let intact = open(&files).expect("the folder is undamaged");
     let entries = intact.recovered.entries.len();
     let frames = intact.report.frames;
     drop(intact);
@@ -117,7 +117,7 @@
         .into_iter()
         .filter(|name| name.starts_with("log-"))
         .collect();
-    let (_, earlier) = names.split_last().expect("a log");
+    let (_, earlier) = names.split_last().expect("a log segment");
     for name in earlier {
         for cut in 0..length(&files, name) {
             let damaged = files.image();
--- a/crates/store/tests/store/identity.rs
+++ b/crates/store/tests/store/identity.rs
@@ -16,9 +16,9 @@
 
 fn filled_files() -> FaultFiles {
     let files = FaultFiles::default();
-    let mut opened = open(&files).expect("fresh folder");
-    opened.store.join_group(group()).expect("no fault");
-    run(&mut opened.store, &script()[0]).expect("no fault");
+    let mut opened = open(&files).expect("a fresh folder");
+    opened.store.join_group(group()).expect("no injected fault");
+    run(&mut opened.store, &script()[0]).expect("no injected fault");
     files
 }
 
@@ -26,10 +26,10 @@
 #[test]
 fn a_second_process_is_refused() {
     let files = filled_files();
-    let first = open(&files).expect("free");
-    insta::assert_snapshot!(open(&files).err().expect("locked"), @"data: in use by another process: stop it, or name another data folder");
+    let first = open(&files).expect("the folder is unlocked");
+    insta::assert_snapshot!(open(&files).err().expect("the folder is locked"), @"data: in use by another process: stop it, or name another data folder");
     drop(first);
-    open(&files).expect("free again");
+    open(&files).expect("the folder is unlocked again");
 }
 
 // Guards against a keeper that runs on the folder of another host, for example one mounted on the
@@ -37,7 +37,7 @@
 #[test]
 fn a_folder_of_another_host_is_refused() {
     let files = filled_files();
-    insta::assert_snapshot!(open_as(&files, "h2", 9).err().expect("refused"), @"data: belongs to host h1, not h2: name this host's own data folder, or empty it: the keeper joins as a learner");
+    insta::assert_snapshot!(open_as(&files, "h2", 9).err().expect("the start is refused"), @"data: belongs to host h1, not h2: name this host's own data folder, or empty it: the keeper joins as a learner");
 }
 
 // Guards against a keeper that votes from a folder restored from a backup. The copy contains an old
@@ -45,7 +45,9 @@
 // file stores its own inode and creation time, which differ in a copy.
 #[test]
 fn a_copied_folder_is_refused() {
-    let error = open(&filled_files().copy()).err().expect("refused");
+    let error = open(&filled_files().copy())
+        .err()
+        .expect("the start is refused");
     assert!(matches!(error, StoreError::Copied { .. }), "{error}");
 }
 
@@ -54,11 +56,11 @@
 #[test]
 fn an_emptied_folder_has_another_incarnation() {
     let before = open(&filled_files())
-        .expect("free")
+        .expect("the folder is unlocked")
         .store
         .identity()
         .clone();
-    let opened = open_as(&FaultFiles::default(), "h1", 1_001).expect("fresh");
+    let opened = open_as(&FaultFiles::default(), "h1", 1_001).expect("a fresh folder");
     let after = opened.store.identity();
     assert!(opened.report.fresh);
     assert_ne!(before.incarnation, after.incarnation);
@@ -71,9 +73,9 @@
 fn an_emptied_log_has_a_higher_incarnation() {
     let files = filled_files();
     for name in files.names().iter().filter(|name| name.starts_with("log-")) {
-        files.remove(name).expect("it exists");
+        files.remove(name).expect("the file exists");
     }
-    let opened = open_as(&files, "h1", 3).expect("fresh");
+    let opened = open_as(&files, "h1", 3).expect("a fresh folder");
     assert_eq!(opened.store.identity().incarnation, Incarnation(1_001));
     assert_eq!(opened.store.identity().group, None);
 }
@@ -84,8 +86,8 @@
 fn an_old_image_has_a_lower_mark() {
     let files = filled_files();
     let image = files.image();
-    let mut opened = open(&files).expect("free");
-    let reported = run(&mut opened.store, &script()[1]).expect("no fault");
+    let mut opened = open(&files).expect("the folder is unlocked");
+    let reported = run(&mut opened.store, &script()[1]).expect("no injected fault");
     let restored = open(&image)
         .expect("an image has the same fingerprint")
         .store;
@@ -99,13 +101,23 @@
 #[test]
 fn only_a_keeper_without_a_group_raises_its_incarnation() {
     let files = FaultFiles::default();
-    let mut store = open_as(&files, "h1", 3).expect("fresh").store;
-    store.raise_incarnation(Incarnation(70)).expect("no fault");
-    store.raise_incarnation(Incarnation(9)).expect("no fault");
+    let mut store = open_as(&files, "h1", 3).expect("a fresh folder").store;
+    store
+        .raise_incarnation(Incarnation(70))
+        .expect("no injected fault");
+    store
+        .raise_incarnation(Incarnation(9))
+        .expect("no injected fault");
     assert_eq!(store.identity().incarnation, Incarnation(71));
-    store.join_group(group()).expect("no fault");
-    store.raise_incarnation(Incarnation(90)).expect("no fault");
+    store.join_group(group()).expect("no injected fault");
+    store
+        .raise_incarnation(Incarnation(90))
+        .expect("no injected fault");
     drop(store);
-    let identity = open(&files).expect("free").store.identity().clone();
+    let identity = open(&files)
+        .expect("the folder is unlocked")
+        .store
+        .identity()
+        .clone();
     assert_eq!((identity.incarnation, identity.opens), (Incarnation(71), 2));
 }
--- a/crates/store/tests/store/persist_requests.rs
+++ b/crates/store/tests/store/persist_requests.rs
@@ -90,7 +90,7 @@
 fn power_loss_leaves_a_prefix_of_the_request_in_progress() {
     for step in 0.. {
         let files = FaultFiles::default();
-        let opened = open(&files).expect("fresh folder");
+        let opened = open(&files).expect("a fresh folder");
         files.fail_after(step, Fault::PowerLoss);
         let (report, reports) = channel();
         let send = move |done| drop(report.send(done));
@@ -103,7 +103,7 @@
             possible = states(&before, &request);
             commit
                 .submit(CommitRequest::Agreement(request))
-                .expect("it runs");
+                .expect("the store runs");
             let done: pollendrift_store::CommitReport = reports.recv().expect("a report");
             if done.result.is_err() {
                 break;
