--- a/crates/daemon/src/entry/context.rs
+++ b/crates/daemon/src/entry/context.rs
@@ -55,7 +55,7 @@
     pub gate: Arc<AdmissionGate>,
     /// Streams that callers can resume at another entry.
     pub streams: Arc<StreamStore>,
-    /// Decides whether failed attempts are resent.
+    /// Decides whether a request is resent after a failed attempt.
     pub resends: ResendPolicy,
     /// Evidence recorder; empty until the keepers have assigned an incarnation to this process.
     pub recorder: Arc<RecorderSlot>,
--- a/crates/daemon/src/entry/draft/flight_guard.rs
+++ b/crates/daemon/src/entry/draft/flight_guard.rs
@@ -1,4 +1,6 @@
 //! Guard that counts one attempt as running on its engines until it ends or is cancelled.
+//!
+//! A flight is one run of a pipeline that the planner counts.
 
 use std::sync::Arc;
 
@@ -9,7 +11,7 @@
 
 /// Reports the end of an attempt to the planner, also when its caller disconnects midway.
 ///
-/// Without it a dropped attempt would count as running for ever, and its engines would look busy.
+/// Without it a dropped attempt would count as running forever, and its engines would look busy.
 pub(super) struct FlightGuard {
     context: Arc<EntryContext>,
     flight: FlightKey,
--- a/crates/daemon/src/entry/draft/progress.rs
+++ b/crates/daemon/src/entry/draft/progress.rs
@@ -11,7 +11,8 @@
 use crate::fleet::{DraftRoute, PlannedStage};
 
 impl DraftRunner {
-    /// Sends the tokens that the lost entry released and the caller has not received.
+    /// Sends the tokens that the entry that served the stream before released and the caller has
+    /// not received.
     ///
     /// Returns the finish reason if the answer was already complete.
     pub(super) async fn send_resumed(&mut self) -> Option<String> {
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -65,8 +65,8 @@
     barrier_reads: CoalescedBarrier,
 }
 
-/// The last answer with content. After a change all hosts ask from the same revision; without this
-/// cache a keeper would compare the two texts again for each host.
+/// The last answer with content. After a change all hosts request a delta from the same revision;
+/// without this cache a keeper would compare the two texts again for each host.
 struct CachedAnswer {
     have: Option<Revision>,
     revision: Revision,
@@ -88,14 +88,14 @@
     configuration: Option<Arc<Configuration>>,
     /// Revision that was recorded last as in force.
     recorded: Option<Revision>,
-    /// Whether the next question requests the complete text, since a content was refused.
+    /// Whether the next question requests the complete text, because the last content was refused.
     needs_full_text: bool,
     /// Revisions that peers reported. Only peers can send frames, so the hosts of the settings
     /// bound its size.
     peers: BTreeMap<HostName, PeerRevision>,
 }
 
-/// A quorum-checked answer: the revision, and the content that leads to it.
+/// A quorum-checked answer: the revision, and the delta or complete text that yields it.
 struct ConfirmedRevision {
     revision: Revision,
     content: OfferedContent,
--- a/crates/daemon/src/feed/copy.rs
+++ b/crates/daemon/src/feed/copy.rs
@@ -18,7 +18,7 @@
 /// Estimated bytes of a change besides its text.
 const CHANGE_BYTES: usize = 512;
 
-/// Content of a revision, from this host's own keeper or another's.
+/// Content of a revision, from this host's own keeper or from another host's keeper.
 #[derive(Debug)]
 pub(super) enum OfferedContent {
     /// As built by this host's keeper.
@@ -37,8 +37,8 @@
     /// Another answer advanced the copy while this one was in transit; the host must request a
     /// delta from the new revision.
     StaleBase,
-    /// The content can't be trusted. The copy is unchanged, and the host must request the complete
-    /// text.
+    /// The content is invalid (wrong base revision or digest). The copy is unchanged, and the host
+    /// must request the complete text.
     Refused(String),
 }
 
--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -46,8 +46,9 @@
 }
 
 /// Guards against serving a mixture of two configurations after a delta that does not fit the copy.
-/// Answers may cross, keepers may be damaged, and a lost delta leaves a gap. The digest and the
-/// start revision of the delta reveal this, and the complete text of revision 4 repairs the copy.
+/// Answers may arrive out of order, a keeper's data may be corrupt, and a lost delta leaves a gap.
+/// The digest and the start revision of the delta reveal this, and the complete text of revision 4
+/// repairs the copy.
 #[test]
 fn mismatched_delta_is_never_served() {
     let good = log(4).delta_since(Revision(2)).unwrap();
--- a/crates/daemon/src/keeper/effects.rs
+++ b/crates/daemon/src/keeper/effects.rs
@@ -183,8 +183,8 @@
     SubmitError::unknown("leadership ended before the command was committed")
 }
 
-/// Takes the answer to the entry at `index`. A command that the state machine can't decode changes
-/// nothing on any keeper, so its outcome is "not run".
+/// Removes and returns the answer to the log entry at `index`. A command that the state machine
+/// can't decode changes nothing on any keeper, so its outcome is "not run".
 fn answer_at(index: LogIndex, answers: &mut Vec<AppliedResult>) -> LocalOutcome<Vec<u8>> {
     let position = answers.iter().position(|applied| applied.index == index);
     match position.map(|position| answers.swap_remove(position).answer) {
--- a/crates/daemon/src/keeper/formation.rs
+++ b/crates/daemon/src/keeper/formation.rs
@@ -88,9 +88,9 @@
     settings.may_found && own.keepers.first() == Some(&own.keeper.host)
 }
 
-/// Creates a group of `own` and `others`. Its id is the founder's incarnation, which is the wall
-/// clock at the formatting of its disk, so it differs from the id of an earlier group on the same
-/// hosts.
+/// Creates a group of `own` and `others`. Its id is the founder's incarnation, which is the
+/// wall-clock time at which its data folder was created, so it differs from the id of an earlier
+/// group on the same hosts.
 fn new_group(own: &KeeperId, others: Vec<KeeperId>) -> JoinedGroup {
     let mut voters: BTreeSet<KeeperId> = others.into_iter().collect();
     voters.insert(own.clone());
--- a/crates/daemon/src/keeper/join.rs
+++ b/crates/daemon/src/keeper/join.rs
@@ -1,4 +1,4 @@
-//! Takes a keeper that isn't a voter back into the membership, one step at a time.
+//! Adds this keeper to the membership as a voter, one step at a time.
 
 use pollendrift_coordination::agreement::KeeperId;
 use tokio::sync::watch;
@@ -55,7 +55,8 @@
     }
 }
 
-/// Whether a voter has no leader for `leader_timeout`; returns early when its status changes.
+/// Waits up to `leader_timeout`, and returns early when the keeper's status changes. Returns
+/// whether the keeper is a voter and had no leader all that time.
 ///
 /// A voter that was removed while it was disconnected doesn't learn this from the log, because no
 /// keeper sends it the log any more. It would start elections forever that it can't win, and the
--- a/crates/daemon/src/keeper/replay.rs
+++ b/crates/daemon/src/keeper/replay.rs
@@ -18,7 +18,8 @@
 pub struct ReplayReport {
     /// Entries after the snapshot.
     pub entries: u64,
-    /// Time that applying them took, without the time between slices.
+    /// Time that applying them took, without the time between the slices (`APPLY_SLICE` in the
+    /// keeper's runtime).
     pub work: Duration,
 }
 
--- a/crates/daemon/src/keeper/runtime.rs
+++ b/crates/daemon/src/keeper/runtime.rs
@@ -258,10 +258,9 @@
     /// Applies committed entries and reports their outcomes, for [`APPLY_SLICE`] per call.
     ///
     /// A restarted keeper applies its whole log once a leader has committed. On small hosts this
-    /// took longer than an election: each new leader sent no heartbeats while it applied the log,
-    /// stepped down and was followed by the next, and no host knew its routes. With slices, the
-    /// core ticks between entries, and each entry takes a few milliseconds. [`SnapshotSchedule`]
-    /// limits the number of entries.
+    /// took longer than an election: each new leader sent no heartbeats during that time and lost
+    /// its leadership, and no host knew its routes. With slices, the core ticks between entries,
+    /// and each entry takes a few milliseconds. [`SnapshotSchedule`] limits the number of entries.
     fn run_backlog(&mut self) -> Result<(), KeeperError> {
         let until = self.clock.now().after(APPLY_SLICE);
         while let Some(effect) = self.backlog.pop_front() {
--- a/crates/daemon/src/keeper/schedule.rs
+++ b/crates/daemon/src/keeper/schedule.rs
@@ -5,7 +5,7 @@
 use pollendrift_coordination::agreement::LogIndex;
 
 /// Minimum time spent applying entries since the last snapshot, as a multiple of the time that the
-/// last snapshot took. It limits snapshots to a fifth of a keeper's work.
+/// last snapshot took. With 4, snapshots take at most a fifth of a keeper's work.
 const MIN_WORK_RATIO: u32 = 4;
 
 /// Limits of the log that a start reads and applies again.
--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -36,8 +36,8 @@
 
 /// Time between two ticks; adds to the time until every host knows of a leave.
 pub const BROADCAST_TICK: Duration = Duration::from_millis(200);
-/// Ticks between two sends of renewals: a third of a usual heartbeat period, as renewals pass
-/// through three hosts.
+/// Ticks between two sends of renewals: a third of the usual heartbeat period of a backend server,
+/// as renewals pass through three hosts.
 const RENEWAL_TICKS: u32 = 2;
 /// Time after its link came up during which a host is assumed to have no leases.
 const NEW_LINK_TIME: Duration = Duration::from_secs(5);
@@ -45,9 +45,9 @@
 const FRAME_LEASES: usize = 256;
 /// Assumed transit time of a frame, its upper bound: a link that is silent for longer breaks.
 ///
-/// Failure: a frame that waited in a stalled connection would renew the lease of a server that
-/// failed in the meantime. The receiver adds this time to the age of the renewal, so the lease ends
-/// no later than after a frame without delay.
+/// Without this allowance, a frame that waited in a stalled connection would renew the lease of a
+/// server that failed in the meantime. The receiver adds this time to the age of the renewal, so
+/// the lease ends no later than after a frame without delay.
 const TRANSIT_ALLOWANCE: Duration = Duration::from_millis(200);
 
 /// Sends leases and surveys to peers, and merges those that peers send.
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -46,7 +46,8 @@
 
 /// Consecutive heartbeats without an echo after which a link counts as broken.
 const MISSED_HEARTBEATS: u32 = 4;
-/// Heartbeats of a working link that cost as much as one attempt to open a link.
+/// Heartbeats of a link that cost as much as one attempt to open a link; used to derive the maximum
+/// back-off.
 const BACKOFF_HEARTBEATS: u32 = 2;
 
 /// Intervals and timeouts of one link.
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -17,7 +17,7 @@
 use super::transport::{AcceptedStream, PeerAcceptor};
 use crate::clock::{SystemClock, TimeSource};
 
-/// Time between two silence_checks for a free handshake slot while all slots are in use.
+/// Time between two checks for a free handshake slot while all slots are in use.
 const HANDSHAKE_PAUSE: Duration = Duration::from_millis(5);
 /// Wait after a failed accept, for example when no file handle is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/daemon/src/peers/outbound.rs
+++ b/crates/daemon/src/peers/outbound.rs
@@ -121,10 +121,10 @@
 
 /// Sends queued frames and heartbeats; returns the error that ended the link.
 ///
-/// A host that loses power sends no TCP reset: writes still succeed into the socket's buffer, and
-/// the link looks up. Only received frames prove that the peer reads, so the link ends when none
-/// arrives in time. The time of silence is measured by a clock that runs on while this machine is
-/// suspended. Otherwise a resumed machine would treat its links as up although the peers closed
+/// A host that loses power sends no TCP reset: on this host, writes still succeed into the buffer,
+/// and the link looks up. Only received frames prove that the peer reads, so the link ends when
+/// none arrives in time. The time of silence is measured by a clock that runs on while this machine
+/// is suspended. Otherwise a resumed machine would treat its links as up although the peers closed
 /// them long ago, and acknowledge changes that reach no other host.
 async fn run_link(
     hub: &PeerHub,
--- a/crates/daemon/src/relay/answer.rs
+++ b/crates/daemon/src/relay/answer.rs
@@ -31,14 +31,14 @@
     header::UPGRADE,
 ];
 
-/// A send without an answer that may be forwarded to the caller.
+/// A send that gave no answer fit to forward to the caller.
 #[derive(Clone, Debug)]
 pub(super) struct FailedSend {
     pub(super) outcome: SendOutcome,
     pub(super) reason: String,
     /// Server at fault, if the answer names another than the one that sent it.
     pub(super) culprit: Option<SocketAddr>,
-    /// Engines that are suspected to have caused a silence.
+    /// Engines that are suspected because the chain sent no events in time.
     pub(super) suspects: Vec<ServerName>,
 }
 
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -34,7 +34,7 @@
 /// of CPU time; at a period of 100 ms that was most of the load of an otherwise idle host with 0.12
 /// cores.
 const CHAIN_TICK: Duration = Duration::from_millis(200);
-/// Age of the load figures in an engine's report when it sends them.
+/// Age of the load in an engine's report when the engine sends it.
 const REPORT_LAG: Duration = Duration::from_millis(200);
 /// Prompt tokens that the planner assumes for each waiting request.
 ///
@@ -46,8 +46,9 @@
 /// Divisor of the expected answer tokens for which KV memory is requested. Averaged over its run, a
 /// draft holds half of its answer, and an engine runs many drafts of different progress.
 const GROWTH_DIVISOR: u32 = 2;
-/// Divisor with which the time from the first to the last event is added to the time to the first
-/// event. It counts because a slow stream holds memory that other requests wait for.
+/// Predicted cost = time to the first event + (time from the first to the last event) / this
+/// divisor. The stream's time counts because a slow stream holds memory that other requests wait
+/// for.
 const STREAM_TIME_DIVISOR: u32 = 8;
 
 /// A chain that the planner counts as running until it is recorded as finished or failed.
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -22,8 +22,8 @@
 
 /// Number of hosts that share the retry budget until a keeper reports the actual number.
 const DEFAULT_BUDGET_HOSTS: u32 = 64;
-/// Fraction of the earned budget that is spent: the windows of the bound on retries slide, and
-/// overlap the windows counted here.
+/// Fraction of the earned budget that is spent. The limit on retries applies to sliding windows,
+/// and a sliding window can span two of the windows counted here.
 const BUDGET_FRACTION: f64 = 0.8;
 
 /// Parts from which a [`RelayContext`] is built.
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -41,8 +41,9 @@
 /// Declined sends after which a request fails. Each of them excludes another engine: the one that
 /// the answer names, else the first of the chain.
 const MAX_DECLINED: u32 = 6;
-/// Same limit for a draft that may have run already. Its caller waits two seconds for the next
-/// event before it disconnects, and an engine that declined is tried again after 200 ms.
+/// Declined sends after which a draft that may already have run fails. Its caller waits two seconds
+/// for the next event before it disconnects, and an engine that declined is tried again after 200
+/// ms.
 const MAX_DECLINED_RESUMED: u32 = 12;
 
 /// A draft in progress, with its sends so far and their results.
@@ -181,7 +182,7 @@
     ///
     /// Only a send spends a retry, a search for capacity doesn't: when each search spent one, a
     /// single draft used up the host's budget within half a second, and running streams that then
-    /// needed a retry were cut.
+    /// needed a retry were aborted.
     fn reserve_chain_in_budget(&self, now: MonotonicTime, is_resume: bool) -> Option<ChainGuard> {
         let service = &self.request.service.name;
         let is_repeat = self.sends + self.declined > 0;
@@ -333,7 +334,7 @@
     }
 
     /// Excludes silent engines from the next chain. The send to a chain with such engines counts as
-    /// declined and no longer against `max_attempts`.
+    /// declined and does not count against `max_attempts`.
     pub(super) fn exclude_suspects(&mut self, suspects: Vec<ServerName>) {
         self.sends = self.sends.saturating_sub(1);
         self.declined += 1;
--- a/crates/daemon/src/relay/engine_estimates.rs
+++ b/crates/daemon/src/relay/engine_estimates.rs
@@ -20,8 +20,9 @@
 /// Bytes a second in one megabit a second.
 pub(super) const MEGABIT: f64 = 125_000.0;
 
-/// Factor by which an engine is slower than its kind, rounded to an integer of at least 1 so that
-/// small changes between surveys cause no new announcement to the planner.
+/// Factor by which an engine is slower than the published figures of its accelerator kind, rounded
+/// to an integer of at least 1 so that small changes between surveys cause no new announcement to
+/// the planner.
 pub(super) fn slowness_of(surveyed: Option<SurveyedEngine>) -> u32 {
     let load = surveyed.and_then(|surveyed| surveyed.load);
     let percent = load.map_or(100, |load| load.slowness);
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -26,8 +26,9 @@
 use crate::fleet::BackendFleet;
 use crate::node::ClusterNode;
 
-/// Time without a keeper's answer after which a host refuses heartbeats: the time of two questions.
-/// Heartbeats to such a host reach no other host, so the leases of running servers would expire.
+/// Time without a keeper's answer after which a host refuses heartbeats: two intervals of the
+/// queries to the keepers. Heartbeats to such a host reach no other host, so the leases of running
+/// servers would expire.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_200);
 /// Least time for which this host knows a server before a heartbeat counts as a return from the
 /// assigned host: until then the assigned host may not know the server.
--- a/crates/daemon/src/relay/liveness.rs
+++ b/crates/daemon/src/relay/liveness.rs
@@ -19,8 +19,8 @@
 const WATCH_PERIOD: Duration = Duration::from_millis(25);
 /// Pause target of routes without one.
 const DEFAULT_PAUSE_TARGET: Duration = Duration::from_millis(200);
-/// Delay after the timeout of a probe above which this host itself is considered late: a few time
-/// slices of its scheduler.
+/// Delay after the timeout of a probe above which this host is considered too busy to have noticed
+/// the answer: a few time slices of its scheduler.
 const MAX_LOCAL_DELAY: Duration = Duration::from_millis(20);
 /// Fraction of the pause target for which a stream may be silent before its engines are probed. The
 /// rest is left for their answers and for the next chain, whose first event takes about 60 ms.
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -79,7 +79,7 @@
     pools: BTreeMap<PoolKey, EnginePool>,
     orders: BTreeMap<ServerName, OrderCount>,
     client: ConnectionPool,
-    /// End of this host's right to order engines, on its own clock.
+    /// End of this host's order right, on its own clock.
     right_until: MonotonicTime,
     surveyed_at: MonotonicTime,
     /// Consecutive probes by this host that each engine left unanswered.
@@ -438,7 +438,7 @@
         .min(spec.layers)
 }
 
-/// Steps per second of an engine that holds a single layer.
+/// Decode steps per second of an engine that holds a single layer.
 fn layer_rate(spec: &EngineSpec, kind: &AcceleratorSpec) -> u32 {
     let step = spec.step.as_secs_f64() * kind.step_time_factor / f64::from(spec.layers.max(1));
     (1.0 / step.max(1e-9)) as u32
@@ -451,7 +451,8 @@
         unfenced_wait: Duration::ZERO,
         max_loads: spec.max_concurrent_loads.saturating_mul(2),
         load_timeout: spec.load.max(Duration::from_secs(4)),
-        // Moving engines in use costs loads and only balances rates, so it is done rarely.
+        // Moving layers between engines in use requires loading weights again and only balances
+        // rates, so it is done rarely.
         balance_interval: Duration::from_secs(3_600),
         ..PlacementSettings::default()
     }
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -102,7 +102,7 @@
     ///
     /// Without rerouting, a rack failure under hundreds of drafts forces a resend of each: every
     /// stage prefills the prompt again, each resend spends a retry of a budget that hundreds of
-    /// hosts share, and drafts are cut once the budget is used up. A rerouted draft stays one
+    /// hosts share, and drafts are aborted once the budget is used up. A rerouted draft stays one
     /// request, and only the new stages prefill.
     pub(super) async fn reroute(
         &mut self,
--- a/crates/daemon/src/relay/routes.rs
+++ b/crates/daemon/src/relay/routes.rs
@@ -22,8 +22,8 @@
 const STARTUP_GRACE: Duration = Duration::from_secs(4);
 /// Longest wait of one request. Callers abandon a request that returns nothing for 2 s.
 const MAX_WAIT: Duration = Duration::from_millis(1_600);
-/// Time without knowing the newest revision after which the built routes may be stale: five polls
-/// of the chains, and half of the time within which a change must be in force.
+/// Time without knowing the newest revision after which the built routes may be stale: five updates
+/// of the chain table (`CHAIN_TICK`), and half of the time within which a change must be in force.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(1);
 /// Time between two polls of a waiting request.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
@@ -33,7 +33,7 @@
     agreed: Arc<dyn AgreedState>,
     dialect: Arc<dyn OperatorDialect>,
     build_state: Arc<Mutex<BuildState>>,
-    /// Time after its acceptance within which a change is in force on this host.
+    /// Time within which an accepted change is in force on this host.
     change_within: Duration,
     /// Start of the time without known routes; `None` while routes are known.
     unavailable_since: Mutex<Option<MonotonicTime>>,
@@ -67,12 +67,12 @@
 
     /// Returns the table to serve by while `newest` is in force.
     ///
-    /// Failure: a host that was cut off or suspended has old routes, and receives the newest ones
-    /// when it comes back. Symptom: it served by the old routes while it built the new ones, and a
-    /// request ran with a key that had been revoked ten seconds before. A host that did not know
-    /// the newest revision for [`MAX_CONFIRMATION_AGE`] therefore builds the revision that it finds
-    /// before it serves again. It waits for that one revision only: if it also had to reach each
-    /// newer one, changes that arrive faster than it builds them would keep it from ever serving.
+    /// A host that was disconnected or suspended has old routes, and receives the newest ones when
+    /// it comes back. If it served by the old routes while it builds the new ones, a request could
+    /// run with a key that was revoked ten seconds before. A host that did not know the newest
+    /// revision for [`MAX_CONFIRMATION_AGE`] therefore builds the revision that it finds before it
+    /// serves again. It waits for that one revision only: if it also had to reach each newer one,
+    /// changes that arrive faster than it builds them would keep it from ever serving.
     fn table(&mut self, now: MonotonicTime, newest: Revision) -> Result<Arc<RouteTable>, String> {
         let was_stale = self
             .newest_known_at
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -123,8 +123,8 @@
 /// Tries to move a draft from a silent chain to another. The silent chain is kept until another
 /// accepts the draft, or until the silent one sends a frame.
 ///
-/// Engines that seem to have capacity may decline, and silent ones are often only late. A chain
-/// that was released before another accepted its draft was lost although it would have finished it.
+/// Engines that seem to have capacity may decline, and silent ones are often only late. Releasing
+/// the silent chain first would lose drafts that it would still have finished.
 async fn hand_over(
     run: &mut DraftRun,
     running: &mut RunningDraft,
--- a/crates/daemon/src/relay/survey.rs
+++ b/crates/daemon/src/relay/survey.rs
@@ -79,7 +79,7 @@
     /// No answer arrived in time.
     TimedOut,
     /// The probe was sent, but the answer was lost or is invalid. Engines that occasionally lose
-    /// answers are alive, and would otherwise be considered dead after each lost one.
+    /// answers are alive, and would otherwise be considered lost after each lost one.
     Unclear,
 }
 
--- a/crates/daemon/src/resend.rs
+++ b/crates/daemon/src/resend.rs
@@ -51,7 +51,7 @@
             .record_call(now, customer);
     }
 
-    /// Returns the back-off before the next attempt and takes the retry from the budget.
+    /// Returns the back-off before the next attempt and spends the retry from the budget.
     ///
     /// # Errors
     /// Returns the reason if the request must not be resent.
