--- a/crates/daemon/src/feed/copy/tests.rs
+++ b/crates/daemon/src/feed/copy/tests.rs
@@ -38,10 +38,10 @@
 
 fn show(verdict: CopyVerdict) -> String {
     match verdict {
-        CopyVerdict::Applied(taken) => format!("taken, serves {}", taken.revision()),
+        CopyVerdict::Applied(applied) => format!("applied, serves {}", applied.revision()),
         CopyVerdict::NotNeeded => "not needed".to_owned(),
-        CopyVerdict::StaleBase => "crossed, asks for a delta".to_owned(),
-        CopyVerdict::Refused(reason) => format!("refused, asks for the whole: {reason}"),
+        CopyVerdict::StaleBase => "stale base, requests a delta".to_owned(),
+        CopyVerdict::Refused(reason) => format!("refused, requests the complete text: {reason}"),
     }
 }
 
@@ -70,9 +70,9 @@
         ("digest", 4, wrong_digest),
         ("change lost", 4, lost_change),
         ("gap", 4, other(3, 4)),
-        ("crossed", 4, other(1, 4)),
+        ("out of order", 4, other(1, 4)),
         ("another revision", 5, good.clone()),
-        ("as new", 2, other(1, 2)),
+        ("same revision", 2, other(1, 2)),
         ("older", 1, other(0, 1)),
     ];
     let mut shown = String::new();
@@ -83,21 +83,21 @@
         let verdict = show(copy.apply(Revision(revision), content));
         let after = copy.followed.current().revision();
         let repaired = show(copy.apply(Revision(4), full_content(&log(4))));
-        shown += &format!("{case}: {verdict}; holds {after}; whole of 4: {repaired}\n");
+        shown += &format!("{case}: {verdict}; copy has {after}; complete text of 4: {repaired}\n");
     }
     let mut empty = ConfigurationCopy::default();
     let content = OfferedContent::Remote(ConfigurationContent::Delta(good));
     shown += &format!("first: {}\n", show(empty.apply(Revision(4), content)));
     insta::assert_snapshot!(shown, @r"
-    fits: taken, serves 4; holds 4; whole of 4: not needed
-    digest: refused, asks for the whole: revision 4 has another content than its digest says; holds 2; whole of 4: taken, serves 4
-    change lost: refused, asks for the whole: revision 4 has another content than its digest says; holds 2; whole of 4: taken, serves 4
-    gap: refused, asks for the whole: the delta starts from revision 3, not 2; holds 2; whole of 4: taken, serves 4
-    crossed: crossed, asks for a delta; holds 2; whole of 4: taken, serves 4
-    another revision: refused, asks for the whole: the delta leads to revision 4, not 5; holds 2; whole of 4: taken, serves 4
-    as new: not needed; holds 2; whole of 4: taken, serves 4
-    older: not needed; holds 2; whole of 4: taken, serves 4
-    first: refused, asks for the whole: received a delta before any complete configuration
+    fits: applied, serves 4; copy has 4; complete text of 4: not needed
+    digest: refused, requests the complete text: revision 4 has another content than its digest says; copy has 2; complete text of 4: applied, serves 4
+    change lost: refused, requests the complete text: revision 4 has another content than its digest says; copy has 2; complete text of 4: applied, serves 4
+    gap: refused, requests the complete text: the delta starts from revision 3, not 2; copy has 2; complete text of 4: applied, serves 4
+    out of order: stale base, requests a delta; copy has 2; complete text of 4: applied, serves 4
+    another revision: refused, requests the complete text: the delta leads to revision 4, not 5; copy has 2; complete text of 4: applied, serves 4
+    same revision: not needed; copy has 2; complete text of 4: applied, serves 4
+    older: not needed; copy has 2; complete text of 4: applied, serves 4
+    first: refused, requests the complete text: received a delta before any complete configuration
     ");
 }
 
--- a/crates/daemon/src/keeper/error.rs
+++ b/crates/daemon/src/keeper/error.rs
@@ -55,7 +55,7 @@
     #[display("can't start the store's thread: {_0}")]
     Thread(std::io::Error),
     /// The store's thread refuses further writes, or the keeper's task ended early.
-    #[display("store takes nothing more: {reason}")]
+    #[display("store refuses further writes: {reason}")]
     #[from(skip)]
     Refused {
         /// Reason given by the store or the task.
--- a/crates/daemon/src/keeper/join.rs
+++ b/crates/daemon/src/keeper/join.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Waits up to `leader_timeout`, and returns early when the keeper's status changes. Returns
-/// whether the keeper is a voter and had no leader all that time.
+/// Returns whether this keeper, a voter, has no leader for `leader_timeout`. Returns false as soon
+/// as it gets a leader or stops; if it has a leader at the call, after the next status change.
 ///
 /// A voter that was removed while it was disconnected doesn't learn this from the log, because no
 /// keeper sends it the log any more. It would start elections forever that it can't win, and the
--- a/crates/daemon/src/keeper/runtime.rs
+++ b/crates/daemon/src/keeper/runtime.rs
@@ -233,7 +233,7 @@
             }
             KeeperRequest::Stop => {
                 return Err(KeeperError::Refused {
-                    reason: "stop is no request to the core".to_owned(),
+                    reason: "a stop request can't be passed to the agreement core".to_owned(),
                 });
             }
         })
--- a/crates/daemon/src/peers/compression.rs
+++ b/crates/daemon/src/peers/compression.rs
@@ -59,7 +59,7 @@
             }
             Ok(Cow::Owned(frame))
         }
-        _ => Err(garbage("unknown compression mark".to_owned())),
+        _ => Err(garbage("unknown compression byte".to_owned())),
     }
 }
 
--- a/crates/daemon/src/relay/control.rs
+++ b/crates/daemon/src/relay/control.rs
@@ -77,7 +77,7 @@
             OperatorCall::Read => self.publisher.read().await,
         };
         if let OperatorReply::Unavailable { reason } = &reply {
-            log::warn!(reason = reason.as_str(); "operator's call failed");
+            log::warn!(reason = reason.as_str(); "operator request failed");
         }
         self.dialect.operators.reply(&reply)
     }
@@ -95,16 +95,16 @@
         let outcome = match call {
             Ok(RegistryCall::Announce(note)) => self.announce(now, &note),
             Ok(RegistryCall::Leave(server)) => self.leave(now, &server).map(|()| None),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
         match outcome {
             Ok(announce_at) => {
                 let ack = RegistryAck { announce_at };
                 self.dialect.registry.acknowledge(&ack)
             }
-            Err(fault) => {
-                log::warn!(reason = fault.reason.as_str(); "announcement or leave refused");
-                self.dialect.registry.refuse(&fault)
+            Err(error) => {
+                log::warn!(reason = error.reason.as_str(); "announcement or leave refused");
+                self.dialect.registry.refuse(&error)
             }
         }
     }
--- a/crates/daemon/tests/peers_contract.rs
+++ b/crates/daemon/tests/peers_contract.rs
@@ -190,7 +190,7 @@
             ],
             None,
         ),
-        ("unknown mark", vec![good(), binary(vec![0xff; 40])], None),
+        ("unknown byte", vec![good(), binary(vec![0xff; 40])], None),
         ("garbage", vec![good(), binary(garbage)], None),
         ("nested deeply", vec![good(), binary(deep)], None),
         ("trailing bytes", vec![good(), binary(trailing)], None),
@@ -228,7 +228,7 @@
     insta::assert_debug_snapshot!(ends, @r#"
     [
         "oversized: frame of 2015 bytes is over the bound of 2000; handled 1",
-        "unknown mark: frame can't be read: unknown compression mark; handled 0",
+        "unknown byte: frame can't be read: unknown compression byte; handled 0",
         "garbage: frame can't be read: Semantic(None, \"invalid type: break, expected enum\"); handled 0",
         "nested deeply: frame can't be read: RecursionLimitExceeded; handled 0",
         "trailing bytes: frame can't be read: trailing bytes after the frame; handled 0",
