--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -1,4 +1,4 @@
-//! Interface between request handling and the state that the keepers replicate.
+//! Interface between request handling and the replicated state, which the keepers agree on.
 
 use std::future::Future;
 use std::pin::Pin;
--- a/crates/daemon/src/entry/draft.rs
+++ b/crates/daemon/src/entry/draft.rs
@@ -45,7 +45,7 @@
 const SEQUENCE_PATH: &str = "/engine/v1/sequences";
 /// Capacity of the event buffer for a caller that reads slowly. A full buffer stops the reading
 /// from the first stage, so that the engines wait as well.
-const EVENT_CAPACITY: usize = 64;
+const EVENT_QUEUE_LENGTH: usize = 64;
 
 /// Timeouts and ledger limits of drafts.
 #[derive(Clone, Debug)]
@@ -101,7 +101,7 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     // This future owns the body until the response starts. A caller that disconnects drops the
     // body before or after that, and the runner then stops and frees the engines.
-    let (sender, body) = channel_body(EVENT_CAPACITY);
+    let (sender, body) = channel_body(EVENT_QUEUE_LENGTH);
     let (reply, answer) = oneshot::channel();
     let writer = ReplyWriter {
         id: job.id.clone(),
--- a/crates/daemon/src/entry/record.rs
+++ b/crates/daemon/src/entry/record.rs
@@ -117,9 +117,9 @@
             revision: served.configuration.revision(),
             decision: served.decision(),
         };
-        let mut open = recorder
-            .begin(begun)
-            .map_err(|full| Refusal::not_ready(&format!("the keepers take no evidence: {full}")))?;
+        let mut open = recorder.begin(begun).map_err(|error| {
+            Refusal::not_ready(&format!("the keepers take no evidence: {error}"))
+        })?;
         context.metrics.record_request_start();
         context.resends.record_first_attempt(&caller);
         let queued = context.clock.now().since(arrival.arrived);
--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -44,7 +44,8 @@
     /// Revision that the host serves.
     pub revision: Revision,
     /// Time of the last report, on this host's clock.
-    pub heard_at: MonotonicTime,
+    #[serde(rename = "heard_at")]
+    pub reported_at: MonotonicTime,
 }
 
 /// Follows the configuration at a keeper, and holds this host's copy and its lease.
@@ -189,7 +190,7 @@
             .map(|revision| PeerRevision {
                 host: self.hub.host().clone(),
                 revision,
-                heard_at: now,
+                reported_at: now,
             });
         state.peers.values().cloned().chain(own).collect()
     }
@@ -199,13 +200,13 @@
         let ConfigurationFrame::Holds { revision } = frame else {
             return;
         };
-        let heard_at = self.clock.now();
+        let reported_at = self.clock.now();
         let mut state = self.lock();
-        state.follower.observe(heard_at, revision);
+        state.follower.observe(reported_at, revision);
         let peer_revision = PeerRevision {
             host: from.clone(),
             revision,
-            heard_at,
+            reported_at,
         };
         state.peers.insert(from.clone(), peer_revision);
         drop(state);
--- a/crates/daemon/src/feed/barrier.rs
+++ b/crates/daemon/src/feed/barrier.rs
@@ -6,10 +6,10 @@
 
 /// Shares one read among concurrent callers; each gets a read that began after its call.
 ///
-/// Failure: while no keeper leads, every follower of this host asks it each second, and each of
-/// those questions asked all keepers again and again. Symptom: hundreds of hosts kept the keepers
-/// too busy to elect a leader. With shared reads at most one read runs at a time, for any number of
-/// waiting questions.
+/// While no keeper leads, every host that follows this keeper asks it each second. If each of those
+/// questions asked all keepers again and again, hundreds of hosts would keep the keepers too busy
+/// to elect a leader. With shared reads at most one read runs at a time, for any number of waiting
+/// questions.
 #[derive(Default)]
 pub(super) struct CoalescedBarrier {
     arrivals: AtomicU64,
--- a/crates/daemon/src/lease_broadcast.rs
+++ b/crates/daemon/src/lease_broadcast.rs
@@ -1,10 +1,11 @@
 //! Broadcasts backend servers' leases and surveys of engines between hosts.
 //!
 //! With a fixed list of hosts in the settings, each host sends every other host the leases that it
-//! received itself. With discovery, an entry sends its leases to the keeper that it follows. A
-//! keeper sends the other keepers its own and its followers' leases, and sends its followers all
-//! leases. The number of frames therefore grows with keepers and followers instead of with pairs of
-//! hosts. Each keeper sends the leave of a server to every host at once.
+//! received itself. With discovery, a host without a keeper follows one keeper: it gets the
+//! configuration from that keeper and sends its leases to it. A keeper sends the other keepers its
+//! own and its followers' leases, and sends its followers all leases. Here a follower is such a
+//! host, not a Raft follower. The number of frames therefore grows with keepers and followers
+//! instead of with pairs of hosts. Each keeper sends the leave of a server to every host at once.
 //!
 //! Changes are sent on the next tick, and renewals on every second tick. Hosts in the same sync
 //! state get the same frame, encoded once. When the link to a peer comes up, the peer gets
@@ -100,8 +101,8 @@
         let outcome = self
             .fleet
             .merge_batch(now, source, batch, TRANSIT_ALLOWANCE);
-        if let Some(fault) = outcome.renewal_error {
-            log::warn!(host:% = from, reason:% = fault; "renewals rejected");
+        if let Some(error) = outcome.renewal_error {
+            log::warn!(host:% = from, reason:% = error; "renewals rejected");
         }
         if !outcome.unknown_servers.is_empty() {
             let _ = hub.send(from, &PeerFrame::LeaseQuestion(outcome.unknown_servers));
@@ -124,10 +125,10 @@
         self.surveys.enqueue(self.clock.now(), results.to_vec());
     }
 
-    /// Applies another keeper's survey results; with `pass_on`, forwards them on the next tick.
-    pub fn receive_survey(&self, results: Vec<SurveyResult>, pass_on: bool) {
+    /// Applies another keeper's survey results; with `forward`, forwards them on the next tick.
+    pub fn receive_survey(&self, results: Vec<SurveyResult>, forward: bool) {
         let now = self.clock.now();
-        if pass_on {
+        if forward {
             self.surveys.enqueue(now, results.clone());
         }
         self.fleet.merge_survey(now, results);
@@ -267,10 +268,10 @@
 
     /// Sends the leaves of servers to hosts that follow other keepers.
     ///
-    /// Failure: the keeper that a host follows stalls for seconds, and the host gets no changes
-    /// until it follows another keeper. Symptom: the host sent work to a server long after its
-    /// leave had been acknowledged. A leave is a frame of one lease, so every keeper sends it to
-    /// every host.
+    /// When the keeper that a host follows stalls for seconds, the host gets no changes until it
+    /// follows another keeper. Otherwise the host would send requests to a server long after its
+    /// leave was acknowledged. A leave is a frame of one lease, so every keeper sends it to every
+    /// host.
     fn send_leaves(&self, hub: &PeerHub, now: MonotonicTime, hosts: &[HostName]) {
         if !self.recipients.is_keeper() {
             return;
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -413,7 +413,7 @@
     hosts.sort();
     let daemons = hosts.into_iter().map(|host| {
         let found = revisions.iter().find(|peer| peer.host == host);
-        let age = found.map(|peer| now.since(peer.heard_at).as_millis());
+        let age = found.map(|peer| now.since(peer.reported_at).as_millis());
         DaemonRevision {
             revision: found.map(|peer| peer.revision),
             heard_ms_ago: age.map(|age| u64::try_from(age).unwrap_or(u64::MAX)),
--- a/crates/daemon/src/peers/backoff.rs
+++ b/crates/daemon/src/peers/backoff.rs
@@ -13,7 +13,7 @@
 /// The seed per pair of hosts makes the waits reproducible.
 pub(super) struct RetryBackoff {
     base_backoff: Duration,
-    bound: Duration,
+    current_backoff: Duration,
     random: ChaCha8Rng,
 }
 
@@ -21,22 +21,22 @@
     pub(super) fn new(settings: &LinkSettings, salt: u64) -> Self {
         Self {
             base_backoff: settings.base_backoff,
-            bound: settings.base_backoff,
+            current_backoff: settings.base_backoff,
             random: ChaCha8Rng::seed_from_u64(settings.seed ^ salt),
         }
     }
 
-    /// Returns the wait before the next attempt: between half of a bound and the bound, which
-    /// doubles with each call up to `max_backoff`.
+    /// Returns the wait before the next attempt: between half of the current back-off and the whole
+    /// of it. The back-off doubles with each call up to `max_backoff`.
     pub(super) fn next_wait(&mut self, max_backoff: Duration) -> Duration {
-        let bound = self.bound;
-        self.bound = (bound * 2).min(max_backoff);
-        bound.mul_f64(self.random.random_range(0.5..=1.0))
+        let current_backoff = self.current_backoff;
+        self.current_backoff = (current_backoff * 2).min(max_backoff);
+        current_backoff.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
-    /// Resets the bound to the base back-off, after a link was up.
+    /// Resets the current back-off to the base back-off, after a link was up.
     pub(super) fn reset(&mut self) {
-        self.bound = self.base_backoff;
+        self.current_backoff = self.base_backoff;
     }
 }
 
--- a/crates/daemon/src/peers/frame.rs
+++ b/crates/daemon/src/peers/frame.rs
@@ -92,12 +92,12 @@
     pub reach: Option<HostReach>,
 }
 
-/// Call of one process to another; its answer has the same number.
+/// Call of one process to another; its answer has the same number. A call contains a question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerCall {
     /// Number of the call, unique in the calling process.
     pub number: CallNumber,
-    /// Number of processes that have forwarded the question.
+    /// Number of processes that have forwarded the call.
     pub hops: u8,
     /// Timeout of the requester; it ignores a later answer.
     pub patience: Duration,
@@ -115,12 +115,12 @@
     /// Founders that the keeper knows, from its settings or its seeds, sorted; empty until all are
     /// known.
     pub keepers: Vec<HostName>,
-    /// Only in an answer: a known incarnation of the requester's host that is not lower than the
-    /// requester's, while the requester is no member. The requester must raise its own above it.
+    /// Only in an answer to a requester that is no member: the higher or equal incarnation that is
+    /// already known for the requester's host. The requester must raise its own above it.
     pub outranked_by: Option<Incarnation>,
 }
 
-/// Content of a call.
+/// Question of a call: its content, without number and timeout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerQuestion {
     /// Requests a command to run through the agreement group.
@@ -243,7 +243,7 @@
     Hosts {
         /// Known keepers.
         keepers: Vec<HostGossip>,
-        /// Number of the other hosts, which accept callers.
+        /// Number of the other hosts, which have no keeper.
         entries: u32,
     },
     /// Progress of a stream to a caller of the sender.
--- a/crates/daemon/src/peers/hub.rs
+++ b/crates/daemon/src/peers/hub.rs
@@ -212,7 +212,7 @@
         handler,
         handshakes: Semaphore::new(settings.max_handshakes),
         dials: Semaphore::new(settings.max_dials),
-        calls: CallTable::new(settings.max_open_calls),
+        calls: CallTable::new(settings.max_pending_calls),
         slots: RwLock::default(),
         settings,
     };
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -160,8 +160,8 @@
     // As on outbound links, this clock runs on while the machine is suspended.
     let clock = SystemClock::default();
     let mut last_received = clock.now();
-    let mut silence_checks = interval(hub.shared.settings.heartbeat);
-    silence_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut silence_check_interval = interval(hub.shared.settings.heartbeat);
+    silence_check_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let step = tokio::select! {
             biased;
@@ -173,7 +173,7 @@
                     Err(error) => Err(error),
                 }
             }
-            _ = silence_checks.tick() => {
+            _ = silence_check_interval.tick() => {
                 // The peer may know of more hosts than this process; its heartbeat interval is then
                 // longer.
                 let silence_timeout = hub.timing_of(&link.host).silence_timeout * 2;
--- a/crates/daemon/src/peers/settings.rs
+++ b/crates/daemon/src/peers/settings.rs
@@ -7,16 +7,14 @@
 pub struct LinkSettings {
     /// Timeout for the connection, the handshake and the hello together.
     pub handshake_timeout: Duration,
-    /// The same timeout, with discovery, for links that are not between two keepers. After a start
-    /// of the whole system, a keeper answers the handshakes of hundreds of hosts one after the
-    /// other. With a shorter timeout, hosts would give up and start again, and no handshake would
-    /// ever finish.
+    /// The same timeout, with discovery, for links of hosts without a keeper. After a start of the
+    /// whole system, a keeper answers the handshakes of hundreds of hosts one after the other. With
+    /// a shorter timeout, hosts would give up and start again, and no handshake would ever finish.
     pub entry_handshake_timeout: Duration,
     /// Time between two heartbeats.
     pub heartbeat: Duration,
-    /// Heartbeat interval per host that accepts callers, with discovery, on links that are not
-    /// between two keepers. The interval is the larger of `heartbeat` and this multiplied by the
-    /// number of such hosts.
+    /// Heartbeat interval per host without a keeper, with discovery, on links of such hosts. The
+    /// interval is the larger of `heartbeat` and this multiplied by the number of such hosts.
     pub heartbeat_per_entry: Duration,
     /// Minimum time without a received frame after which a link counts as broken. Invariant: at
     /// least three heartbeats.
@@ -34,7 +32,7 @@
     /// Maximum size in bytes of the queued frames per peer, for each of the two kinds.
     pub max_queue_bytes: usize,
     /// Maximum number of pending calls of this process.
-    pub max_open_calls: usize,
+    pub max_pending_calls: usize,
     /// Maximum number of accepted connections in the handshake.
     pub max_handshakes: usize,
     /// Maximum number of links that this process opens at the same time. All hosts of a fleet start
@@ -58,7 +56,7 @@
             max_agreement_frames: 1_024,
             max_other_frames: 4_096,
             max_queue_bytes: 8 * 1024 * 1024,
-            max_open_calls: 16_384,
+            max_pending_calls: 16_384,
             max_handshakes: 64,
             max_dials: 4,
             seed: 0,
--- a/crates/daemon/src/peers/socket.rs
+++ b/crates/daemon/src/peers/socket.rs
@@ -64,12 +64,12 @@
     /// The frame is too large, the websocket failed, or the write timed out.
     pub(super) async fn send(&mut self, frame: &PeerFrame) -> Result<(), LinkError> {
         let bytes = encode_frame(frame, self.max_frame_bytes).map_err(LinkError::Frame)?;
-        self.feed(bytes).await?;
+        self.buffer_frame(bytes).await?;
         self.flush().await
     }
 
     /// Writes an encoded frame to the write buffer.
-    async fn feed(&mut self, frame: Bytes) -> Result<(), LinkError> {
+    async fn buffer_frame(&mut self, frame: Bytes) -> Result<(), LinkError> {
         let write = self.sink.feed(Message::Binary(frame));
         with_timeout("write", self.write_timeout, write).await
     }
@@ -77,7 +77,7 @@
     /// Sends all frames of a queue.
     pub(super) async fn send_queued(&mut self, queue: &FrameQueue) -> Result<(), LinkError> {
         while let Some(frame) = queue.pop() {
-            self.feed(frame).await?;
+            self.buffer_frame(frame).await?;
         }
         self.flush().await
     }
--- a/crates/daemon/src/peers/transport.rs
+++ b/crates/daemon/src/peers/transport.rs
@@ -21,7 +21,7 @@
 pub struct AcceptedStream {
     /// Byte stream after the transport's handshake.
     pub stream: Box<dyn PeerStream>,
-    /// Host that the peer's certificate proves; `None` if the transport checks no certificate.
+    /// Host that the peer's certificate identifies; `None` if the transport checks no certificate.
     pub proven: Option<HostName>,
 }
 
--- a/crates/daemon/src/streams.rs
+++ b/crates/daemon/src/streams.rs
@@ -16,7 +16,7 @@
 const LOOK_UP_TIMEOUT: Duration = Duration::from_millis(800);
 /// Number of hosts that may store a stream: the first in rank, or the second if the first is the
 /// stream's entry.
-const MAX_HOLDERS: usize = 2;
+const MAX_STORING_HOSTS: usize = 2;
 
 /// Replicates the streams of this entry, and stores the streams that other entries replicate here.
 pub struct StreamStore {
@@ -73,7 +73,7 @@
     ///
     /// Returns `None` if none of them has the stream or answers in time.
     pub async fn find(&self, request: &RequestId) -> Option<StreamRecord> {
-        for host in self.ranked(request).iter().take(MAX_HOLDERS) {
+        for host in self.ranked(request).iter().take(MAX_STORING_HOSTS) {
             let found = if host == self.hub.host() {
                 self.lock().look_up(request).cloned()
             } else {
