--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,6 +1,9 @@
 //! Relays callers' requests along published routes to servers that run their own pipelines.
 //!
-//! Callers, operators and backend servers speak a platform's dialect, which an adapter decodes.
+//! Callers, operators and backend servers speak a platform's dialect, which an adapter decodes. A
+//! chain is the list of engines that run a draft, one per stage; it is the platform's term for a
+//! pipeline.
+//!
 //! This module and `coordination` make the decisions: they select the route, the customer and the
 //! server or chain of engines, decide whether to retry a failed send, and choose the response.
 
@@ -86,12 +89,12 @@
                 match serve(context, &call, head, body, &meter).await {
                     Ok(response) => response,
                     Err(refused) => {
-                        meter.refused(refused.0.kind);
+                        meter.record_refusal(refused.0.kind);
                         context.refuse(&refused, Some(&call.attempt))
                     }
                 }
             }
-            Err(fault) => context.refuse(&refused(RefusalKind::Malformed, fault.reason), None),
+            Err(error) => context.refuse(&refused(RefusalKind::Malformed, error.reason), None),
         };
         if context.lifecycle.step() != LifecycleStep::Serving {
             // Makes the caller open its next connection to a host that keeps running.
@@ -154,7 +157,7 @@
         RouteKind::Stream { .. } => drafts::serve(context, request, meter).await,
         RouteKind::Idempotent | RouteKind::NonIdempotent => {
             let response = calls::serve(context, &request).await?;
-            meter.ended(OutcomeKind::Complete);
+            meter.record_end(OutcomeKind::Complete);
             Ok(response)
         }
     }
--- a/crates/daemon/src/relay/chains.rs
+++ b/crates/daemon/src/relay/chains.rs
@@ -41,7 +41,7 @@
 /// A waiting request waits for KV memory rather than for prefill: an engine with 45 drafts of 3 s
 /// each finishes one every 65 ms, in which it could prefill 13,000 tokens. With the 760 tokens of
 /// an actual prompt, a full data centre was predicted to answer within 30 ms but took 3 s, and all
-/// entries sent their requests there at the same time.
+/// entries sent their requests to this full data centre at the same time.
 const WAITING_TOKENS: u64 = 13_000;
 /// Divisor of the expected answer tokens for which KV memory is requested. Averaged over its run, a
 /// draft holds half of its answer, and an engine runs many drafts of different progress.
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -12,7 +12,7 @@
 use pollendrift_http::{ConnectionPool, PoolSettings};
 
 use super::chains::ChainTable;
-use super::routes::RouteFeed;
+use super::routes::RouteTableBuilder;
 use crate::agreed::AgreedState;
 use crate::clock::{TimeSource, since_boot};
 use crate::fleet::BackendFleet;
@@ -43,7 +43,7 @@
 pub(crate) struct RelayContext {
     pub(super) dialect: PlatformDialect,
     pub(super) data_centre: DataCentreName,
-    pub(super) routes: RouteFeed,
+    pub(super) routes: RouteTableBuilder,
     pub(super) fleet: Arc<BackendFleet>,
     pub(super) pool: ConnectionPool,
     pub(super) clock: Arc<dyn TimeSource>,
@@ -74,7 +74,7 @@
         let operators = Arc::clone(&parts.dialect.operators);
         let change_within = parts.settings.change_within;
         Self {
-            routes: RouteFeed::new(Arc::clone(&parts.agreed), operators, change_within),
+            routes: RouteTableBuilder::new(Arc::clone(&parts.agreed), operators, change_within),
             dialect: parts.dialect,
             fleet: parts.fleet,
             pool: ConnectionPool::new(PoolSettings::default(), since_boot),
--- a/crates/daemon/src/relay/drafts.rs
+++ b/crates/daemon/src/relay/drafts.rs
@@ -46,7 +46,8 @@
 /// ms.
 const MAX_DECLINED_RESUMED: u32 = 12;
 
-/// A draft in progress, with its sends so far and their results.
+/// A draft in progress, with its sends so far and their results. [`AnsweredChain`] is the chain
+/// that then runs it.
 pub(super) struct DraftRun {
     pub(super) context: Arc<RelayContext>,
     pub(super) request: RelayRequest,
@@ -70,7 +71,7 @@
 }
 
 /// A chain that answered a draft, and its answer.
-pub(super) struct RunningDraft {
+pub(super) struct AnsweredChain {
     pub(super) answer: OpenAnswer,
     pub(super) chain: ChainGuard,
 }
@@ -105,7 +106,7 @@
     };
     if !running.answer.parts.status.is_success() {
         let read = running.answer.read().await;
-        meter.ended(OutcomeKind::Complete);
+        meter.record_end(OutcomeKind::Complete);
         return read.map_err(|failed| refused(RefusalKind::UnknownOutcome, failed.reason));
     }
     let (sender, body) = channel_body(EVENT_QUEUE_LENGTH);
@@ -126,11 +127,11 @@
         &mut self,
         resume_after: Option<EventId>,
         wait_until: MonotonicTime,
-    ) -> Option<RunningDraft> {
+    ) -> Option<AnsweredChain> {
         let is_resume = self.may_have_run;
         loop {
             let now = self.context.clock.now();
-            if self.request.time_left(now) < MIN_TIME_LEFT || self.is_exhausted() {
+            if self.request.time_left(now) < MIN_TIME_LEFT || self.is_final() {
                 return None;
             }
             let Some(mut chain) = self.reserve_chain_in_budget(now, is_resume) else {
@@ -149,11 +150,11 @@
                     self.may_have_run = true;
                     let is_error = answer.parts.status.is_server_error();
                     if !is_error || !self.may_repeat() {
-                        return Some(RunningDraft { answer, chain });
+                        return Some(AnsweredChain { answer, chain });
                     }
                     let culprit = chain.chain.first.clone();
                     self.exclude([culprit.clone()], DRAFT_EXCLUSION);
-                    chain.failed(Some(&culprit));
+                    chain.record_failed(Some(&culprit));
                 }
                 Err(failed) => {
                     if !failed.outcome.proof().is_not_run() {
@@ -167,7 +168,7 @@
                         SendOutcome::Declined => DECLINED_EXCLUSION,
                         _ => DRAFT_EXCLUSION,
                     };
-                    chain.failed(culprits.first());
+                    chain.record_failed(culprits.first());
                     if failed.outcome == SendOutcome::Declined {
                         self.record_declined(&culprits);
                     }
@@ -191,7 +192,7 @@
         }
         let chain = self.reserve_chain(now, is_resume, &[])?;
         if is_repeat && !self.context.spend_retry(now, service) {
-            chain.failed(None);
+            chain.record_failed(None);
             return None;
         }
         Some(chain)
@@ -206,13 +207,13 @@
         let has_budget = self
             .context
             .has_retry_budget(now, &self.request.service.name);
-        if self.is_exhausted() || self.declined + 1 >= self.max_declined() || !has_budget {
+        if self.is_final() || self.declined + 1 >= self.max_declined() || !has_budget {
             return false;
         }
         let Some(chain) = self.reserve_chain(now, true, suspects) else {
             return false;
         };
-        chain.failed(None);
+        chain.record_failed(None);
         true
     }
 
@@ -293,7 +294,7 @@
 
     /// Records and logs how the draft ended; `last` is the last event that the caller received.
     pub(super) fn log_end(&self, outcome: OutcomeKind, last: Option<EventId>) {
-        self.meter.ended(outcome);
+        self.meter.record_end(outcome);
         let request = &self.request;
         let elapsed = self.context.clock.now().since(request.arrived);
         let times = self.meter.event_times();
@@ -305,7 +306,7 @@
     }
 
     /// Whether no further send is allowed: the draft must not run twice, or a limit is reached.
-    fn is_exhausted(&self) -> bool {
+    fn is_final(&self) -> bool {
         let may_send = !self.may_have_run || self.request.route.kind.may_repeat();
         !may_send
             || self.sends >= self.request.route.max_attempts
@@ -324,13 +325,13 @@
     pub(super) fn abandon(&mut self, chain: ChainGuard) {
         let servers: Vec<ServerName> = chain.chain.servers().cloned().collect();
         self.exclude(servers, BROKEN_EXCLUSION);
-        chain.failed(None);
+        chain.record_failed(None);
     }
 
     /// Releases a chain and excludes its `unreachable` engines.
     pub(super) fn abandon_unreachable(&mut self, chain: ChainGuard, unreachable: Vec<ServerName>) {
         self.exclude_suspects(unreachable);
-        chain.failed(None);
+        chain.record_failed(None);
     }
 
     /// Excludes silent engines from the next chain. The send to a chain with such engines counts as
--- a/crates/daemon/src/relay/forwarding.rs
+++ b/crates/daemon/src/relay/forwarding.rs
@@ -11,7 +11,7 @@
 use pollendrift_http::BodySender;
 use tokio::time::timeout;
 
-use super::drafts::{DraftRun, RunningDraft};
+use super::drafts::{AnsweredChain, DraftRun};
 
 /// Events over which the usual gap is smoothed: half a second of a stream with 16 events a second.
 const GAP_SMOOTHING: u32 = 8;
@@ -74,7 +74,7 @@
     pub(super) async fn run(
         &mut self,
         run: &DraftRun,
-        running: &mut RunningDraft,
+        running: &mut AnsweredChain,
         progress: &mut EventProgress,
         sender: &BodySender,
     ) -> ChainEnd {
@@ -116,7 +116,7 @@
     async fn receive(
         &self,
         run: &DraftRun,
-        running: &mut RunningDraft,
+        running: &mut AnsweredChain,
     ) -> Result<NextFrame, ChainEnd> {
         let time_left = run.request.time_left(run.context.clock.now());
         tokio::select! {
@@ -129,9 +129,9 @@
         }
     }
 
-    fn record_events(&mut self, run: &DraftRun, running: &RunningDraft) {
+    fn record_events(&mut self, run: &DraftRun, running: &AnsweredChain) {
         let now = run.context.clock.now();
-        run.meter.events_sent(now);
+        run.meter.record_events_sent(now);
         if !self.is_first {
             let gap = now.since(self.last_event_at);
             self.usual_gap = self.usual_gap - self.usual_gap / GAP_SMOOTHING + gap / GAP_SMOOTHING;
--- a/crates/daemon/src/relay/guard.rs
+++ b/crates/daemon/src/relay/guard.rs
@@ -59,7 +59,7 @@
     }
 
     /// Ends the chain as failed; `culprit` is the engine at fault, if known.
-    pub(super) fn failed(mut self, culprit: Option<&ServerName>) {
+    pub(super) fn record_failed(mut self, culprit: Option<&ServerName>) {
         self.has_failed = true;
         let now = self.context.clock.now();
         self.context
--- a/crates/daemon/src/relay/heartbeats.rs
+++ b/crates/daemon/src/relay/heartbeats.rs
@@ -1,9 +1,9 @@
 //! Receives heartbeats of backend servers on behalf of the keepers.
 //!
-//! A keeper has a small part of a processor and serves every backend server; entries are more
-//! numerous and have more capacity. Keepers therefore assign an entry to each server for its later
-//! heartbeats. The entry accepts heartbeats that only renew a lease and refuses everything else:
-//! only keepers decide and acknowledge changes.
+//! A keeper has a small part of a processor and serves every backend server; hosts without a keeper
+//! are more numerous and have more capacity. Keepers therefore assign such a host to each server
+//! for its later heartbeats. That host accepts heartbeats that only renew a lease and refuses
+//! everything else: only keepers decide and acknowledge changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -27,9 +27,9 @@
 use crate::node::ClusterNode;
 
 /// Time without a keeper's answer after which a host refuses heartbeats: two intervals of the
-/// queries to the keepers. Heartbeats to such a host reach no other host, so the leases of running
-/// servers would expire.
-const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2_200);
+/// questions to the keepers. Heartbeats to such a host reach no other host, so the leases of
+/// running servers would expire.
+const HEARTBEAT_MAX_AGE: Duration = Duration::from_millis(2_200);
 /// Least time for which this host knows a server before a heartbeat counts as a return from the
 /// assigned host: until then the assigned host may not know the server.
 const MIN_KNOWN_TIME: Duration = Duration::from_secs(5);
@@ -80,9 +80,13 @@
             Ok(RegistryCall::Announce(_)) if self.is_cut_off(now) => {
                 Err("this host is cut off from the keepers")
             }
-            Ok(RegistryCall::Announce(note)) if self.fleet.renew_worker(now, &note) => Ok(()),
+            Ok(RegistryCall::Announce(announcement))
+                if self.fleet.renew_worker(now, &announcement) =>
+            {
+                Ok(())
+            }
             Ok(_) => Err("keepers alone take what is new"),
-            Err(fault) => return self.dialect.registry.refuse(&fault),
+            Err(error) => return self.dialect.registry.refuse(&error),
         };
         match outcome {
             Ok(()) => {
@@ -98,7 +102,7 @@
 
     fn is_cut_off(&self, now: MonotonicTime) -> bool {
         let confirmed_at = self.node.feed().confirmed_at();
-        confirmed_at.is_none_or(|at| now.since(at) >= MAX_CONFIRMATION_AGE)
+        confirmed_at.is_none_or(|at| now.since(at) >= HEARTBEAT_MAX_AGE)
     }
 }
 
@@ -133,21 +137,27 @@
         }
     }
 
-    /// Returns the address for the later heartbeats of the server of `note`; `None` leaves them as
-    /// they are. `known_for` is the time for which this host has known the server.
+    /// Returns the address for the later heartbeats of the server of `announcement`; `None` leaves
+    /// them as they are. `known_for` is the time for which this host has known the server.
     pub(super) fn assign(
         &self,
         now: MonotonicTime,
-        note: &ServerNote,
+        announcement: &ServerNote,
         verdict: MergeVerdict,
         known_for: Duration,
     ) -> Option<SocketAddr> {
-        let is_back = verdict == MergeVerdict::Renewed && known_for >= MIN_KNOWN_TIME;
+        let is_return = verdict == MergeVerdict::Renewed && known_for >= MIN_KNOWN_TIME;
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.refresh_hosts(now, &self.node);
         let AssignerState { table, hosts, .. } = &mut *state;
-        let host = table.assign(now, &note.server, &note.data_centre, is_back, hosts)?;
-        log::info!(server:% = note.server, host:% = host.host, is_back = is_back; "heartbeats assigned");
+        let host = table.assign(
+            now,
+            &announcement.server,
+            &announcement.data_centre,
+            is_return,
+            hosts,
+        )?;
+        log::info!(server:% = announcement.server, host:% = host.host, is_back = is_return; "heartbeats assigned");
         Some(host.address)
     }
 }
--- a/crates/daemon/src/relay/meter.rs
+++ b/crates/daemon/src/relay/meter.rs
@@ -48,12 +48,12 @@
     }
 
     /// Records the end of the request; later calls have no effect.
-    pub(super) fn ended(&self, outcome: OutcomeKind) {
+    pub(super) fn record_end(&self, outcome: OutcomeKind) {
         self.0.end(outcome);
     }
 
     /// Records that the request was refused, which ends it.
-    pub(super) fn refused(&self, kind: RefusalKind) {
+    pub(super) fn record_refusal(&self, kind: RefusalKind) {
         let outcome = match kind {
             RefusalKind::UnknownOutcome | RefusalKind::TimedOut => OutcomeKind::Unknown,
             _ => OutcomeKind::NotRun,
@@ -62,14 +62,14 @@
             .context
             .metrics
             .record_refusal(outcome, kind.to_string());
-        self.ended(outcome);
+        self.record_end(outcome);
     }
 
     /// Records that events were sent to the caller at `now`.
     ///
     /// A pause starts at the last event that was sent, whichever chain sent it. When it started
     /// with the next chain, the metrics omitted the pauses caused by engines that failed.
-    pub(super) fn events_sent(&self, now: MonotonicTime) {
+    pub(super) fn record_events_sent(&self, now: MonotonicTime) {
         let metrics = &self.0.context.metrics;
         let mut events = self.0.events();
         match events.last_at.replace(now) {
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -1,7 +1,8 @@
 //! Placement of layers on the engines of published services.
 //!
 //! Each data centre gets a placement of its own, so that it can serve its own callers: a chain that
-//! crosses data centres costs more on the link between them than it can save.
+//! crosses data centres costs more on the link between them than it can save. This module places
+//! layers for published routes; `crate::placement` places them for selectors.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -35,7 +36,7 @@
 /// Time between two ticks of the placer.
 const PLACEMENT_TICK: Duration = Duration::from_millis(200);
 /// Longest wait for an engine's answer to an order or a state query.
-const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
+const LOAD_ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Consecutive unanswered probes after which an engine is considered lost. A single probe or its
 /// answer may get lost on the network.
 const LOST_PROBES: u32 = 2;
@@ -79,7 +80,7 @@
     pools: BTreeMap<PoolKey, EnginePool>,
     orders: BTreeMap<ServerName, OrderCount>,
     client: ConnectionPool,
-    /// End of this host's order right, on its own clock.
+    /// End of this host's order right, the permission to send orders to engines, on its own clock.
     right_until: MonotonicTime,
     surveyed_at: MonotonicTime,
     /// Consecutive probes by this host that each engine left unanswered.
@@ -179,6 +180,7 @@
         for result in &results {
             match result.load {
                 Some(_) => {
+                    // `questions` in the log line is the number of unanswered probes.
                     let missed = self.unanswered.remove(&result.server).unwrap_or_default();
                     if missed >= LOST_PROBES {
                         log::info!(server:% = result.server, questions = missed; "engine answers probes again");
@@ -331,7 +333,7 @@
             answer.connection.keep(&parts.headers);
             Ok((parts.status, body))
         };
-        timeout(ORDER_TIMEOUT, exchange)
+        timeout(LOAD_ORDER_TIMEOUT, exchange)
             .await
             .unwrap_or_else(|_| Err("no answer in time".to_owned()))
     }
--- a/crates/daemon/src/relay/publish.rs
+++ b/crates/daemon/src/relay/publish.rs
@@ -1,8 +1,9 @@
 //! Publishes a document of routes, and reads it back.
 //!
-//! Operators number documents themselves and may race each other. The highest version is in force.
-//! Each edit is based on the revision that was read, so if two documents race, one of them
-//! conflicts and is decided again on top of the other.
+//! A document is the operator's bytes, a source the text in the configuration, and the route table
+//! is built from the source in force. Operators number documents themselves and may race each
+//! other. The highest version is in force. Each edit is based on the revision that was read, so if
+//! two documents race, one of them conflicts and is decided again on top of the other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 use crate::keeper::KeeperClient;
 use crate::state::SharedState;
 
-/// Time limit of one operator's call. Operators turn to another host after a second without an
+/// Time limit of one operator request. Operators turn to another host after a second without an
 /// answer, so a longer limit would only accumulate work.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause before the next attempt, after a conflict or without a leader.
--- a/crates/daemon/src/relay/reroute.rs
+++ b/crates/daemon/src/relay/reroute.rs
@@ -20,7 +20,7 @@
 use super::request::SendTarget;
 
 /// Time for the first engine's answer to a reroute order; the same as for a liveness probe.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(80);
+const REROUTE_ORDER_TIMEOUT: Duration = Duration::from_millis(80);
 /// Consecutive attempts to reroute. Each failed one excludes new stages that are unreachable or
 /// lack capacity.
 const MAX_ATTEMPTS: u32 = 3;
@@ -78,7 +78,7 @@
                 }
                 continue;
             };
-            std::mem::replace(chain, rerouted).failed(None);
+            std::mem::replace(chain, rerouted).record_failed(None);
             since = context.clock.now();
         }
     }
@@ -128,14 +128,15 @@
             match outcome {
                 Some(RerouteOutcome::Taken) => return Some(next),
                 Some(RerouteOutcome::NoRoom { culprit }) => {
-                    let full = full_stages(chain, &next.chain, culprit);
-                    next.failed(None);
-                    full.iter()
+                    let unusable = unusable_stages(chain, &next.chain, culprit);
+                    next.record_failed(None);
+                    unusable
+                        .iter()
                         .for_each(|server| self.context.chains().record_declined(now, server));
-                    lost.extend(full);
+                    lost.extend(unusable);
                 }
                 Some(RerouteOutcome::NotThere) | None => {
-                    next.failed(None);
+                    next.record_failed(None);
                     break;
                 }
             }
@@ -179,13 +180,16 @@
             answer.connection.keep(&parts.headers);
             Some(dialect.read_reroute(parts.status, &body))
         };
-        timeout(ORDER_TIMEOUT, exchange).await.ok().flatten()
+        timeout(REROUTE_ORDER_TIMEOUT, exchange)
+            .await
+            .ok()
+            .flatten()
     }
 }
 
-/// New stages of `next` that are unreachable or lack capacity: the one that the engine names, else
-/// all of them.
-fn full_stages(
+/// New stages of `next` that can't be used because they are unreachable or lack capacity: the one
+/// that the engine names, else all of them.
+fn unusable_stages(
     former: &ReservedChain,
     next: &ReservedChain,
     culprit: Option<SocketAddr>,
@@ -198,7 +202,8 @@
     next.servers().filter(is_new).cloned().collect()
 }
 
-/// Outcome of a reroute order in log lines; `None` stands for a missing answer.
+/// Outcome of a reroute order in log lines; `None` stands for a missing answer, and `NotThere` for
+/// an engine that does not run the request.
 fn describe_outcome(outcome: Option<&RerouteOutcome>) -> String {
     match outcome {
         Some(RerouteOutcome::Taken) => "accepted".to_owned(),
--- a/crates/daemon/src/relay/routes.rs
+++ b/crates/daemon/src/relay/routes.rs
@@ -1,4 +1,7 @@
 //! The route table that this host serves by, built from the published source.
+//!
+//! The newest revision is the newest that this host knows; the group may already have accepted a
+//! later one.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -24,12 +27,12 @@
 const MAX_WAIT: Duration = Duration::from_millis(1_600);
 /// Time without knowing the newest revision after which the built routes may be stale: five updates
 /// of the chain table (`CHAIN_TICK`), and half of the time within which a change must be in force.
-const MAX_CONFIRMATION_AGE: Duration = Duration::from_secs(1);
+const ROUTES_MAX_AGE: Duration = Duration::from_secs(1);
 /// Time between two polls of a waiting request.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// Builds a route table from the published source each time the source changes.
-pub(crate) struct RouteFeed {
+pub(crate) struct RouteTableBuilder {
     agreed: Arc<dyn AgreedState>,
     dialect: Arc<dyn OperatorDialect>,
     build_state: Arc<Mutex<BuildState>>,
@@ -70,13 +73,13 @@
     /// A host that was disconnected or suspended has old routes, and receives the newest ones when
     /// it comes back. If it served by the old routes while it builds the new ones, a request could
     /// run with a key that was revoked ten seconds before. A host that did not know the newest
-    /// revision for [`MAX_CONFIRMATION_AGE`] therefore builds the revision that it finds before it
-    /// serves again. It waits for that one revision only: if it also had to reach each newer one,
-    /// changes that arrive faster than it builds them would keep it from ever serving.
+    /// revision for [`ROUTES_MAX_AGE`] therefore builds the revision that it finds before it serves
+    /// again. It waits for that one revision only: if it also had to reach each newer one, changes
+    /// that arrive faster than it builds them would keep it from ever serving.
     fn table(&mut self, now: MonotonicTime, newest: Revision) -> Result<Arc<RouteTable>, String> {
         let was_stale = self
             .newest_known_at
-            .is_none_or(|at| now.since(at) >= MAX_CONFIRMATION_AGE);
+            .is_none_or(|at| now.since(at) >= ROUTES_MAX_AGE);
         if was_stale {
             self.min_revision = newest;
         }
@@ -90,7 +93,7 @@
     }
 }
 
-impl RouteFeed {
+impl RouteTableBuilder {
     /// Creates a feed of the configuration in `agreed`, without a table and with no build running.
     pub(crate) fn new(
         agreed: Arc<dyn AgreedState>,
@@ -151,10 +154,11 @@
     ///
     /// A host that has just started, or whose keepers are electing a leader, knows the routes a
     /// moment later. An early refusal would use up the only retry that many callers have. A host
-    /// that has been cut off for longer than [`STARTUP_GRACE`] refuses at once.
+    /// that has been disconnected from the keepers for longer than [`STARTUP_GRACE`] refuses at
+    /// once.
     ///
     /// # Errors
-    /// As [`RouteFeed::current`].
+    /// As [`RouteTableBuilder::current`].
     pub(super) async fn wait_for_table(
         &self,
         clock: &dyn TimeSource,
@@ -180,10 +184,11 @@
 
     /// Whether a change may be in force that the current table does not contain.
     ///
-    /// Failure: keepers accept a change and fail before this host asks again. Symptom: the host
-    /// denied the new route for the rest of its lease, which is as long as it may serve a revoked
-    /// key, and callers treat that refusal as permanent. Only a change accepted after the last
-    /// confirmation can be missing, so none is overdue within `change_within` of the confirmation.
+    /// Keepers may accept a change and fail before this host asks again. Without this check, the
+    /// host would deny the new route for the rest of its lease, which is as long as it may serve a
+    /// revoked key, and callers treat that refusal as permanent. Only a change accepted after the
+    /// last confirmation can be missing, so none is overdue within `change_within` of the
+    /// confirmation.
     pub(super) fn may_be_stale(&self, now: MonotonicTime) -> bool {
         let confirmed_at = self.agreed.confirmed_at();
         self.is_behind() || confirmed_at.is_none_or(|at| now.since(at) >= self.change_within)
@@ -202,10 +207,10 @@
 
     /// Waits until a keeper confirms that the table is the newest, and returns the table.
     ///
-    /// Failure: a change is accepted, and a caller uses its new route or key on a host that does
-    /// not have the change yet. Symptom: the host answered that the route does not exist, which
-    /// callers treat as permanent. After the wait the host either serves the request or answers
-    /// that the request did not run, with the time after which to retry.
+    /// After a change is accepted, a caller may use its new route or key on a host that does not
+    /// have the change yet. Without the wait, the host would answer that the route does not exist,
+    /// which callers treat as permanent. After the wait the host either serves the request or
+    /// answers that the request did not run, with the time after which to retry.
     ///
     /// # Errors
     /// The host did not catch up within [`MAX_WAIT`].
--- a/crates/daemon/src/relay/start.rs
+++ b/crates/daemon/src/relay/start.rs
@@ -50,8 +50,9 @@
     }
 }
 
-/// Starts the relay's background task: on an entry, the task that follows the chains; on a keeper,
-/// the placement of layers, which runs only on the keeper that holds the right to place.
+/// Starts the relay's background task: on a host without a keeper, the task that updates the chain
+/// table; on a keeper, the placement of layers, which runs only on the keeper that holds the order
+/// right.
 pub(crate) fn start_relay(
     settings: &DaemonSettings,
     relay: Arc<RelayContext>,
--- a/crates/daemon/src/relay/stream.rs
+++ b/crates/daemon/src/relay/stream.rs
@@ -5,18 +5,22 @@
 use pollendrift_coordination::streams::{EventId, EventProgress};
 use pollendrift_http::BodySender;
 
-use super::drafts::{DraftRun, RunningDraft};
+use super::drafts::{AnsweredChain, DraftRun};
 use super::forwarding::{ChainEnd, EventForwarder, NextFrame, next_frame};
 
 /// A draft whose events are being forwarded to the caller.
 pub(super) struct StreamRun {
     run: DraftRun,
-    running: RunningDraft,
+    running: AnsweredChain,
     progress: EventProgress,
 }
 
 impl StreamRun {
-    pub(super) fn new(run: DraftRun, running: RunningDraft, resume_after: Option<EventId>) -> Self {
+    pub(super) fn new(
+        run: DraftRun,
+        running: AnsweredChain,
+        resume_after: Option<EventId>,
+    ) -> Self {
         Self {
             run,
             running,
@@ -68,25 +72,27 @@
                     }
                 };
                 if let Some(rerouted) = rerouted {
-                    std::mem::replace(&mut running.chain, rerouted).failed(None);
+                    std::mem::replace(&mut running.chain, rerouted).record_failed(None);
                     forwarder.restart_silence_timer(run.context.clock.now());
                 }
             }
             ChainEnd::Silent(verdict) if !verdict.is_dead => {
                 let outcome = tokio::select! {
-                    outcome = hand_over(&mut run, &mut running, verdict.suspects, after) => outcome,
+                    outcome = move_draft(&mut run, &mut running, verdict.suspects, after) => outcome,
                     () = sender.closed() => {
                         run.log_end(OutcomeKind::CallerGone, after);
                         return;
                     }
                 };
                 match outcome {
-                    HandOver::Taken(next) => {
-                        std::mem::replace(&mut running, *next).chain.failed(None);
+                    MoveResult::Accepted(next) => {
+                        std::mem::replace(&mut running, *next)
+                            .chain
+                            .record_failed(None);
                         forwarder = EventForwarder::new(run.context.clock.now());
                     }
-                    HandOver::Resumed(frame) => forwarder.put_back(frame),
-                    HandOver::NoAlternative => {}
+                    MoveResult::Resumed(frame) => forwarder.put_back(frame),
+                    MoveResult::NoAlternative => {}
                 }
             }
             ChainEnd::Broken(_) | ChainEnd::Silent(_) => {
@@ -99,7 +105,7 @@
                     }
                 };
                 let Some(next) = next else {
-                    log::warn!(request = run.request.attempt.as_str(), reason = reason.as_str(); "stream to the caller cut: no chain can continue the draft");
+                    log::warn!(request = run.request.attempt.as_str(), reason = reason.as_str(); "stream to the caller aborted: no chain can continue the draft");
                     run.log_end(OutcomeKind::Incomplete, after);
                     return;
                 };
@@ -111,9 +117,9 @@
 }
 
 /// Result of an attempt to move a draft from a silent chain to another.
-enum HandOver {
+enum MoveResult {
     /// Another chain accepted the draft.
-    Taken(Box<RunningDraft>),
+    Accepted(Box<AnsweredChain>),
     /// The silent chain sent a frame first.
     Resumed(NextFrame),
     /// No other chain accepted the draft.
@@ -125,12 +131,12 @@
 ///
 /// Engines that seem to have capacity may decline, and silent ones are often only late. Releasing
 /// the silent chain first would lose drafts that it would still have finished.
-async fn hand_over(
+async fn move_draft(
     run: &mut DraftRun,
-    running: &mut RunningDraft,
+    running: &mut AnsweredChain,
     suspects: Vec<ServerName>,
     after: Option<EventId>,
-) -> HandOver {
+) -> MoveResult {
     log::info!(request = run.request.attempt.as_str(), after = after.map(|id| id.0),
         engines = suspects.len(); "chain is silent; trying another chain");
     let now = run.context.clock.now();
@@ -139,14 +145,14 @@
         next = run.open(after, now) => next,
         frame = next_frame(&mut running.answer.body) => {
             run.count_kept_chain();
-            return HandOver::Resumed(frame);
+            return MoveResult::Resumed(frame);
         }
     };
     match next.filter(|next| next.answer.parts.status.is_success()) {
-        Some(next) => HandOver::Taken(Box::new(next)),
+        Some(next) => MoveResult::Accepted(Box::new(next)),
         None => {
             run.count_kept_chain();
-            HandOver::NoAlternative
+            MoveResult::NoAlternative
         }
     }
 }
@@ -157,11 +163,11 @@
 /// engines may be needed for the draft to continue.
 fn release_chain(
     run: &mut DraftRun,
-    running: RunningDraft,
+    running: AnsweredChain,
     end: ChainEnd,
     after: Option<EventId>,
 ) -> String {
-    let RunningDraft { answer, chain } = running;
+    let AnsweredChain { answer, chain } = running;
     drop(answer);
     let reason = match end {
         ChainEnd::Broken(reason) => {
@@ -184,7 +190,7 @@
 ///
 /// Waits for capacity until the request's deadline: a caller that doesn't want to wait that long
 /// disconnects by itself, and closing its connection earlier has no benefit.
-async fn continue_elsewhere(run: &mut DraftRun, after: Option<EventId>) -> Option<RunningDraft> {
+async fn continue_elsewhere(run: &mut DraftRun, after: Option<EventId>) -> Option<AnsweredChain> {
     let now = run.context.clock.now();
     let wait_until = now.after(run.request.time_left(now));
     let next = run.open(after, wait_until).await?;
