--- a/crates/daemon/src/entry/draft/resume.rs
+++ b/crates/daemon/src/entry/draft/resume.rs
@@ -1,4 +1,4 @@
-//! Resumption of a draft's stream after its entry or the connection to the caller was lost.
+//! Resumption of a draft's stream after its entry or the connection to the caller failed.
 
 use http::{HeaderMap, StatusCode};
 use pollendrift_coordination::base::{
@@ -15,8 +15,8 @@
 const LAST_EVENT_HEADER: &str = "last-event-id";
 /// Added to the last known attempt number.
 ///
-/// The result exceeds every attempt number that the lost entry may still use; engines drop attempts
-/// with lower numbers.
+/// The result exceeds every attempt number that the entry that served the stream before may still
+/// use; engines drop attempts with lower numbers.
 const ATTEMPT_STEP: u32 = 1_000;
 
 /// State from which an answer continues.
--- a/crates/daemon/src/relay/meter.rs
+++ b/crates/daemon/src/relay/meter.rs
@@ -67,8 +67,8 @@
 
     /// Records that events were sent to the caller at `now`.
     ///
-    /// A pause starts at the last event that was sent, whichever chain sent it. When it started
-    /// with the next chain, the metrics omitted the pauses caused by engines that failed.
+    /// A pause starts at the last event that was sent, whichever chain sent it. If it started with
+    /// the next chain, the metrics would omit the pauses caused by engines that failed.
     pub(super) fn record_events_sent(&self, now: MonotonicTime) {
         let metrics = &self.0.context.metrics;
         let mut events = self.0.events();
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -152,7 +152,7 @@
     }
 
     /// Probes engines for their state: those in this host's area once per survey period and, while
-    /// this host holds the right to order engines, those that did not answer their latest probe.
+    /// this host holds the order right, those that did not answer their latest probe.
     ///
     /// A keeper that can't reach an engine does not prove that the engine is lost. Its layers are
     /// placed elsewhere only if the keeper that orders engines gets no answer either.
