--- a/crates/daemon/src/feed.rs
+++ b/crates/daemon/src/feed.rs
@@ -44,7 +44,8 @@
     /// Revision that the host serves.
     pub revision: Revision,
     /// Time of the last report, on this host's clock.
-    pub heard_at: MonotonicTime,
+    #[serde(rename = "heard_at")]
+    pub reported_at: MonotonicTime,
 }
 
 /// Follows the configuration at a keeper, and holds this host's copy and its lease.
@@ -65,8 +66,8 @@
     barrier_reads: CoalescedBarrier,
 }
 
-/// The last answer with content. After a change all hosts ask from the same revision; without this
-/// cache a keeper would compare the two texts again for each host.
+/// The last answer with content. After a change all hosts request a delta from the same revision;
+/// without this cache a keeper would compare the two texts again for each host.
 struct CachedAnswer {
     have: Option<Revision>,
     revision: Revision,
@@ -88,14 +89,14 @@
     configuration: Option<Arc<Configuration>>,
     /// Revision that was recorded last as in force.
     recorded: Option<Revision>,
-    /// Whether the next question requests the complete text, since a content was refused.
+    /// Whether the next question requests the complete text, because the last content was refused.
     needs_full_text: bool,
     /// Revisions that peers reported. Only peers can send frames, so the hosts of the settings
     /// bound its size.
     peers: BTreeMap<HostName, PeerRevision>,
 }
 
-/// A quorum-checked answer: the revision, and the content that leads to it.
+/// A quorum-checked answer: the revision, and the delta or complete text that yields it.
 struct ConfirmedRevision {
     revision: Revision,
     content: OfferedContent,
@@ -189,7 +190,7 @@
             .map(|revision| PeerRevision {
                 host: self.hub.host().clone(),
                 revision,
-                heard_at: now,
+                reported_at: now,
             });
         state.peers.values().cloned().chain(own).collect()
     }
@@ -199,13 +200,13 @@
         let ConfigurationFrame::Holds { revision } = frame else {
             return;
         };
-        let heard_at = self.clock.now();
+        let reported_at = self.clock.now();
         let mut state = self.lock();
-        state.follower.observe(heard_at, revision);
+        state.follower.observe(reported_at, revision);
         let peer_revision = PeerRevision {
             host: from.clone(),
             revision,
-            heard_at,
+            reported_at,
         };
         state.peers.insert(from.clone(), peer_revision);
         drop(state);
--- a/crates/daemon/src/keeper/join.rs
+++ b/crates/daemon/src/keeper/join.rs
@@ -1,4 +1,4 @@
-//! Takes a keeper that isn't a voter back into the membership, one step at a time.
+//! Adds this keeper to the membership as a voter, one step at a time.
 
 use pollendrift_coordination::agreement::KeeperId;
 use tokio::sync::watch;
@@ -55,7 +55,8 @@
     }
 }
 
-/// Whether a voter has no leader for `leader_timeout`; returns early when its status changes.
+/// Returns whether this keeper, a voter, has no leader for `leader_timeout`. Returns false as soon
+/// as it gets a leader or stops; if it has a leader at the call, after the next status change.
 ///
 /// A voter that was removed while it was disconnected doesn't learn this from the log, because no
 /// keeper sends it the log any more. It would start elections forever that it can't win, and the
--- a/crates/daemon/src/peers/inbound.rs
+++ b/crates/daemon/src/peers/inbound.rs
@@ -17,7 +17,7 @@
 use super::transport::{AcceptedStream, PeerAcceptor};
 use crate::clock::{SystemClock, TimeSource};
 
-/// Time between two silence_checks for a free handshake slot while all slots are in use.
+/// Time between two checks for a free handshake slot while all slots are in use.
 const HANDSHAKE_PAUSE: Duration = Duration::from_millis(5);
 /// Wait after a failed accept, for example when no file handle is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -160,8 +160,8 @@
     // As on outbound links, this clock runs on while the machine is suspended.
     let clock = SystemClock::default();
     let mut last_received = clock.now();
-    let mut silence_checks = interval(hub.shared.settings.heartbeat);
-    silence_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut silence_check_interval = interval(hub.shared.settings.heartbeat);
+    silence_check_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let step = tokio::select! {
             biased;
@@ -173,7 +173,7 @@
                     Err(error) => Err(error),
                 }
             }
-            _ = silence_checks.tick() => {
+            _ = silence_check_interval.tick() => {
                 // The peer may know of more hosts than this process; its heartbeat interval is then
                 // longer.
                 let silence_timeout = hub.timing_of(&link.host).silence_timeout * 2;
--- a/crates/daemon/src/relay/context.rs
+++ b/crates/daemon/src/relay/context.rs
@@ -12,7 +12,7 @@
 use pollendrift_http::{ConnectionPool, PoolSettings};
 
 use super::chains::ChainTable;
-use super::routes::RouteFeed;
+use super::routes::RouteTableBuilder;
 use crate::agreed::AgreedState;
 use crate::clock::{TimeSource, since_boot};
 use crate::fleet::BackendFleet;
@@ -22,8 +22,8 @@
 
 /// Number of hosts that share the retry budget until a keeper reports the actual number.
 const DEFAULT_BUDGET_HOSTS: u32 = 64;
-/// Fraction of the earned budget that is spent: the windows of the bound on retries slide, and
-/// overlap the windows counted here.
+/// Fraction of the earned budget that is spent. The limit on retries applies to sliding windows,
+/// and a sliding window can span two of the windows counted here.
 const BUDGET_FRACTION: f64 = 0.8;
 
 /// Parts from which a [`RelayContext`] is built.
@@ -43,7 +43,7 @@
 pub(crate) struct RelayContext {
     pub(super) dialect: PlatformDialect,
     pub(super) data_centre: DataCentreName,
-    pub(super) routes: RouteFeed,
+    pub(super) routes: RouteTableBuilder,
     pub(super) fleet: Arc<BackendFleet>,
     pub(super) pool: ConnectionPool,
     pub(super) clock: Arc<dyn TimeSource>,
@@ -74,7 +74,7 @@
         let operators = Arc::clone(&parts.dialect.operators);
         let change_within = parts.settings.change_within;
         Self {
-            routes: RouteFeed::new(Arc::clone(&parts.agreed), operators, change_within),
+            routes: RouteTableBuilder::new(Arc::clone(&parts.agreed), operators, change_within),
             dialect: parts.dialect,
             fleet: parts.fleet,
             pool: ConnectionPool::new(PoolSettings::default(), since_boot),
