--- a/crates/daemon/src/access/control.rs
+++ b/crates/daemon/src/access/control.rs
@@ -96,8 +96,8 @@
         self.apply(AccessState::load(settings, generation))
     }
 
-    /// Reads the key files again if any of them changed; called on a slow tick. Returns whether new
-    /// keys were loaded.
+    /// Reads the key files again if any of them changed; the daemon calls this every 10 s. Returns
+    /// whether new keys were loaded.
     ///
     /// # Errors
     ///
--- a/crates/daemon/src/announcements.rs
+++ b/crates/daemon/src/announcements.rs
@@ -33,7 +33,7 @@
     pub clock: Arc<dyn TimeSource>,
     /// Lease that an announcement renews.
     pub lease: Duration,
-    /// Period at which replies ask servers to announce themselves.
+    /// Heartbeat period that replies tell servers to use.
     pub heartbeat: Duration,
 }
 
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -314,8 +314,8 @@
         &self.node
     }
 
-    /// Resolves when this host's keeper has stopped because its disk is full. After a restart the
-    /// daemon continues from the data on the disk.
+    /// Resolves when this host's keeper has stopped because its disk is full. The caller should
+    /// restart the daemon, which then continues from the data on the disk.
     pub async fn disk_full(&self) {
         self.node.disk_full().await;
     }
@@ -399,14 +399,14 @@
     acceptor: Option<Arc<dyn StreamAcceptor>>,
     handler: Arc<dyn pollendrift_http::DynHandler>,
 ) -> Result<HttpServer, StartError> {
-    let bounds = ServerBounds {
+    let limits = ServerBounds {
         max_headers: to_usize(settings.max_header_count),
         max_head_bytes: to_usize(settings.max_header_bytes),
         head_timeout: settings.head_timeout,
         max_connections_per_address: to_usize(settings.max_connections_per_address),
         max_connections: to_usize(settings.max_connections),
     };
-    HttpServer::start(address, bounds, acceptor, handler)
+    HttpServer::start(address, limits, acceptor, handler)
         .await
         .map_err(|error| StartError::Listen { address, error })
 }
--- a/crates/daemon/src/faces.rs
+++ b/crates/daemon/src/faces.rs
@@ -1,4 +1,6 @@
 //! Routing of requests on a listening address to the handlers of its faces.
+//!
+//! A face is an interface of the daemon for one kind of client, see [`crate::access`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +27,7 @@
     pub operators: Arc<OperatorHandler>,
     /// Handler of the backend servers' face.
     pub announcements: Arc<AnnouncementHandler>,
-    /// Handlers with the interface of a platform; if set, they replace all other handlers.
+    /// Handlers for the dialect of a platform; if set, they replace all other handlers.
     pub relay: Option<RelayFaces>,
 }
 
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -40,7 +40,7 @@
         /// Names of the invalid fields and their errors.
         reason: String,
     },
-    /// The lease table has no free entry.
+    /// The lease table has no free slot.
     #[display("this host holds as many backend servers as it may; retry later")]
     Full,
 }
@@ -198,12 +198,12 @@
         events
     }
 
-    /// Whether `server` may get new work now; callers check again right before each send.
+    /// Whether `server` may receive new work now; callers check again right before each send.
     pub fn may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         self.lock().leases.may_take_work(now, server)
     }
 
-    /// Returns the servers that may get new work now.
+    /// Returns the servers that may receive new work now.
     pub fn serving(&self, now: MonotonicTime) -> Vec<Arc<ServerView>> {
         let state = self.lock();
         let serving = state.leases.iter().filter(|lease| lease.is_serving(now));
@@ -213,7 +213,7 @@
             .collect()
     }
 
-    /// Returns the model engines that may get new work now.
+    /// Returns the model engines that may receive new work now.
     pub(crate) fn engines(&self, now: MonotonicTime) -> Vec<FleetEngine> {
         let state = self.lock();
         let serving = state.leases.iter().filter(|lease| lease.is_serving(now));
@@ -227,7 +227,7 @@
         engines.collect()
     }
 
-    /// Returns the servers of a plain service that may get new work now.
+    /// Returns the servers of a plain service that may receive new work now.
     pub fn serving_service(
         &self,
         now: MonotonicTime,
--- a/crates/daemon/src/fleet/announcement.rs
+++ b/crates/daemon/src/fleet/announcement.rs
@@ -181,7 +181,7 @@
     }
 }
 
-/// Converts the announced load for the planner; `taken` is the time of the announcement.
+/// Converts the announced load for the planner; `measured_at` is the time of the announcement.
 pub(super) fn load_report(announce: &ServerAnnounce, measured_at: MonotonicTime) -> LoadReport {
     let load = &announce.load;
     LoadReport {
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! Backend servers of published services.
+//! Workers: backend servers announced in the dialect of a platform, for published services.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -132,7 +132,7 @@
         state.survey.get(now, &worker.server, worker.incarnation)
     }
 
-    /// Whether a server of a published service may get new work now; callers check right before
+    /// Whether a server of a published service may receive new work now; callers check right before
     /// each send.
     pub(crate) fn worker_may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let state = self.lock();
@@ -140,7 +140,7 @@
         worker.is_some_and(|worker| state.is_available(now, worker))
     }
 
-    /// Returns the servers of published services that may get new work now. If two have the same
+    /// Returns the servers of published services that may receive new work now. If two have the same
     /// address, returns only the later incarnation: the other one's last heartbeat arrived late.
     pub fn workers(&self, now: MonotonicTime) -> Vec<Arc<WorkerView>> {
         let state = self.lock();
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,7 @@
 //! Router daemon of pollendrift.
 //!
 //! Each host runs one process: an entry for callers, backend servers, operators and peers, and a
-//! keeper if the settings contain a data folder.
+//! keeper if the settings make the host one.
 
 pub mod access;
 pub mod admission;
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -43,8 +43,8 @@
 
 /// Pause between two attempts to register this process with the keepers.
 const REGISTER_PAUSE: Duration = Duration::from_millis(200);
-/// Maximum time to hand over leadership at a planned stop.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time to transfer leadership at a planned stop.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reason why the node did not start.
 #[derive(Debug, Display, Error, From)]
@@ -281,11 +281,11 @@
         &self.client
     }
 
-    /// Hands over leadership, before a planned stop closes the links; true if it succeeds or there
+    /// Transfers leadership, before a planned stop closes the links; true if it succeeds or there
     /// is no keeper.
     pub async fn hand_over(&self) -> bool {
         match self.keeper_handle() {
-            Some(handle) => handle.hand_over(HAND_OVER_TIMEOUT).await,
+            Some(handle) => handle.hand_over(LEADERSHIP_TRANSFER_TIMEOUT).await,
             None => true,
         }
     }
--- a/crates/daemon/src/node/parts.rs
+++ b/crates/daemon/src/node/parts.rs
@@ -20,7 +20,8 @@
 use crate::transport::AccessTransport;
 
 /// Silence timeout after which a keeper without a replacement is removed from the group. Restarts
-/// take a few seconds; a longer partition costs two changes of membership when it ends.
+/// take a few seconds; a longer partition costs two changes of membership: the removal and the
+/// return of the keeper.
 const LOST_VOTER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum back-off of a keeper before it looks for the leader again; short, since a keeper learns
 /// of a new leader itself.
@@ -28,9 +29,9 @@
 
 /// Duration of the lease on the configuration.
 ///
-/// It counts from the question to a quorum. A key revoked after that question is accepted for no
-/// longer than the lease, so a lease shorter than the limit for revoked keys keeps that limit on a
-/// disconnected host. The remaining fifth is for requests in progress when the lease ends.
+/// It counts from the question to a quorum, so a disconnected host accepts a key that was revoked
+/// after that question for no longer than the lease. The lease is four fifths of `revoke_within`;
+/// the remaining fifth is for requests in progress when the lease ends.
 pub(super) fn configuration_lease(settings: &DaemonSettings) -> Duration {
     if settings.relay.enabled {
         return settings.relay.revoke_within * 4 / 5;
@@ -38,8 +39,9 @@
     settings.leases.configuration
 }
 
-/// Time between two questions to a quorum. Four questions per lease leave three retries; two within
-/// the time limit of a change let a host detect in time that it receives no updates.
+/// Time between two questions to a quorum. Four questions per lease leave three retries. With a
+/// relay there are also at least two questions per `change_within`, so that a host detects in time
+/// that it receives no updates.
 pub(super) fn question_period(settings: &DaemonSettings, lease: Duration) -> Duration {
     if settings.relay.enabled {
         return (lease / 4).min(settings.relay.change_within / 2);
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -73,7 +73,8 @@
 pub struct KeeperAnswer {
     /// HTTP status code.
     pub status: u16,
-    /// Value of the `Content-Type` header; `text/plain` marks a refusal.
+    /// Value of the `Content-Type` header; `text/plain` marks a refusal, since results are
+    /// JSON; the requesting host converts a refusal to a problem document.
     pub content_type: String,
     /// Response body.
     #[serde(with = "serde_bytes")]
--- a/crates/daemon/src/placement.rs
+++ b/crates/daemon/src/placement.rs
@@ -1,7 +1,8 @@
 //! Placement task: one host at a time orders engines to load the model versions of selectors.
 //!
 //! Runs only while a selector names a model with a version, and only with the order right, which
-//! the keepers grant to one holder at a time.
+//! the keepers grant to one holder at a time. Engines of published routes are placed by the relay
+//! instead.
 
 mod order;
 mod right;
@@ -35,7 +36,7 @@
 /// duration after the last renewal. The other two cover clock drift and data in transit.
 const UNFENCED_LEASES: u32 = 3;
 /// Maximum size of an answer to an order, in bytes.
-const MAX_REPLY_BYTES: usize = 64 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// Dependencies of the placement task.
 pub(crate) struct PlacementParts {
@@ -48,7 +49,7 @@
 
 /// Places model versions for as long as the process runs.
 pub(crate) async fn run_placement(parts: PlacementParts) {
-    let mut placer = EnginePlacer::new(parts);
+    let mut placer = SelectorPlacer::new(parts);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -57,7 +58,7 @@
     }
 }
 
-struct EnginePlacer {
+struct SelectorPlacer {
     parts: PlacementParts,
     table: PlacementTable,
     right: OrderRightRenewer,
@@ -66,7 +67,7 @@
     client: HttpClient,
 }
 
-impl EnginePlacer {
+impl SelectorPlacer {
     fn new(parts: PlacementParts) -> Self {
         let table = PlacementTable::new(table_settings(&parts.settings), parts.clock.now());
         let right = OrderRightRenewer::new(parts.host.clone(), parts.settings.lease);
@@ -76,7 +77,7 @@
             right,
             spans: EngineSpans::default(),
             observed: BTreeSet::new(),
-            client: HttpClient::new(MAX_REPLY_BYTES),
+            client: HttpClient::new(MAX_ANSWER_BYTES),
         }
     }
 
--- a/crates/daemon/src/placement/order.rs
+++ b/crates/daemon/src/placement/order.rs
@@ -14,7 +14,8 @@
 /// Maximum wait for an engine's answer.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reason why an order failed. Only an announcement proves which layers an engine has loaded.
+/// Reason why an order failed. After some errors the engine may still have run the order; only its
+/// announcements show which layers it has loaded.
 #[derive(Debug, Display, Error, From)]
 pub(super) enum OrderError {
     /// The order right ended before the order was sent.
--- a/crates/daemon/src/placement/targets.rs
+++ b/crates/daemon/src/placement/targets.rs
@@ -22,7 +22,8 @@
     unversioned_models: BTreeSet<ModelName>,
 }
 
-/// Largest number of layers that each engine has had loaded; at least so many fit.
+/// Largest number of layers that each engine has had loaded; at least that many fit into its
+/// memory.
 #[derive(Debug, Default)]
 pub(super) struct EngineSpans {
     max_layers: BTreeMap<ServerName, u32>,
--- a/crates/daemon/src/settings/discovery.rs
+++ b/crates/daemon/src/settings/discovery.rs
@@ -10,8 +10,8 @@
     /// Addresses of the hosts that a starting host contacts first; empty if `peers` lists the
     /// hosts.
     pub seeds: Vec<SocketAddr>,
-    /// Address that this host announces to its peers, if it differs from the one that it listens
-    /// on, such as behind a proxy or network address translation.
+    /// Advertised address, at which peers reach this host, if it differs from the one that it
+    /// listens on, such as behind a proxy or network address translation.
     pub announce: Option<SocketAddr>,
     /// Port on which all hosts listen for peers; replaces the ports of `seeds`.
     pub peer_port: Option<u16>,
--- a/crates/daemon/src/settings/evidence.rs
+++ b/crates/daemon/src/settings/evidence.rs
@@ -16,7 +16,8 @@
     pub max_batch_records: u64,
     /// Maximum time that a record of a request waits for further records of its batch.
     pub batch_delay: Duration,
-    /// The same for records that no caller waits for, such as one about a new revision in force.
+    /// Maximum time that a record without a waiting caller, such as one about a new revision in
+    /// force, waits for further records of its batch.
     pub note_delay: Duration,
     /// Time without an acknowledgement after which a batch is resent.
     pub resend_delay: Duration,
--- a/crates/daemon/src/settings/relay.rs
+++ b/crates/daemon/src/settings/relay.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay: serving by published routes with the interface of a platform.
+//! Settings of the relay: serving by published routes in the dialect of a platform.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 /// Switch, timeouts and retry budget of the relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// Whether callers, operators and backend servers use the interface of the platform.
+    /// Whether callers, operators and backend servers use the dialect of the platform.
     pub enabled: bool,
     /// Time after the acknowledgement of a change within which it comes into force. A host that may
     /// have missed changes for longer does not report any route or key as unknown.
--- a/crates/daemon/src/telemetry/journal.rs
+++ b/crates/daemon/src/telemetry/journal.rs
@@ -81,8 +81,9 @@
 
 /// A planned drop of old segments, and the evidence records that must be stored before it.
 ///
-/// A crash between the two leaves records of a drop that is then repeated. In the other order it
-/// would leave an anchor without a record, which verification would report as a removal.
+/// A crash after the records are stored but before the drop leaves records of a drop that is then
+/// repeated. In the other order, a crash would leave an anchor without a record, which verification
+/// would report as a removal.
 #[derive(Clone, Debug)]
 pub struct RetentionPlan {
     /// Records to store before the call of [`EvidenceJournal::apply`].
--- a/crates/daemon/src/telemetry/recorder.rs
+++ b/crates/daemon/src/telemetry/recorder.rs
@@ -259,11 +259,10 @@
         }
     }
 
-    /// Writes the end record and waits until it is stored. The last event of the answer is sent
-    /// only after that, so the caller never sees an end without a stored record. An entry that
-    /// crashes in between leaves `complete` on record for a caller that has every token but not the
-    /// last event. The other order would leave a caller with a complete answer and no record of its
-    /// end.
+    /// Writes the end record and waits until it is stored. The last event of the answer must be sent
+    /// only after that: if the entry crashes in between, `complete` is recorded for a caller that
+    /// has every token but not the last event. In the other order, a caller could have a complete
+    /// answer without a record of its end.
     pub async fn finish(mut self) {
         let recorder = Arc::clone(&self.recorder);
         if let Some(sequence) = self.record_end() {
