--- a/crates/daemon/examples/keeper_measure.rs
+++ b/crates/daemon/examples/keeper_measure.rs
@@ -137,7 +137,7 @@
         before.await.expect("a complete group accepts");
         let leader = cluster.leader().await;
         let start = Instant::now();
-        cluster.kill(leader).await;
+        cluster.crash(leader).await;
         let command = format!("after loss {round}").into_bytes();
         let submitting = client.submit(command, RetryPermission::Idempotent);
         submitting.await.expect("two of three accept");
--- a/crates/daemon/tests/access_faces.rs
+++ b/crates/daemon/tests/access_faces.rs
@@ -270,7 +270,7 @@
 }
 
 // Guards against a certificate that admits an operator for whom the settings do not allow it, or
-// that outweighs a wrong token.
+// that is accepted despite a wrong token.
 #[tokio::test]
 async fn operators_authenticate_by_token_or_by_certificate() {
     let folder = tempfile::tempdir().unwrap();
@@ -379,7 +379,10 @@
             .unwrap();
     };
     replace(&renewed.certificate, &files.certificate, 1);
-    lines.push(format!("half: {}", server.refresh_keys().is_err()));
+    lines.push(format!(
+        "only certificate replaced: {}",
+        server.refresh_keys().is_err()
+    ));
     lines.push(format!(
         "status: {}",
         server.status().refused.contains("brest-1.key")
@@ -389,7 +392,7 @@
         connect_ends(&client, &server, FaceKind::Peers).await[0]
     ));
     replace(&renewed.key, &files.key, 2);
-    lines.push(format!("whole: {:?}", server.refresh_keys().ok()));
+    lines.push(format!("both replaced: {:?}", server.refresh_keys().ok()));
     lines.push(format!(
         "client: {}",
         connect_ends(&client, &server, FaceKind::Peers).await[0]
@@ -397,10 +400,10 @@
     lines.push(format!("{:?}", server.status()));
     insta::assert_snapshot!(lines.join("\n"), @r#"
     unchanged: Some(false)
-    half: true
+    only certificate replaced: true
     status: true
     client: accepted
-    whole: Some(true)
+    both replaced: Some(true)
     client: TLS handshake: invalid peer certificate: certificate not valid for name "brest-1.hosts.pollendrift"; certificate is only valid for DnsName("brest-9.hosts.pollendrift") or IpAddress(127.0.0.1)
     AccessStatus { tls: true, generation: 2, refused: "" }
     "#);
--- a/crates/daemon/tests/announcement_decoder.rs
+++ b/crates/daemon/tests/announcement_decoder.rs
@@ -1,4 +1,5 @@
-//! Decoder tests: the fleet accepts an announcement, or refuses it and no server serves.
+//! Decoder tests: the fleet accepts an announcement, or refuses it and adds no routable
+//! server.
 //!
 //! Guards against panics, and against refused announcements that leave a serving server in the
 //! fleet. Both can result from malformed JSON that a backend server sends.
--- a/crates/daemon/tests/hosts/configuration.rs
+++ b/crates/daemon/tests/hosts/configuration.rs
@@ -32,8 +32,8 @@
 }
 
 // Guards against two accepted changes on one revision, and against resends that get another answer
-// than the first. Twelve changes through four hosts are based on the same revision; those that lose
-// are answered with the id of the accepted one. Each is resent after a later change, a crash of all
+// than the first. Twelve changes through four hosts are based on the same revision; refused
+// changes are answered with the id of the accepted one. Each is resent after a later change, a crash of all
 // hosts and their restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_many_conflicting_changes_is_accepted_and_resends_repeat_the_answer() {
--- a/crates/daemon/tests/hosts/drafts.rs
+++ b/crates/daemon/tests/hosts/drafts.rs
@@ -60,11 +60,11 @@
             .unwrap()
     }
 
-    /// Runs a draft; returns `whole` if the answer is as expected, otherwise the difference.
+    /// Runs a draft; returns `complete` if the answer is as expected, otherwise the difference.
     async fn draft_result(&self) -> String {
         let reply = self.draft().await;
         match reply.check(&self.expected()) {
-            Ok(()) => "whole".to_owned(),
+            Ok(()) => "complete".to_owned(),
             Err(error) => error.to_string(),
         }
     }
@@ -72,7 +72,7 @@
 
 // Guards against engine faults that change the answer. The faulty engine is the first stage, so all
 // tokens pass through it. The ledger drops duplicates and reorders swapped tokens. A stream that is
-// cut, stalls or has an incomplete chain fails its attempt; the next pipeline continues after the
+// truncated, stalls or has an incomplete chain fails its attempt; the next pipeline continues after the
 // last released token.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_faulty_engine_does_not_change_the_answer() {
@@ -82,7 +82,7 @@
             engine.faults().duplicate_tokens(true)
         }),
         ("swapped tokens", |engine| engine.faults().swap_tokens(true)),
-        ("cut in the middle", |engine| {
+        ("truncated in the middle", |engine| {
             engine.faults().cut_after_tokens(7)
         }),
         ("silent in the middle", |engine| {
@@ -95,7 +95,7 @@
     let mut seen = Vec::new();
     for (name, fault) in cases {
         let host = OneHost::start(8).await;
-        // The planner may choose either engine of the first span; the other one serves the second
+        // The planner may choose either engine of the first layer range; the other one serves the second
         // attempt.
         for chosen in [0, 4] {
             fault(&host.engines[chosen]);
@@ -107,16 +107,16 @@
         }
     }
     insta::assert_snapshot!(seen.join("\n"), @r"
-    doubled tokens, engine 0: whole
-    doubled tokens, engine 4: whole
-    swapped tokens, engine 0: whole
-    swapped tokens, engine 4: whole
-    cut in the middle, engine 0: whole
-    cut in the middle, engine 4: whole
-    silent in the middle, engine 0: whole
-    silent in the middle, engine 4: whole
-    chain with a layer too few, engine 0: whole
-    chain with a layer too few, engine 4: whole
+    doubled tokens, engine 0: complete
+    doubled tokens, engine 4: complete
+    swapped tokens, engine 0: complete
+    swapped tokens, engine 4: complete
+    truncated in the middle, engine 0: complete
+    truncated in the middle, engine 4: complete
+    silent in the middle, engine 0: complete
+    silent in the middle, engine 4: complete
+    chain with a layer too few, engine 0: complete
+    chain with a layer too few, engine 4: complete
     ");
 }
 
@@ -155,7 +155,7 @@
     seen.push(host.draft_result().await);
     insta::assert_snapshot!(seen.join("\n"), @r"
     Ok(())
-    whole
+    complete
     ");
 }
 
@@ -206,7 +206,7 @@
     for engine in host.engines.iter().step_by(4) {
         engine.faults().cut_after_tokens(4);
     }
-    insta::assert_snapshot!(host.draft_result().await, @"whole");
+    insta::assert_snapshot!(host.draft_result().await, @"complete");
 }
 
 // Guards against an `unknown` refusal of a draft that no engine started. Every engine of the first
--- a/crates/daemon/tests/hosts/placement.rs
+++ b/crates/daemon/tests/hosts/placement.rs
@@ -28,7 +28,7 @@
     engine
 }
 
-fn served_span(engine: &EngineServer) -> String {
+fn served_layers(engine: &EngineServer) -> String {
     let served = engine.served();
     format!(
         "{} {}..{}",
@@ -41,16 +41,16 @@
     let weights = StandInWeights::new(&shape.model, &shape.version, None, shape.layers);
     let reply = caller.draft("draft", PROMPT, TOKENS, |_| {}).await.unwrap();
     match reply.check(&expected_answer(&weights, PROMPT, TOKENS)) {
-        Ok(()) => "whole".to_owned(),
+        Ok(()) => "complete".to_owned(),
         Err(error) => error.to_string(),
     }
 }
 
-// Guards against drafts that keep failing after the only engine of a span crashed. A spare engine
-// of an old version first joins the slowest span, so two engines serve that span. Once the crashed
-// engine's lease expires, one of the two is ordered to load the missing span. An order with an
-// older fencing number, as from a former placement holder, is refused, except by an engine that
-// ignores it.
+// Guards against drafts that keep failing after the only engine of a layer range crashed. A spare
+// engine of an old version first joins the slowest layer range, so two engines serve it. Once the
+// crashed engine's lease expires, one of the two is ordered to load the missing layers. An order
+// with an older fencing number, as from a former holder of the order right, is refused, except by
+// an engine that ignores it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_redundant_engine_replaces_the_span_of_a_crashed_one() {
     let mut group = HostGroup::stopped(1, 1);
@@ -66,23 +66,23 @@
     group.wait_servers(4).await;
     let mut seen = vec![format!("four engines: {}", draft(&caller).await)];
     let spare = start_engine(&group, 4, "v0").await;
-    wait_until(|| served_span(&spare).starts_with("v1")).await;
-    seen.push(format!("spare helps: {}", served_span(&spare)));
+    wait_until(|| served_layers(&spare).starts_with("v1")).await;
+    seen.push(format!("spare helps: {}", served_layers(&spare)));
     drop(engines.remove(0));
-    let fails = draft(&caller).await != "whole";
+    let fails = draft(&caller).await != "complete";
     seen.push(format!("engine 0 died, drafts fail: {fails}"));
     engines.push(spare);
     wait_until(|| {
         engines
             .iter()
-            .any(|engine| served_span(engine) == "v1 0..8")
+            .any(|engine| served_layers(engine) == "v1 0..8")
     })
     .await;
     let mut last = draft(&caller).await;
-    while last != "whole" {
+    while last != "complete" {
         last = draft(&caller).await;
     }
-    let spans: Vec<String> = engines.iter().map(served_span).collect();
+    let spans: Vec<String> = engines.iter().map(served_layers).collect();
     seen.push(format!("{}: {last}", spans.join(", ")));
     let old = OrderRequest {
         fencing: 0,
@@ -102,10 +102,10 @@
         ));
     }
     insta::assert_snapshot!(seen.join("\n"), @r"
-    four engines: whole
+    four engines: complete
     spare helps: v1 24..32
     engine 0 died, drafts fail: true
-    v1 8..16, v1 16..24, v1 0..8, v1 24..32: whole
+    v1 8..16, v1 16..24, v1 0..8, v1 24..32: complete
     old order, ignoring numbers false: 409 Conflict, highest 1
     old order, ignoring numbers true: 200 OK, highest 1
     ");
--- a/crates/daemon/tests/hosts/tls.rs
+++ b/crates/daemon/tests/hosts/tls.rs
@@ -12,7 +12,7 @@
 use crate::support::{HostGroup, SELECTORS, wait_until};
 
 const YEAR: u64 = 365 * 86_400_000;
-const GOOD: Validity = Validity {
+const VALID: Validity = Validity {
     from: WallTime(30 * YEAR),
     until: WallTime(130 * YEAR),
 };
@@ -34,13 +34,13 @@
         name: name.into(),
         addresses: vec!["127.0.0.1".parse().unwrap()],
     };
-    let authority = KeyFolder::open(folder, GOOD).unwrap();
+    let authority = KeyFolder::open(folder, VALID).unwrap();
     authority.issue(&request, validity).unwrap()
 }
 
 fn operator_keys(folder: &Path, name: &str, validity: Validity) -> KeyFiles {
     let request = CertificateRequest::Operator { name: name.into() };
-    let authority = KeyFolder::open(folder, GOOD).unwrap();
+    let authority = KeyFolder::open(folder, VALID).unwrap();
     authority.issue(&request, validity).unwrap()
 }
 
@@ -59,7 +59,7 @@
         let mut group = HostGroup::stopped(3, 3);
         group.builder = group.builder.clone().with_certified_operator("nolwenn");
         for index in 0..3 {
-            let files = host_keys(keys.path(), &HostBuilder::name(index), GOOD);
+            let files = host_keys(keys.path(), &HostBuilder::name(index), VALID);
             group.add_settings(index, &tls_section(&files));
         }
         let group = group.start_all().await;
@@ -113,10 +113,10 @@
     let secure = SecureGroup::start().await;
     let foreign = tempfile::tempdir().unwrap();
     let own = secure.keys.path();
-    let operator = operator_keys(own, "nolwenn", GOOD);
+    let operator = operator_keys(own, "nolwenn", VALID);
     let forged = KeyFiles {
         authority: operator.authority.clone(),
-        ..operator_keys(foreign.path(), "nolwenn", GOOD)
+        ..operator_keys(foreign.path(), "nolwenn", VALID)
     };
     let clients = [
         ("a certificate of the authority", operator),
@@ -127,9 +127,9 @@
         ("a certificate of a foreign authority", forged),
         (
             "another operator's certificate",
-            operator_keys(own, "gwen", GOOD),
+            operator_keys(own, "gwen", VALID),
         ),
-        ("a host's certificate", host_keys(own, "nolwenn", GOOD)),
+        ("a host's certificate", host_keys(own, "nolwenn", VALID)),
     ];
     let mut table = Vec::new();
     for (name, files) in clients {
@@ -146,7 +146,7 @@
             table.push(format!("{name}, token `{token}`: GET {path}: {seen}"));
         }
     }
-    let client = secure.client(operator_keys(own, "again", GOOD));
+    let client = secure.client(operator_keys(own, "again", VALID));
     let wrong_name = secure.connect(&client, "host-1").await;
     table.push(format!(
         "another host's name expected: {}",
@@ -203,13 +203,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_are_replaced_without_a_restart() {
     let secure = SecureGroup::start().await;
-    let client = secure.client(operator_keys(secure.keys.path(), "visitor", GOOD));
+    let client = secure.client(operator_keys(secure.keys.path(), "visitor", VALID));
     let open = secure.connect(&client, "host-0").await.unwrap();
     let before = open.certificate().unwrap();
     let folder = secure.keys.path();
     std::fs::remove_file(folder.join("host-0.key")).unwrap();
     std::fs::remove_file(folder.join("host-0.pem")).unwrap();
-    host_keys(folder, "host-0", GOOD);
+    host_keys(folder, "host-0", VALID);
     let access = secure.group.host(0).access();
     wait_until(|| access.refresh_keys().is_ok() && access.status().generation > 1).await;
     let new = secure.connect(&client, "host-0").await.unwrap();
--- a/crates/daemon/tests/keeper_cluster/cluster.rs
+++ b/crates/daemon/tests/keeper_cluster/cluster.rs
@@ -27,7 +27,7 @@
 use crate::failing::{DiskFaults, FailingFiles};
 
 /// Timeout of every wait, longer than any wait of a passing run.
-pub(crate) const GUARD: Duration = Duration::from_secs(30);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(30);
 pub(crate) const KEEPERS: [&str; 3] = ["a", "b", "c"];
 /// The keepers and one host that is no keeper.
 const HOSTS: [&str; 4] = ["a", "b", "c", "d"];
@@ -77,7 +77,7 @@
     fn handle(&self, _: &PeerHub, _: &HostName, _: PeerFrame) {}
 }
 
-/// Connects to the current addresses of hosts. Each start of a host has a new port, and a killed
+/// Connects to the current addresses of hosts. Each start of a host has a new port, and a crashed
 /// host refuses connections.
 #[derive(Clone, Default)]
 pub(crate) struct MapDialer {
@@ -183,7 +183,7 @@
 where
     F: Future,
 {
-    timeout(GUARD, work)
+    timeout(TIMEOUT, work)
         .await
         .unwrap_or_else(|_| panic!("{what} takes too long"))
 }
@@ -243,7 +243,7 @@
     }
 
     /// Aborts all tasks of a host at once, like a crash.
-    pub(crate) async fn kill(&mut self, name: &str) {
+    pub(crate) async fn crash(&mut self, name: &str) {
         let host = self.running.remove(name).expect("it runs");
         self.dialer.remove(name);
         drop(host.peers);
--- a/crates/daemon/tests/keeper_cluster/disks.rs
+++ b/crates/daemon/tests/keeper_cluster/disks.rs
@@ -51,7 +51,7 @@
     let former = cluster
         .wait_for(emptied, "its own name", |status| status.keeper.is_some())
         .await;
-    cluster.kill(emptied).await;
+    cluster.crash(emptied).await;
     cluster.submit_until_accepted(leader, "2").await;
     cluster
         .folders
@@ -76,7 +76,7 @@
     cluster
         .wait_for(leader, "complete redundancy", complete)
         .await;
-    cluster.kill(second).await;
+    cluster.crash(second).await;
     cluster.submit_until_accepted(emptied, "3").await;
     cluster.assert_lists(&["1", "2", "3"]).await;
 }
@@ -90,7 +90,7 @@
     let former = cluster
         .wait_for("c", "a vote", KeeperStatus::is_voter)
         .await;
-    cluster.kill("c").await;
+    cluster.crash("c").await;
     cluster
         .folders
         .insert("c", tempfile::tempdir().expect("a folder"));
@@ -110,7 +110,7 @@
 async fn folder_restored_from_a_backup_is_refused() {
     let mut cluster = Cluster::start(settings()).await;
     cluster.submit_until_accepted("a", "1").await;
-    cluster.kill("c").await;
+    cluster.crash("c").await;
     let restored = tempfile::tempdir().expect("a folder");
     for file in save_folder(cluster.folders["c"].path()) {
         fs::write(restored.path().join(file.name), file.content).expect("a writable folder");
@@ -145,7 +145,7 @@
             status.commit.0 >= saved_commit.0 + 2
         })
         .await;
-    // The victim can contain entries that it has not acknowledged yet, whose loss the others can't
+    // The keeper with the old disk can contain entries that it has not acknowledged yet, whose loss the others can't
     // detect. The leader reports complete redundancy once every voter has acknowledged all entries.
     cluster
         .wait_for(leader, "every acknowledgement", |status| {
@@ -153,7 +153,7 @@
             redundancy.is_some_and(|report| report.is_complete())
         })
         .await;
-    cluster.kill(victim).await;
+    cluster.crash(victim).await;
     for file in image {
         // Overwrites the files in place, so that their inodes stay the same.
         fs::write(cluster.folders[victim].path().join(file.name), file.content)
@@ -165,7 +165,7 @@
         .await;
     let reason = stopped.stopped.expect("just seen");
     assert!(reason.contains("disk is older"), "{reason}");
-    cluster.kill(victim).await;
+    cluster.crash(victim).await;
     cluster
         .folders
         .insert(victim, tempfile::tempdir().expect("a folder"));
--- a/crates/daemon/tests/keeper_cluster/losses.rs
+++ b/crates/daemon/tests/keeper_cluster/losses.rs
@@ -15,12 +15,12 @@
 /// Guards against lost commands and outages after the leader's host crashes: the other keepers must
 /// accept commands, and the restarted host must have every accepted command.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_leader_loses_no_accepted_command() {
+async fn crashed_leader_loses_no_accepted_command() {
     let mut cluster = Cluster::start(settings()).await;
     cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     cluster.submit_until_accepted(leader, "2").await;
-    cluster.kill(leader).await;
+    cluster.crash(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
     cluster.submit_until_accepted(one, "3").await;
@@ -36,7 +36,7 @@
 /// Guards against lost or reordered commands when all keepers crash at the same time after many
 /// commands. They must restore every accepted command from snapshots and the log after them.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn all_keepers_killed_at_once_lose_no_accepted_command() {
+async fn all_keepers_crashed_at_once_lose_no_accepted_command() {
     let small = KeeperSettings {
         store: StoreSettings {
             segment_bytes: 2_000,
@@ -55,7 +55,7 @@
             .await;
     }
     for name in KEEPERS {
-        cluster.kill(name).await;
+        cluster.crash(name).await;
     }
     for name in KEEPERS {
         cluster.restart(name).await;
@@ -80,7 +80,7 @@
     let leader = cluster.leader().await;
     let stopped_hosts = others(leader);
     for name in stopped_hosts {
-        cluster.kill(name).await;
+        cluster.crash(name).await;
     }
     let first = cluster.submit(leader, "first").await;
     let is_not_leader = |status: &KeeperStatus| status.role != KeeperRole::Leader;
@@ -130,7 +130,7 @@
     let reason = stopped.stopped.expect("just seen").to_string();
     let (_, advice) = reason.split_once(": ").expect("path and reason");
     insta::assert_snapshot!(advice, @"medium error while syncing the log: check the disk; restart the keeper if it is sound, replace the disk and empty the data folder if not");
-    cluster.kill(leader).await;
+    cluster.crash(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
     cluster.submit_until_accepted(one, "2").await;
@@ -158,7 +158,7 @@
         .wait_for(leader, "a stop", |status| status.stopped.is_some())
         .await;
     assert!(stopped.is_disk_full, "{:?}", stopped.stopped);
-    cluster.kill(leader).await;
+    cluster.crash(leader).await;
     let [one, two] = others(leader);
     cluster.leader().await;
     cluster.submit_until_accepted(one, "2").await;
@@ -191,7 +191,7 @@
         cluster.submit_until_accepted(leader, command).await;
     }
     for name in KEEPERS {
-        cluster.kill(name).await;
+        cluster.crash(name).await;
     }
     for name in KEEPERS {
         cluster.restart(name).await;
@@ -208,9 +208,8 @@
 }
 
 // Guards against a long outage after a restart of all keepers, in which acknowledged routes are
-// unknown and operators get no answer. A keeper applies its log before it answers a read. Snapshots
-// were only triggered by entries and bytes, so this time grew with every change ever accepted. The
-// cause was not elections (one leader led in one term), and hosts knew the state 15 ms later.
+// unknown and operators get no answer. A keeper applies its log before it answers a read. If
+// only log entries and bytes triggered snapshots, this time would grow with every accepted change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn restarted_keepers_apply_a_bounded_part_of_their_log() {
     let mut cluster = Cluster::start(settings()).await;
@@ -221,7 +220,7 @@
             .await;
     }
     for name in KEEPERS {
-        cluster.kill(name).await;
+        cluster.crash(name).await;
     }
     for name in KEEPERS {
         cluster.restart(name).await;
--- a/crates/daemon/tests/keeper_cluster/service.rs
+++ b/crates/daemon/tests/keeper_cluster/service.rs
@@ -10,7 +10,7 @@
 use pollendrift_coordination::agreement::KeeperRole;
 use pollendrift_coordination::base::HostName;
 
-use crate::cluster::{Cluster, GUARD, KEEPERS, NoFrames, keepers, others, settings, within};
+use crate::cluster::{Cluster, KEEPERS, NoFrames, TIMEOUT, keepers, others, settings, within};
 
 /// Guards against commands that only the leader accepts or shows: followers must send them to the
 /// leader. A command that the state machine can't decode is "not run" and changes no keeper.
@@ -40,7 +40,7 @@
     cluster.submit_until_accepted("a", "1").await;
     let leader = cluster.leader().await;
     let handle = cluster.running[leader].keeper.handle().clone();
-    assert!(handle.hand_over(GUARD).await);
+    assert!(handle.hand_over(TIMEOUT).await);
     cluster
         .submit(leader, "2")
         .await
@@ -83,7 +83,7 @@
         within("a submit", submitting).await.expect("accepted");
     }
     let leader = cluster.leader().await;
-    cluster.kill(leader).await;
+    cluster.crash(leader).await;
     let submitting = client.submit("3".into(), RetryPermission::Idempotent);
     within("a submit", submitting)
         .await
@@ -201,7 +201,7 @@
 
 /// Guards against two groups with contradicting logs. Two of three keepers are a majority, but the
 /// third may contain the log of a group that the two don't know. Commands are "not run" until all
-/// keepers in the settings have met once.
+/// keepers in the settings have been reachable at the same time once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn group_is_founded_only_with_all_keepers() {
     let mut cluster = Cluster::prepare(settings());
--- a/crates/daemon/tests/outer_frames.rs
+++ b/crates/daemon/tests/outer_frames.rs
@@ -1,4 +1,4 @@
-//! Encoding of the frames between daemons, held byte for byte.
+//! Byte-exact snapshots of the frames between daemons.
 
 #![allow(clippy::expect_used, reason = "a helper that fails is a failed test")]
 
@@ -262,7 +262,7 @@
     calls.chain(answers().into_iter().map(answer)).collect()
 }
 
-fn news() -> Vec<PeerFrame> {
+fn broadcast_frames() -> Vec<PeerFrame> {
     let revision = Revision(8);
     let engine = SurveyResult {
         server: "e1".into(),
@@ -308,14 +308,14 @@
     configurations.chain(others).collect()
 }
 
-/// Bytes of each frame as they travel, and what any CBOR reader makes of them.
+/// Encoded bytes of each frame, and their generic CBOR value.
 fn encodings(frames: &[PeerFrame]) -> String {
     let mut text = String::new();
     for frame in frames {
         let encoded = encode_frame(frame, usize::MAX).expect("encodes");
         assert_eq!(decode_frame(&encoded).as_ref(), Ok(frame));
-        let (mark, content) = encoded.split_first().expect("a first byte");
-        assert_eq!(*mark, 0, "a short frame is not packed");
+        let (compression, content) = encoded.split_first().expect("a first byte");
+        assert_eq!(*compression, 0, "a short frame is not compressed");
         let generic: ciborium::Value = ciborium::from_reader(content).expect("CBOR");
         let generic = serde_json::to_string(&generic).expect("text keys");
         let _ = writeln!(text, "{generic}");
@@ -327,24 +327,25 @@
     text
 }
 
-// A renamed field or variant of a hello, a refusal or a heartbeat would keep daemons of the old and
-// the new version from linking to each other.
+// Guards against a renamed field or variant of a hello, a refusal or a heartbeat, which would prevent
+// links between daemons of the old and the new version.
 #[test]
 fn hellos_and_heartbeats_keep_their_encoding() {
     insta::assert_snapshot!(encodings(&hellos()));
 }
 
-// A renamed field or variant would make questions between old and new daemons unanswerable.
+// Guards against a renamed field or variant, which would make questions between old and new daemons
+// unanswerable.
 #[test]
 fn calls_and_answers_keep_their_encoding() {
     insta::assert_snapshot!(encodings(&calls()));
 }
 
-// A renamed field or variant would keep configurations, leases, streams, surveys and hosts from
-// spreading between old and new daemons.
+// Guards against a renamed field or variant, which would prevent configurations, leases, streams,
+// surveys and hosts from being sent between old and new daemons.
 #[test]
-fn news_keep_their_encoding() {
-    insta::assert_snapshot!(encodings(&news()));
+fn broadcast_frames_keep_their_encoding() {
+    insta::assert_snapshot!(encodings(&broadcast_frames()));
 }
 
 fn keeper_questions() -> Vec<KeeperQuestion> {
@@ -373,8 +374,8 @@
     ]
 }
 
-// An operator's question goes from a host without a keeper to one with; a renamed field or variant
-// would leave it unanswered between old and new daemons.
+// Guards against a renamed field or variant, which would leave operators' questions unanswered
+// between old and new daemons. They are sent from a host without a keeper to one with a keeper.
 #[test]
 fn operators_questions_between_hosts_keep_their_encoding() {
     let answer = KeeperAnswer {
@@ -389,8 +390,8 @@
     insta::assert_snapshot!(lines.expect("encodes").join("\n"));
 }
 
-// A host answers a look-up with its record of a stream; a renamed field would end streams that could
-// go on at another host of the other version.
+// Guards against a renamed field, which would prevent resuming a stream at a host of another version.
+// A host answers a look-up with its record of a stream.
 #[test]
 fn records_of_streams_keep_their_encoding() {
     let note = stream();
@@ -414,7 +415,8 @@
     insta::assert_snapshot!(text);
 }
 
-// Certificates are issued for these domains; a renamed one would keep hosts and operators out.
+// Guards against a renamed domain: certificates are issued for these domains, so hosts and operators
+// could no longer authenticate.
 #[test]
 fn domains_of_certificates_stay() {
     let domains = [HOST_DOMAIN, OPERATOR_DOMAIN];
--- a/crates/daemon/tests/outer_help.rs
+++ b/crates/daemon/tests/outer_help.rs
@@ -5,7 +5,8 @@
 use std::fmt::Write as _;
 use std::process::Command;
 
-// A renamed field or variant would rename a subcommand or flag that services start the daemon with.
+// Guards against a renamed field or variant that also renames a subcommand or flag that service
+// managers use to start the daemon.
 #[test]
 fn subcommands_and_flags_keep_their_names() {
     let mut text = String::new();
--- a/crates/daemon/tests/outer_operators.rs
+++ b/crates/daemon/tests/outer_operators.rs
@@ -1,4 +1,4 @@
-//! Outer form of a running daemon's answers to operators and to the platform.
+//! Externally visible format of a running daemon's answers to operators and to the platform.
 
 #![allow(
     clippy::expect_used,
@@ -22,13 +22,13 @@
 use pollendrift_standins::service::PlainService;
 use serde_json::{Value, json};
 
-/// Longest wait for something that must come to pass.
-const GUARD: Duration = Duration::from_secs(30);
+/// Timeout of every wait, longer than any wait of a passing run.
+const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(10);
 const VIEWER_TOKEN: &str = "viewer-token";
 const SELECTORS: &str = "kind: selector\nname: drafts\nmodel: draft\n";
 
-/// A keeper that runs; the other host of its settings does not.
+/// A running host with a keeper; the other host of its settings is not running.
 struct OneHost {
     builder: HostBuilder,
     daemon: RouterDaemon,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Waits until the host is ready by revision 1.
+    /// Waits until the host is ready with revision 1 in force.
     async fn wait_ready(&self) {
         self.wait(|| {
             let held = self.daemon.node().configuration();
@@ -71,22 +71,24 @@
         .await;
     }
 
-    /// Waits until the host has a leader and its own life, so that it takes changes.
-    async fn wait_life(&self) {
+    /// Waits until the host has a leader and an incarnation, so that it accepts changes.
+    async fn wait_for_incarnation(&self) {
         self.wait(|| self.daemon.node().incarnation().is_some())
             .await;
     }
 
-    async fn wait<F>(&self, met: F)
+    async fn wait<F>(&self, condition: F)
     where
         F: Fn() -> bool,
     {
         let waiting = async {
-            while !met() {
+            while !condition() {
                 tokio::time::sleep(POLL).await;
             }
         };
-        tokio::time::timeout(GUARD, waiting).await.expect("in time");
+        tokio::time::timeout(TIMEOUT, waiting)
+            .await
+            .expect("in time");
     }
 
     fn entry(&self) -> String {
@@ -146,7 +148,7 @@
 }
 
 impl Answer {
-    /// Status, type, and body with what differs at each run taken out.
+    /// Status, content type and body, without the values that differ between runs.
     fn shape(&self) -> String {
         let lines = self.body.lines().map(|line| {
             serde_json::from_str(line).map_or_else(|_| line.to_owned(), |v| masked(&v).to_string())
@@ -156,7 +158,7 @@
     }
 }
 
-/// `value` with numbers as 0, and texts that differ at each run as `...`.
+/// `value` with numbers as 0, and texts that differ between runs as `...`.
 fn masked(value: &Value) -> Value {
     match value {
         Value::Number(_) => json!(0),
@@ -170,7 +172,7 @@
     }
 }
 
-/// Whether a text holds an address, a life or a digest.
+/// Whether a text contains an address, an incarnation or a digest.
 fn differs(text: &str) -> bool {
     let hex = text.len() >= 32 && text.chars().all(|letter| letter.is_ascii_hexdigit());
     hex || text.contains("127.0.0.1:") || text.contains('#')
@@ -196,11 +198,12 @@
     text
 }
 
-// A renamed field of a change or of its answer would leave operators' tools unable to change anything.
+// Guards against a renamed field of a change or of its answer, with which operators' tools could not
+// change the configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_and_questions_keep_their_bodies() {
     let host = OneHost::start().await;
-    host.wait_life().await;
+    host.wait_for_incarnation().await;
     let mut text = changes(&host).await;
     host.wait_ready().await;
     let explain = json!({"customer": "federation", "model": "draft", "adapter": "a", "service": null,
@@ -224,11 +227,12 @@
     insta::assert_snapshot!(text);
 }
 
-// A renamed field of a refusal, or another status, would make tools take what ran for what did not.
+// Guards against a renamed field of a refusal, or another status, which would make tools treat a
+// change that ran as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_to_operators_keep_their_form() {
     let host = OneHost::start().await;
-    host.wait_life().await;
+    host.wait_for_incarnation().await;
     changes(&host).await;
     host.wait_ready().await;
     let editor = Some(OPERATOR_TOKEN);
@@ -273,7 +277,7 @@
     (engine, service)
 }
 
-/// Waits until the status says why the other host is not reached.
+/// Waits until the status contains the reason why the other host is unreachable.
 async fn wait_peer_error(host: &OneHost) {
     let waiting = async {
         loop {
@@ -285,7 +289,9 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(GUARD, waiting).await.expect("in time");
+    tokio::time::timeout(TIMEOUT, waiting)
+        .await
+        .expect("in time");
 }
 
 async fn dump(host: &OneHost, count: usize) -> Answer {
@@ -301,10 +307,12 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(GUARD, waiting).await.expect("in time")
+    tokio::time::timeout(TIMEOUT, waiting)
+        .await
+        .expect("in time")
 }
 
-/// The record of the change, which reaches the keeper's files a moment after the change.
+/// The record of the change, which is written to the keeper's files shortly after the change.
 async fn change_record(host: &OneHost) -> Value {
     let is_change = |record: &Value| record["event"]["kind"] == "configuration-changed";
     let waiting = async {
@@ -314,7 +322,7 @@
             let records = list["records"].as_array().expect("records");
             if let Some(record) = records.iter().find(|record| is_change(record)) {
                 let mut record = masked(record);
-                // Empty where the host held the change already when it recorded it.
+                // Empty if the host had already applied the change when it recorded it.
                 let touched = &mut record["event"]["detail"]["touched"];
                 assert!(touched.is_array(), "{touched}");
                 *touched = json!([]);
@@ -323,15 +331,17 @@
             tokio::time::sleep(POLL).await;
         }
     };
-    tokio::time::timeout(GUARD, waiting).await.expect("in time")
+    tokio::time::timeout(TIMEOUT, waiting)
+        .await
+        .expect("in time")
 }
 
-// A renamed field of the dump, the status or the evidence would be missing from operators' scripts
-// and from inspections.
+// Guards against a renamed field of the dump, the status or the evidence, which operators' scripts
+// and auditors would miss.
 #[tokio::test(flavor = "multi_thread")]
 async fn dump_status_and_evidence_keep_their_fields() {
     let host = OneHost::start().await;
-    host.wait_life().await;
+    host.wait_for_incarnation().await;
     let first = json!({"change_id": "c1", "based_on": 0, "text": SELECTORS}).to_string();
     let answer = host.post("changes", &first).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
@@ -350,12 +360,13 @@
     insta::assert_snapshot!(text);
 }
 
-// A renamed path would make the machines' supervisor take a sound host for a dead one.
+// Guards against a renamed path, which would make the supervisor of the machines consider a healthy
+// host failed.
 #[tokio::test(flavor = "multi_thread")]
 async fn paths_of_the_platform_face_stay() {
     let host = OneHost::start().await;
     let platform = host.builder.hosts()[0].platform.to_string();
-    host.wait_life().await;
+    host.wait_for_incarnation().await;
     changes(&host).await;
     host.wait_ready().await;
     let calls = [
--- a/crates/daemon/tests/outer_settings.rs
+++ b/crates/daemon/tests/outer_settings.rs
@@ -1,4 +1,4 @@
-//! Keys of the settings, their values where they are not written, and findings about them.
+//! Keys of the settings, their default values, and findings about them.
 
 #![allow(
     clippy::expect_used,
@@ -43,7 +43,7 @@
 backend_servers: {proof: not-required}
 ";
 
-/// Keys with another value than their default, where a rename would be taken for the default.
+/// Keys with another value than their default, where a renamed key would look like the default.
 const OTHERS: &str = "data_folder: .
 listen: {callers: 127.0.0.1:8080, operators: 127.0.0.1:8080, backend_servers: 127.0.0.1:8081, platform: 127.0.0.1:9090, peers: 127.0.0.1:7070, metrics: 127.0.0.1:9091}
 discovery: {announce: 10.0.0.1:7070, peer_port: 7070, seeds: [10.0.0.2:7071]}
@@ -73,8 +73,9 @@
     }
 }
 
-// A renamed key would make a daemon refuse the settings files of all hosts; a changed default would
-// change hosts whose files do not name it.
+// Guards against a renamed key or changed default. A renamed key would make a daemon refuse the
+// settings files of all hosts; a changed default would change the behaviour of hosts whose files omit
+// it.
 #[test]
 fn every_key_is_accepted_and_written_defaults_change_nothing() {
     let without = format!("{SMALLEST}backend_servers: {{proof: not-required}}\n");
@@ -83,7 +84,8 @@
     assert_eq!(without, with);
 }
 
-// A renamed key of a section that hosts differ in would make a daemon refuse its settings file.
+// Guards against a renamed key in a section that differs between hosts, which would make a daemon
+// refuse its settings file.
 #[test]
 fn keys_without_defaults_are_accepted() {
     let read = settings(OTHERS);
@@ -119,7 +121,7 @@
     [top].into_iter().chain(sections).chain(lists).collect()
 }
 
-// A key that is renamed, added or taken away shows here, before an operator's file is refused.
+// Guards against a renamed, added or removed key, with which an operator's file would be refused.
 #[test]
 fn accepted_keys_of_every_section_stay() {
     let mut text = String::new();
@@ -133,7 +135,7 @@
     insta::assert_snapshot!(text);
 }
 
-/// `DEFAULTS` with values that no key takes.
+/// `DEFAULTS` with values that are invalid for every key.
 fn bad_values() -> String {
     let mut text = String::new();
     for line in DEFAULTS.lines() {
@@ -148,7 +150,7 @@
     text
 }
 
-// A finding that names another key than the file has sends an operator looking for what is not there.
+// Guards against a finding that names a key that the operator can't find in the file.
 #[test]
 fn findings_about_values_name_their_keys() {
     let findings = parse(&bad_values()).expect_err("bad values");
--- a/crates/daemon/tests/outer_telemetry.rs
+++ b/crates/daemon/tests/outer_telemetry.rs
@@ -1,4 +1,4 @@
-//! Outer form of metrics, log lines and the evidence on disk.
+//! Externally visible format of metrics, log lines and the evidence on disk.
 
 #![allow(clippy::expect_used, reason = "a helper that fails is a failed test")]
 
@@ -52,13 +52,15 @@
     metrics
 }
 
-// A renamed instrument, label or bucket would empty the operators' plots and alerts without an error.
+// Guards against a renamed instrument, label or bucket, which would leave the operators' plots and
+// alerts without data and without an error.
 #[test]
 fn metrics_keep_their_names_and_labels() {
     insta::assert_snapshot!(recorded().text());
 }
 
-// A renamed instrument would read as another one in whatever takes metrics by these names.
+// Guards against a renamed instrument, which would be missing in dashboards that select metrics by
+// name.
 #[test]
 fn instruments_keep_their_names_and_units() {
     let mut text = String::new();
@@ -73,7 +75,7 @@
     insta::assert_snapshot!(text);
 }
 
-/// The line without its time, which differs at each run.
+/// The line without its time, which differs between runs.
 fn line(record: &Record<'_>) -> String {
     let line = format_line(record);
     let (time, rest) = line.split_once(',').expect("a time");
@@ -82,7 +84,7 @@
     format!("{{\"t\":0,{rest}")
 }
 
-// A renamed field of a line would hide it from whoever searches the logs by it.
+// Guards against a renamed field of a line, which would break log searches by that field.
 #[test]
 fn log_lines_keep_their_form() {
     let mut text = String::new();
@@ -149,8 +151,8 @@
     }
 }
 
-// A renamed folder, file or field would make a keeper lose its evidence at the next start, and the
-// export of it fail verification.
+// Guards against a renamed folder, file or field, with which a keeper would lose its evidence at the
+// next start and the export would fail verification.
 #[test]
 fn evidence_on_disk_and_its_export_keep_their_form() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/daemon/tests/peers_contract.rs
+++ b/crates/daemon/tests/peers_contract.rs
@@ -29,8 +29,8 @@
 use tokio_tungstenite::{WebSocketStream, accept_async, client_async};
 
 /// Timeout of every wait, longer than any wait of a passing run.
-const GUARD: Duration = Duration::from_secs(20);
-const FRAME_BOUND: usize = 2_000;
+const TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_FRAME_BYTES: usize = 2_000;
 
 fn settings() -> LinkSettings {
     LinkSettings {
@@ -39,7 +39,7 @@
         silence_timeout: Duration::from_millis(200),
         base_backoff: Duration::from_millis(1),
         max_backoff: Duration::from_millis(5),
-        max_frame_bytes: FRAME_BOUND,
+        max_frame_bytes: MAX_FRAME_BYTES,
         ..LinkSettings::default()
     }
 }
@@ -159,7 +159,7 @@
         socket
     };
     let serving = async { tokio::join!(serve_stream(tasks.hub(), accepted), peer).0 };
-    let error = timeout(GUARD, serving).await.expect("the link ends");
+    let error = timeout(TIMEOUT, serving).await.expect("the link ends");
     let handled = std::iter::from_fn(|| frames.try_recv().ok()).count();
     format!("{error}; handled {handled}")
 }
@@ -172,8 +172,8 @@
     let good = || message(&hello("a", PEER_PROTOCOL));
     // A hello with an unknown field that contains nested lists.
     let mut deep = b"\0\xa1\x65Hello\xa1\x61x".to_vec();
-    deep.resize(FRAME_BOUND, 0x81);
-    let mut trailing = encode_frame(&agreement(1), FRAME_BOUND)
+    deep.resize(MAX_FRAME_BYTES, 0x81);
+    let mut trailing = encode_frame(&agreement(1), MAX_FRAME_BYTES)
         .expect("encodes")
         .to_vec();
     trailing.push(0);
@@ -186,7 +186,7 @@
             vec![
                 good(),
                 message(&agreement(10)),
-                message(&agreement(FRAME_BOUND)),
+                message(&agreement(MAX_FRAME_BYTES)),
             ],
             None,
         ),
@@ -260,7 +260,7 @@
         stream: Box::new(local),
         proven: None,
     };
-    let error = timeout(GUARD, serve_stream(tasks.hub(), accepted))
+    let error = timeout(TIMEOUT, serve_stream(tasks.hub(), accepted))
         .await
         .expect("it ends");
     assert!(
@@ -272,7 +272,7 @@
 async fn next_socket(
     remote: &mut UnboundedReceiver<DuplexStream>,
 ) -> WebSocketStream<DuplexStream> {
-    let stream = timeout(GUARD, remote.recv())
+    let stream = timeout(TIMEOUT, remote.recv())
         .await
         .expect("a new connection")
         .expect("dialer is running");
@@ -296,12 +296,12 @@
         .await
         .expect("open");
     let mut link = tasks.hub().watch_link(&host).expect("a peer");
-    timeout(GUARD, link.wait_for(|up| *up))
+    timeout(TIMEOUT, link.wait_for(|up| *up))
         .await
         .expect("up")
         .expect("hub is running");
     let question = PeerQuestion::Submit(vec![1].into());
-    let answer = timeout(GUARD, tasks.hub().call(&host, question, 0, GUARD))
+    let answer = timeout(TIMEOUT, tasks.hub().call(&host, question, 0, TIMEOUT))
         .await
         .expect("ends");
     assert_eq!(
@@ -349,7 +349,7 @@
     let host = HostName::from("b");
     let call =
         |bytes: Vec<u8>, limit| hub.call(&host, PeerQuestion::Submit(bytes.into()), 0, limit);
-    let without_link = call(vec![5], GUARD).await;
+    let without_link = call(vec![5], TIMEOUT).await;
     assert!(
         matches!(without_link, Err(CallError::NotSent { .. })),
         "{without_link:?}"
@@ -364,16 +364,16 @@
             .expect("a peer"),
     ];
     for link in &mut links {
-        timeout(GUARD, link.wait_for(|up| *up))
+        timeout(TIMEOUT, link.wait_for(|up| *up))
             .await
             .expect("up")
             .expect("hub is running");
     }
     assert_eq!(
-        call(vec![6], GUARD).await,
+        call(vec![6], TIMEOUT).await,
         Ok(PeerAnswer::Submitted(vec![6].into()))
     );
-    let oversized = hub.send(&host, &agreement(FRAME_BOUND));
+    let oversized = hub.send(&host, &agreement(MAX_FRAME_BYTES));
     assert!(
         matches!(oversized, Err(SendRefusal::TooLarge { .. })),
         "{oversized:?}"
@@ -390,7 +390,7 @@
         .hub()
         .send(&HostName::from("a"), &agreement(3))
         .expect("up");
-    timeout(GUARD, frames.recv())
+    timeout(TIMEOUT, frames.recv())
         .await
         .expect("arrives after the forged answer");
     let unanswered = call(vec![], Duration::from_millis(50)).await;
@@ -401,7 +401,7 @@
         })
     );
     drop(tasks_b);
-    timeout(GUARD, links[0].wait_for(|up| !*up))
+    timeout(TIMEOUT, links[0].wait_for(|up| !*up))
         .await
         .expect("down")
         .expect("hub is running");
@@ -450,11 +450,11 @@
     tasks_b.accept(listener, Arc::new(PlainTransport));
     let host = HostName::from("b");
     let mut link = tasks_a.hub().watch_link(&host).expect("a peer");
-    timeout(GUARD, link.wait_for(|up| *up))
+    timeout(TIMEOUT, link.wait_for(|up| *up))
         .await
         .expect("up")
         .expect("hub is running");
     let question = PeerQuestion::Submit(vec![8].into());
-    let answer = tasks_a.hub().call(&host, question, 0, GUARD).await;
+    let answer = tasks_a.hub().call(&host, question, 0, TIMEOUT).await;
     assert_eq!(answer, Ok(PeerAnswer::Submitted(vec![8].into())));
 }
--- a/crates/daemon/tests/settings_decoder.rs
+++ b/crates/daemon/tests/settings_decoder.rs
@@ -1,4 +1,5 @@
-//! Property tests of the settings decoder: any text is either accepted or refused with a place.
+//! Property tests of the settings decoder: any text is either accepted, or refused with line and
+//! column.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/daemon/tests/telemetry_journal.rs
+++ b/crates/daemon/tests/telemetry_journal.rs
@@ -107,7 +107,7 @@
         journal.append(&replicated.records).unwrap();
         assert_eq!(journal.next(), EvidencePosition(5));
         let expected = "brest-1/1 3, brest-2/1 2; ";
-        assert_eq!(verified(&journal), expected, "cut at byte {cut}");
+        assert_eq!(verified(&journal), expected, "truncated at byte {cut}");
         assert_eq!(fs::read(&last).unwrap(), bytes);
     }
 }
--- a/crates/daemon/tests/telemetry_pages.rs
+++ b/crates/daemon/tests/telemetry_pages.rs
@@ -75,7 +75,7 @@
     .collect()
 }
 
-// Guards against a page of metrics that misses an instrument or lists a wrong name or unit after a
+// Guards against a documentation page of metrics that misses an instrument or lists a wrong name or unit after a
 // change of the code.
 #[test]
 fn the_page_lists_every_instrument_as_it_is_scraped() {
--- a/crates/daemon/tests/telemetry_recorder.rs
+++ b/crates/daemon/tests/telemetry_recorder.rs
@@ -211,13 +211,13 @@
         status: 503,
         outcome: OutcomeKind::NotRun,
         kind: "not-ready".into(),
-        reason: "no life yet".into(),
+        reason: "no incarnation yet".into(),
     }
 }
 
 // Guards against a refusal that reaches the caller without a record. A starting host refuses a
 // caller before keepers assign an incarnation: the refusal must wait until it is the first record
-// of the chain, and later refusals must wait for their records too.
+// of the evidence chain, and later refusals must wait for their records too.
 #[tokio::test]
 async fn a_refusal_waits_for_its_record_before_and_after_the_incarnation_is_known() {
     let keepers = FakeKeepers::new(100, Ok(()));
