--- a/crates/daemon/src/operators/changes.rs
+++ b/crates/daemon/src/operators/changes.rs
@@ -41,12 +41,12 @@
         Ok(CommandAnswer::Change(answer)) => answer,
         Ok(_) => {
             return Err(OperatorProblem::unknown(
-                "keepers answered another command".to_owned(),
+                "keepers sent an answer of an unexpected type".to_owned(),
             ));
         }
         Err(SubmitError::NotRun { reason }) => return Err(OperatorProblem::unavailable(reason)),
         Err(SubmitError::Unknown { reason }) => {
-            let advice = "send it again under the same change id to learn what became of it";
+            let advice = "send it again under the same change id to get its outcome";
             return Err(OperatorProblem::unknown(format!("{reason}; {advice}")));
         }
     };
--- a/crates/daemon/src/operators/questions.rs
+++ b/crates/daemon/src/operators/questions.rs
@@ -235,7 +235,7 @@
         }
         let bytes = serde_json::to_vec(&question)
             .map_err(|error| OperatorProblem::bad_query(error.to_string()))?;
-        let mut reason = "the settings name no keeper".to_owned();
+        let mut reason = "no keeper is known".to_owned();
         for keeper in self.keepers.hosts() {
             let question = PeerQuestion::Operator(bytes.clone().into());
             match self.hub.call(&keeper, question, 0, KEEPER_TIMEOUT).await {
@@ -247,7 +247,7 @@
                     PeerAnswer::NotRun { reason: refusal }
                     | PeerAnswer::Unknown { reason: refusal },
                 ) => reason = refusal,
-                Ok(_) => reason = "keeper answered another question".to_owned(),
+                Ok(_) => reason = "keeper sent an answer of an unexpected type".to_owned(),
                 Err(error) => reason = error.to_string(),
             }
         }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -334,7 +334,7 @@
     }
     // Creating the folder would hide a disk that is not mounted: the keeper would start without its
     // data, as if it had never voted.
-    let message = format!("`data_folder`: {} is no folder", folder.value.display());
+    let message = format!("`data_folder`: {} is not a folder", folder.value.display());
     section.error(folder.place.clone(), message, "a folder that exists");
 }
 
@@ -351,7 +351,10 @@
         return;
     };
     if keepers.len() < 3 {
-        let message = format!("{} keeper(s) tolerate no failure", keepers.len());
+        let message = format!(
+            "a group of {} keeper(s) tolerates no failure",
+            keepers.len()
+        );
         section.warning(last.place.clone(), message, "three or five keepers");
         return;
     }
@@ -400,7 +403,7 @@
     fn report(&self, section: &mut SectionReader<'_>, peers: &[LocatedValue<PeerSettings>]) {
         let Some(peer) = peers.iter().find(|peer| &peer.value.name == self.host) else {
             let message = format!("`peers` does not name this host, {}", self.host);
-            let expected = "a line with name, data_centre and address of this host";
+            let expected = "an element with name, data_centre and address of this host";
             section.error(section.place(), message, expected);
             return;
         };
--- a/crates/daemon/src/settings/logs.rs
+++ b/crates/daemon/src/settings/logs.rs
@@ -37,7 +37,7 @@
                     packages.insert(package.value.into(), filter);
                 }
                 Err(_) => {
-                    let message = format!("`{}` is no level", level.value);
+                    let message = format!("`{}` is not a level", level.value);
                     section.error(level.place, message, LEVELS);
                 }
             }
--- a/crates/daemon/src/settings/parties.rs
+++ b/crates/daemon/src/settings/parties.rs
@@ -92,7 +92,7 @@
         let full = format!("{kind} {}", name.value);
         if self.names.contains(&full) {
             let message = format!("{full} is listed twice");
-            section.error(name.place.clone(), message, "each name once");
+            section.error(name.place.clone(), message, "distinct names");
         }
         self.names.push(full);
     }
@@ -111,7 +111,11 @@
                 |known: &&OwnedDigest| known.digest.value.as_bytes() == digest.value.as_bytes();
             if let Some(known) = self.digests.iter().find(is_same) {
                 let message = format!("{owner} has the token of {}", known.owner);
-                section.error(digest.place.clone(), message, "a token of its own");
+                section.error(
+                    digest.place.clone(),
+                    message,
+                    "a token that no other party uses",
+                );
             }
             self.digests.push(OwnedDigest {
                 owner: owner.to_owned(),
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -69,7 +69,11 @@
             NodeValue::Mapping(pairs) => unique_pairs(context, pairs),
             NodeValue::Null => BTreeMap::new(),
             NodeValue::Scalar(_) | NodeValue::List(_) => {
-                context.error(node, format!("{name} is no mapping"), "`key: value` lines");
+                context.error(
+                    node,
+                    format!("{name} is not a mapping"),
+                    "`key: value` lines",
+                );
                 BTreeMap::new()
             }
         };
@@ -146,7 +150,7 @@
         let expected = "a name of 1 to 63 letters a to z, digits and, within it, `-` or `_`";
         let text = self.required::<String>(key, expected)?;
         if !is_name(&text.value) {
-            let message = format!("`{key}: {}` is no name", text.value);
+            let message = format!("`{key}: {}` is not a name", text.value);
             self.error(text.place, message, expected);
             return None;
         }
@@ -271,7 +275,7 @@
                 // The message omits the text: it may be a token pasted by mistake.
                 Err(_) => self.context.error(
                     &node,
-                    format!("`{key}` contains a value that is no SHA-256 digest"),
+                    format!("`{key}` contains a value that is not a SHA-256 digest"),
                     TokenDigest::EXPECTED,
                 ),
             }
@@ -365,7 +369,7 @@
         let NodeValue::List(nodes) = &node.value else {
             if node.value != NodeValue::Null {
                 self.context
-                    .error(&node, format!("`{key}` is no list"), "`- ` lines");
+                    .error(&node, format!("`{key}` is not a list"), "`- ` lines");
             }
             return Vec::new();
         };
@@ -438,7 +442,7 @@
             return Some(Arc::clone(text));
         }
         self.context
-            .error(node, format!("`{key}` is not one value"), expected);
+            .error(node, format!("`{key}` is not a single value"), expected);
         None
     }
 
--- a/crates/daemon/src/settings/relay.rs
+++ b/crates/daemon/src/settings/relay.rs
@@ -22,7 +22,8 @@
     pub retry_slack: u64,
     /// Time window of the retry budget.
     pub retry_window: Duration,
-    /// Time without output of a stage of a pipeline after which its server aborts the request.
+    /// Time without output of a stage of a pipeline after which the backend server of that
+    /// stage aborts the request.
     pub stall: Duration,
 }
 
--- a/crates/daemon/src/settings/tls.rs
+++ b/crates/daemon/src/settings/tls.rs
@@ -97,8 +97,8 @@
 ) {
     match path {
         Some(path) if !path.value.is_file() => {
-            let message = format!("`{key}`: {} is no file", path.value.display());
-            section.error(path.place.clone(), message, "a PEM file that exists");
+            let message = format!("`{key}`: {} is not a file", path.value.display());
+            section.error(path.place.clone(), message, "an existing PEM file");
         }
         Some(_) => {}
         None if has_any => {
--- a/crates/daemon/src/telemetry/journal.rs
+++ b/crates/daemon/src/telemetry/journal.rs
@@ -44,7 +44,7 @@
         error: io::Error,
     },
     /// An earlier append failed, so the end of the files is unknown.
-    #[display("evidence files failed before and must be opened anew")]
+    #[display("an earlier write failed; the evidence files must be reopened")]
     Failed,
     /// A line can't be encoded.
     #[display("{_0}")]
--- a/crates/daemon/src/telemetry/logs.rs
+++ b/crates/daemon/src/telemetry/logs.rs
@@ -37,7 +37,7 @@
     #[display("log lines: {_0}")]
     Writer(std::io::Error),
     /// The process has already started its logs.
-    #[display("logs are started already: {_0}")]
+    #[display("logging has already been started: {_0}")]
     Started(SetLoggerError),
 }
 
--- a/crates/daemon/src/telemetry/slot.rs
+++ b/crates/daemon/src/telemetry/slot.rs
@@ -71,9 +71,7 @@
         } else if early.events.len() < MAX_EARLY_EVENTS {
             early.events.push(event);
         } else {
-            log::error!(
-                "event not recorded: the buffer for events before the recorder exists is full"
-            );
+            log::error!("event not recorded: the buffer for early events is full");
         }
     }
 
--- a/crates/daemon/tests/settings_page.rs
+++ b/crates/daemon/tests/settings_page.rs
@@ -67,6 +67,6 @@
     let example = example.split("```").next().unwrap();
     insta::assert_snapshot!(findings_of(example), @"
     host.yaml:18:18: warning: backend servers are not authenticated: any client that reaches the address can receive requests (accepted: `proof: required` with `token_sha256`)
-    host.yaml:9:14: error: `data_folder`: /nonexistent/data is no folder (accepted: a folder that exists)
+    host.yaml:9:14: error: `data_folder`: /nonexistent/data is not a folder (accepted: a folder that exists)
     ");
 }
