--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -443,7 +443,7 @@
 
 fn admission_gate(settings: &DaemonSettings, clock: Arc<dyn TimeSource>) -> AdmissionGate {
     let limits = &settings.limits;
-    let bounds = GateLimits {
+    let gate_limits = GateLimits {
         max_running: to_u32(limits.max_running),
         max_wait: limits.max_queue_wait,
         entries: u32::try_from(settings.peers.len()).unwrap_or(u32::MAX),
@@ -452,7 +452,7 @@
         max_queued: to_u32(limits.max_queued),
         ..LimitSettings::default()
     };
-    AdmissionGate::new(table, bounds, clock)
+    AdmissionGate::new(table, gate_limits, clock)
 }
 
 fn retry_settings(settings: &RetrySettings) -> CoreRetrySettings {
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -65,9 +65,9 @@
     pub fn announce_worker(
         &self,
         now: MonotonicTime,
-        note: &ServerNote,
+        announcement: &ServerNote,
     ) -> Result<MergeVerdict, AnnounceError> {
-        match self.lock().merge(now, encode_note(note)?) {
+        match self.lock().merge(now, encode_announcement(announcement)?) {
             MergeVerdict::Full => Err(AnnounceError::Full),
             verdict => Ok(verdict),
         }
@@ -75,8 +75,8 @@
 
     /// Renews a lease by a heartbeat without changes; false if the heartbeat contains a change or
     /// the server is unknown.
-    pub(crate) fn renew_worker(&self, now: MonotonicTime, note: &ServerNote) -> bool {
-        let Ok(announce) = encode_note(note) else {
+    pub(crate) fn renew_worker(&self, now: MonotonicTime, announcement: &ServerNote) -> bool {
+        let Ok(announce) = encode_announcement(announcement) else {
             return false;
         };
         let mut state = self.lock();
@@ -159,19 +159,19 @@
     }
 }
 
-fn encode_note(note: &ServerNote) -> Result<ServerAnnounce, AnnounceError> {
-    let offer = serde_json::to_string(&note.offer).map_err(|error| {
+fn encode_announcement(announcement: &ServerNote) -> Result<ServerAnnounce, AnnounceError> {
+    let offer = serde_json::to_string(&announcement.offer).map_err(|error| {
         let reason = error.to_string();
         AnnounceError::Malformed { reason }
     })?;
     Ok(ServerAnnounce {
-        server: note.server.clone(),
-        incarnation: note.incarnation,
-        sequence: note.sequence,
-        address: note.address.to_string().into(),
-        data_centre: note.data_centre.clone(),
-        state: note.state,
-        checks_fencing: note.checks_fencing,
+        server: announcement.server.clone(),
+        incarnation: announcement.incarnation,
+        sequence: announcement.sequence,
+        address: announcement.address.to_string().into(),
+        data_centre: announcement.data_centre.clone(),
+        state: announcement.state,
+        checks_fencing: announcement.checks_fencing,
         offer: offer.into(),
         load: AnnouncedLoad::default(),
     })
--- a/crates/daemon/tests/announcement_decoder.rs
+++ b/crates/daemon/tests/announcement_decoder.rs
@@ -85,7 +85,7 @@
 }
 
 /// Announces `text` to an empty fleet; returns false if the fleet refuses it but a server serves.
-fn is_accepted_or_serves_nobody(text: &str) -> bool {
+fn is_accepted_or_adds_no_routable_server(text: &str) -> bool {
     let fleet = fleet();
     let now = MonotonicTime::START;
     let Ok(announcement) = serde_json::from_str::<Announcement>(text) else {
@@ -114,7 +114,7 @@
     /// Guards against a decoder that panics on a body that is not an announcement.
     #[test]
     fn any_text_is_accepted_or_refused(text in any::<String>()) {
-        prop_assert!(is_accepted_or_serves_nobody(&text));
+        prop_assert!(is_accepted_or_adds_no_routable_server(&text));
     }
 
     /// Guards against extreme or mistyped values, such as a zero port or a huge number, that pass
@@ -131,6 +131,6 @@
                 *target = invalid_value(choice);
             }
         }
-        prop_assert!(is_accepted_or_serves_nobody(&value.to_string()));
+        prop_assert!(is_accepted_or_adds_no_routable_server(&value.to_string()));
     }
 }
--- a/crates/daemon/tests/hosts/bad_input.rs
+++ b/crates/daemon/tests/hosts/bad_input.rs
@@ -64,11 +64,11 @@
             post("/operator/v1/changes", OPERATOR_TOKEN, 9, ""),
         ),
         input(
-            "change that is no JSON",
+            "change that is not JSON",
             post("/operator/v1/changes", OPERATOR_TOKEN, 2, "{]"),
         ),
         input(
-            "announcement that is no JSON",
+            "announcement that is not JSON",
             post("/backend/v1/announcements", "", 2, "{]"),
         ),
         input(
@@ -148,8 +148,8 @@
     body that never comes: 408 body did not come within 300 ms
     call whose body never comes: 408 body did not come within 300 ms
     change whose body never comes: 408 body did not come within 300 ms
-    change that is no JSON: 400 body is not valid JSON for this request: key must be a string at line 1 column 2
-    announcement that is no JSON: 400 body is not valid JSON for this request: key must be a string at line 1 column 2
+    change that is not JSON: 400 body is not valid JSON for this request: key must be a string at line 1 column 2
+    announcement that is not JSON: 400 body is not valid JSON for this request: key must be a string at line 1 column 2
     head that never ends: closed
     no HTTP: 400
     too many headers: 431
--- a/crates/daemon/tests/hosts/drafts.rs
+++ b/crates/daemon/tests/hosts/drafts.rs
@@ -135,7 +135,7 @@
 async fn a_stage_that_crashes_during_a_draft_is_replaced() {
     let mut host = OneHost::start(8).await;
     let mut seen = Vec::new();
-    // This engine of span 1 crashes during the first draft; at the second draft, the host knows of
+    // This engine of layer range 1 crashes during the first draft; at the second draft, the host knows of
     // the crash.
     let engine = host.engines.remove(5);
     let expected = host.expected();
@@ -210,8 +210,8 @@
 }
 
 // Guards against an `unknown` refusal of a draft that no engine started. Every engine of the first
-// span serves another version than it announced and refuses the work before a layer runs. After
-// `unknown`, the caller would have to find out whether the draft ran.
+// layer range serves another version than it announced and refuses the work before a layer runs.
+// After `unknown`, the caller would have to find out whether the draft ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draft_that_every_engine_refused_to_start_is_not_run() {
     let host = OneHost::start(4).await;
--- a/crates/daemon/tests/hosts/placement.rs
+++ b/crates/daemon/tests/hosts/placement.rs
@@ -52,7 +52,7 @@
 // with an older fencing number, as from a former holder of the order right, is refused, except by
 // an engine that ignores it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_redundant_engine_replaces_the_span_of_a_crashed_one() {
+async fn a_redundant_engine_replaces_the_layers_of_a_crashed_one() {
     let mut group = HostGroup::stopped(1, 1);
     group.builder = group.builder.with(
         "placement: {settle: 0ms, lease: 2s}\nleases: {backend_server: 1s, heartbeat: 100ms}\n",
@@ -82,8 +82,8 @@
     while last != "complete" {
         last = draft(&caller).await;
     }
-    let spans: Vec<String> = engines.iter().map(served_layers).collect();
-    seen.push(format!("{}: {last}", spans.join(", ")));
+    let layers: Vec<String> = engines.iter().map(served_layers).collect();
+    seen.push(format!("{}: {last}", layers.join(", ")));
     let old = OrderRequest {
         fencing: 0,
         model: "draft".to_owned(),
