--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -314,8 +314,8 @@
         &self.node
     }
 
-    /// Resolves when this host's keeper has stopped because its disk is full. After a restart the
-    /// daemon continues from the data on the disk.
+    /// Resolves when this host's keeper has stopped because its disk is full. The caller should
+    /// restart the daemon, which then continues from the data on the disk.
     pub async fn disk_full(&self) {
         self.node.disk_full().await;
     }
@@ -356,7 +356,7 @@
 {
     let ended = timeout_at(deadline, work).await;
     if ended.is_err() {
-        log::warn!(step = step; "planned stop runs out of time");
+        log::warn!(step = step; "step of the planned stop exceeded its time limit");
     }
     ended.is_ok()
 }
@@ -443,7 +443,7 @@
 
 fn admission_gate(settings: &DaemonSettings, clock: Arc<dyn TimeSource>) -> AdmissionGate {
     let limits = &settings.limits;
-    let bounds = GateLimits {
+    let gate_limits = GateLimits {
         max_running: to_u32(limits.max_running),
         max_wait: limits.max_queue_wait,
         entries: u32::try_from(settings.peers.len()).unwrap_or(u32::MAX),
@@ -452,7 +452,7 @@
         max_queued: to_u32(limits.max_queued),
         ..LimitSettings::default()
     };
-    AdmissionGate::new(table, bounds, clock)
+    AdmissionGate::new(table, gate_limits, clock)
 }
 
 fn retry_settings(settings: &RetrySettings) -> CoreRetrySettings {
--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! Backend servers of published services.
+//! Workers: backend servers announced in the dialect of a platform, for published services.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -65,9 +65,9 @@
     pub fn announce_worker(
         &self,
         now: MonotonicTime,
-        note: &ServerAnnouncement,
+        announcement: &ServerAnnouncement,
     ) -> Result<MergeVerdict, AnnounceError> {
-        match self.lock().merge(now, encode_note(note)?) {
+        match self.lock().merge(now, encode_announcement(announcement)?) {
             MergeVerdict::Full => Err(AnnounceError::Full),
             verdict => Ok(verdict),
         }
@@ -75,8 +75,8 @@
 
     /// Renews a lease by a heartbeat without changes; false if the heartbeat contains a change or
     /// the server is unknown.
-    pub(crate) fn renew_worker(&self, now: MonotonicTime, note: &ServerAnnouncement) -> bool {
-        let Ok(announce) = encode_note(note) else {
+    pub(crate) fn renew_worker(&self, now: MonotonicTime, announcement: &ServerAnnouncement) -> bool {
+        let Ok(announce) = encode_announcement(announcement) else {
             return false;
         };
         let mut state = self.lock();
@@ -132,7 +132,7 @@
         state.survey.get(now, &worker.server, worker.incarnation)
     }
 
-    /// Whether a server of a published service may get new work now; callers check right before
+    /// Whether a server of a published service may receive new work now; callers check right before
     /// each send.
     pub(crate) fn worker_may_take_work(&self, now: MonotonicTime, server: &ServerName) -> bool {
         let state = self.lock();
@@ -140,7 +140,7 @@
         worker.is_some_and(|worker| state.is_available(now, worker))
     }
 
-    /// Returns the servers of published services that may get new work now. If two have the same
+    /// Returns the servers of published services that may receive new work now. If two have the same
     /// address, returns only the later incarnation: the other one's last heartbeat arrived late.
     pub fn workers(&self, now: MonotonicTime) -> Vec<Arc<WorkerView>> {
         let state = self.lock();
@@ -159,19 +159,19 @@
     }
 }
 
-fn encode_note(note: &ServerAnnouncement) -> Result<ServerAnnounce, AnnounceError> {
-    let offer = serde_json::to_string(&note.offer).map_err(|error| {
+fn encode_announcement(announcement: &ServerAnnouncement) -> Result<ServerAnnounce, AnnounceError> {
+    let offer = serde_json::to_string(&announcement.offer).map_err(|error| {
         let reason = error.to_string();
         AnnounceError::Malformed { reason }
     })?;
     Ok(ServerAnnounce {
-        server: note.server.clone(),
-        incarnation: note.incarnation,
-        sequence: note.sequence,
-        address: note.address.to_string().into(),
-        data_centre: note.data_centre.clone(),
-        state: note.state,
-        checks_fencing: note.checks_fencing,
+        server: announcement.server.clone(),
+        incarnation: announcement.incarnation,
+        sequence: announcement.sequence,
+        address: announcement.address.to_string().into(),
+        data_centre: announcement.data_centre.clone(),
+        state: announcement.state,
+        checks_fencing: announcement.checks_fencing,
         offer: offer.into(),
         load: AnnouncedLoad::default(),
     })
--- a/crates/daemon/src/settings/relay.rs
+++ b/crates/daemon/src/settings/relay.rs
@@ -1,4 +1,4 @@
-//! Settings of the relay: serving by published routes with the interface of a platform.
+//! Settings of the relay: serving by published routes in the dialect of a platform.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 /// Switch, timeouts and retry budget of the relay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// Whether callers, operators and backend servers use the interface of the platform.
+    /// Whether callers, operators and backend servers use the dialect of the platform.
     pub enabled: bool,
     /// Time after the acknowledgement of a change within which it comes into force. A host that may
     /// have missed changes for longer does not report any route or key as unknown.
@@ -22,7 +22,8 @@
     pub retry_slack: u64,
     /// Time window of the retry budget.
     pub retry_window: Duration,
-    /// Time without output of a stage of a pipeline after which its server aborts the request.
+    /// Time without output of a stage of a pipeline after which the backend server of that
+    /// stage aborts the request.
     pub stall: Duration,
 }
 
--- a/crates/daemon/src/telemetry/journal.rs
+++ b/crates/daemon/src/telemetry/journal.rs
@@ -44,7 +44,7 @@
         error: io::Error,
     },
     /// An earlier append failed, so the end of the files is unknown.
-    #[display("evidence files failed before and must be opened anew")]
+    #[display("an earlier write failed; the evidence files must be reopened")]
     Failed,
     /// A line can't be encoded.
     #[display("{_0}")]
@@ -81,8 +81,9 @@
 
 /// A planned drop of old segments, and the evidence records that must be stored before it.
 ///
-/// A crash between the two leaves records of a drop that is then repeated. In the other order it
-/// would leave an anchor without a record, which verification would report as a removal.
+/// A crash after the records are stored but before the drop leaves records of a drop that is then
+/// repeated. In the other order, a crash would leave an anchor without a record, which verification
+/// would report as a removal.
 #[derive(Clone, Debug)]
 pub struct RetentionPlan {
     /// Records to store before the call of [`EvidenceJournal::apply`].
