--- a/crates/daemon/src/run.rs
+++ b/crates/daemon/src/run.rs
@@ -90,7 +90,7 @@
             }
         }
     }
-    log::info!(host:% = settings.host; "planned stop began");
+    log::info!(host:% = settings.host; "leaving as planned");
     let draining = daemon.drain();
     let mut draining = std::pin::pin!(draining);
     loop {
--- a/crates/daemon/src/telemetry/lines.rs
+++ b/crates/daemon/src/telemetry/lines.rs
@@ -212,7 +212,7 @@
 
 fn dropped_lines_line(lines: u64) -> String {
     let time = wall_millis();
-    format!("{{\"t\":{time},\"l\":\"warn\",\"m\":\"log lines dropped\",\"lines\":{lines}}}\n")
+    format!("{{\"t\":{time},\"l\":\"warn\",\"m\":\"lines left out\",\"lines\":{lines}}}\n")
 }
 
 /// Formats a record as a line: `t` is the wall-clock time in milliseconds, `l` the level, `m` the
--- a/crates/daemon/src/telemetry/lines/tests.rs
+++ b/crates/daemon/src/telemetry/lines/tests.rs
@@ -10,6 +10,6 @@
     assert!(digits.parse::<u64>().is_ok(), "{digits}");
     assert_eq!(
         rest,
-        "\"l\":\"warn\",\"m\":\"log lines dropped\",\"lines\":3}\n"
+        "\"l\":\"warn\",\"m\":\"lines left out\",\"lines\":3}\n"
     );
 }
