--- a/crates/pollenctl/src/address.rs
+++ b/crates/pollenctl/src/address.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Display;
 
-/// Where a daemon serves operators.
+/// Address of the operator interface of a daemon.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("{}://{host}:{port}", if *secure { "https" } else { "http" })]
 pub struct ServerAddress {
@@ -20,19 +20,21 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let expected = || format!("{text} is no address; HOST:PORT, http:// or https:// is");
+        let invalid = || {
+            format!("invalid address {text}: expected HOST:PORT with optional http:// or https://")
+        };
         let (secure, rest) = match text.split_once("://") {
             None => (false, text),
             Some(("http", rest)) => (false, rest),
             Some(("https", rest)) => (true, rest),
-            Some(_) => return Err(expected()),
+            Some(_) => return Err(invalid()),
         };
         let rest = rest.strip_suffix('/').unwrap_or(rest);
-        let (host, port) = rest.rsplit_once(':').ok_or_else(expected)?;
+        let (host, port) = rest.rsplit_once(':').ok_or_else(invalid)?;
         let host = host.trim_start_matches('[').trim_end_matches(']');
-        let port = port.parse().map_err(|_| expected())?;
+        let port = port.parse().map_err(|_| invalid())?;
         if host.is_empty() || host.contains(['/', '@', '?']) || port == 0 {
-            return Err(expected());
+            return Err(invalid());
         }
         Ok(Self {
             secure,
@@ -46,8 +48,9 @@
 mod tests {
     use super::ServerAddress;
 
+    // Guards against an address that is parsed with a wrong scheme, host or port.
     #[test]
-    fn addresses_are_read_or_refused() {
+    fn valid_addresses_are_parsed_and_invalid_ones_refused() {
         let cases = [
             ("127.0.0.1:7000", Some("http://127.0.0.1:7000")),
             ("https://k1.example:7443/", Some("https://k1.example:7443")),
@@ -59,9 +62,9 @@
             ("http://k1/x:1", None),
         ];
         for (text, expected) in cases {
-            let read = text.parse::<ServerAddress>().ok();
-            let read = read.map(|address| address.to_string());
-            assert_eq!(read.as_deref(), expected, "{text}");
+            let parsed = text.parse::<ServerAddress>().ok();
+            let parsed = parsed.map(|address| address.to_string());
+            assert_eq!(parsed.as_deref(), expected, "{text}");
         }
     }
 }
--- a/crates/pollenctl/src/check.rs
+++ b/crates/pollenctl/src/check.rs
@@ -1,14 +1,17 @@
-//! `check`: checks a file without any daemon.
+//! `check`: checks a configuration file without contacting a daemon.
 
 use std::path::Path;
 
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
-use crate::text::read_checked;
+use crate::text::read_and_check;
 
-/// Reports all findings of a file.
+/// Prints the warnings and object counts of a valid file.
+///
+/// # Errors
+/// The file can't be read, or all its findings if one is an error.
 pub(crate) fn check(file: &Path, output: &mut ToolOutput<'_>) -> Result<(), ToolFailure> {
-    let parsed = read_checked(file)?.parsed;
+    let parsed = read_and_check(file)?.parsed;
     output.note(&parsed.warnings.to_string());
     output.print(&format!(
         "good: {} selectors, {} label rules",
--- a/crates/pollenctl/src/client.rs
+++ b/crates/pollenctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks daemons in turn.
+//! HTTP client of the operator interface that tries the daemons in turn.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::retry::RetrySettings;
 use crate::transport::{DaemonAnswer, SendFailure, Transport};
 
-/// A client of all daemons that the command line names.
+/// Client of all daemons listed on the command line.
 pub(crate) struct OperatorClient {
     transport: Transport,
     servers: Vec<ServerAddress>,
@@ -25,29 +25,29 @@
     retry: RetrySettings,
 }
 
-/// What a try says of the request.
-enum TryOutcome {
+/// Result of one attempt at one daemon.
+enum AttemptOutcome {
     /// The daemon answered.
     Answered(DaemonAnswer),
-    /// The request did not run; another daemon may do it.
+    /// The request did not run, so another daemon may be tried; the reason.
     NotRun(String),
-    /// The request may have run.
+    /// The request may have run; the reason.
     Unknown(String),
 }
 
-/// An answer, and what is known of the tries before it.
-pub(crate) struct AskedAnswer {
+/// Answer of a daemon, with the result of the attempts before it.
+pub(crate) struct ReceivedAnswer {
     pub(crate) daemon: DaemonAnswer,
-    /// Whether any earlier try may have run.
+    /// Whether the request may have run in an earlier attempt.
     pub(crate) may_have_run: bool,
 }
 
-/// Why no daemon answered.
+/// Failure of all attempts.
 pub(crate) struct NoAnswer {
-    /// Whether any try may have run.
+    /// Whether the request may have run in any attempt.
     pub(crate) may_have_run: bool,
-    /// What happened to each try, one a line.
-    pub(crate) tries: String,
+    /// Result of each attempt, one per line.
+    pub(crate) attempts: String,
 }
 
 #[derive(Default, Deserialize)]
@@ -59,92 +59,95 @@
 }
 
 impl OperatorClient {
-    /// A client by the options; reads the token file.
+    /// Creates a client and reads the token file.
+    ///
+    /// # Errors
+    /// No daemon is given, or the token file or the CA file can't be read.
     pub(crate) fn open(
         options: &ConnectionOptions,
         retry: &RetrySettings,
     ) -> Result<Self, ToolFailure> {
         if options.servers.is_empty() {
             return Err(ToolFailure::refused(
-                "no daemon is named: give --servers HOST:PORT,... or set POLLENCTL_SERVERS",
+                "no daemon address is given: use --servers HOST:PORT,... or set POLLENCTL_SERVERS",
             ));
         }
         let token = match &options.token_file {
             None => None,
             Some(path) => {
-                let read = std::fs::read_to_string(path);
-                let token = read.map_err(|error| ToolFailure::Refused {
+                let text = std::fs::read_to_string(path);
+                let token = text.map_err(|error| ToolFailure::Refused {
                     reason: format!("{}: {error}", path.display()),
                 })?;
                 Some(token.trim().to_owned())
             }
         };
-        let limit = Duration::from_secs(options.timeout);
+        let timeout = Duration::from_secs(options.timeout);
         Ok(Self {
-            transport: Transport::new(options.ca_file.as_deref(), limit)?,
+            transport: Transport::new(options.ca_file.as_deref(), timeout)?,
             servers: options.servers.clone(),
             token,
             retry: retry.clone(),
         })
     }
 
-    /// Gets a JSON value.
+    /// Sends a GET request and decodes the JSON body.
     pub(crate) async fn get<T>(&self, path: &str) -> Result<T, ToolFailure>
     where
         T: DeserializeOwned,
     {
         let body = self.get_bytes(path).await?;
-        serde_json::from_slice(&body).map_err(not_understood)
+        serde_json::from_slice(&body).map_err(decode_failure)
     }
 
-    /// Gets a body as it is.
+    /// Sends a GET request and returns the body undecoded.
     pub(crate) async fn get_bytes(&self, path: &str) -> Result<Bytes, ToolFailure> {
-        let asked = self.ask(&Method::GET, path, Bytes::new()).await;
-        self.success(asked)
+        let result = self.send_request(&Method::GET, path, Bytes::new()).await;
+        self.require_success(result)
     }
 
-    /// Posts a question, which changes nothing.
-    pub(crate) async fn question<B, T>(&self, path: &str, body: &B) -> Result<T, ToolFailure>
+    /// Sends a read-only query as a POST request and decodes the JSON body.
+    pub(crate) async fn post_query<B, T>(&self, path: &str, body: &B) -> Result<T, ToolFailure>
     where
         B: Serialize,
         T: DeserializeOwned,
     {
         let body = serde_json::to_vec(body).map_err(ToolFailure::failed)?;
-        let asked = self.ask(&Method::POST, path, body.into()).await;
-        serde_json::from_slice(&self.success(asked)?).map_err(not_understood)
+        let result = self.send_request(&Method::POST, path, body.into()).await;
+        serde_json::from_slice(&self.require_success(result)?).map_err(decode_failure)
     }
 
     /// Sends a request to one daemon after another, in rounds, until one answers.
     ///
-    /// Each try carries the same bytes, so a request must be safe to resend.
-    pub(crate) async fn ask(
+    /// Every attempt sends the same bytes, so the request must be safe to resend.
+    pub(crate) async fn send_request(
         &self,
         method: &Method,
         path: &str,
         body: Bytes,
-    ) -> Result<AskedAnswer, NoAnswer> {
+    ) -> Result<ReceivedAnswer, NoAnswer> {
         let mut failure = NoAnswer {
             may_have_run: false,
-            tries: String::new(),
+            attempts: String::new(),
         };
         for round in 0..self.retry.rounds {
-            tokio::time::sleep(self.retry.pause_before(round)).await;
+            tokio::time::sleep(self.retry.backoff_before(round)).await;
             for address in &self.servers {
                 let reason = match self.attempt(address, method, path, body.clone()).await {
-                    TryOutcome::Answered(daemon) => {
+                    AttemptOutcome::Answered(daemon) => {
                         let may_have_run = failure.may_have_run;
-                        return Ok(AskedAnswer {
+                        return Ok(ReceivedAnswer {
                             daemon,
                             may_have_run,
                         });
                     }
-                    TryOutcome::NotRun(reason) => reason,
-                    TryOutcome::Unknown(reason) => {
+                    AttemptOutcome::NotRun(reason) => reason,
+                    AttemptOutcome::Unknown(reason) => {
                         failure.may_have_run = true;
                         reason
                     }
                 };
-                let _ = writeln!(failure.tries, "  {address}: {reason}");
+                let _ = writeln!(failure.attempts, "  {address}: {reason}");
             }
         }
         Err(failure)
@@ -156,27 +159,27 @@
         method: &Method,
         path: &str,
         body: Bytes,
-    ) -> TryOutcome {
-        let request = match self.request(address, method, path, body) {
+    ) -> AttemptOutcome {
+        let request = match self.build_request(address, method, path, body) {
             Ok(request) => request,
-            Err(error) => return TryOutcome::NotRun(error.to_string()),
+            Err(error) => return AttemptOutcome::NotRun(error.to_string()),
         };
         let answer = match self.transport.send(address, request).await {
             Ok(answer) => answer,
             Err(failure @ SendFailure::NotSent(_)) => {
-                return TryOutcome::NotRun(failure.to_string());
+                return AttemptOutcome::NotRun(failure.to_string());
             }
             Err(failure @ SendFailure::NoAnswer(_)) => {
-                return TryOutcome::Unknown(failure.to_string());
+                return AttemptOutcome::Unknown(failure.to_string());
             }
         };
         if answer.status.is_server_error() {
-            return unavailable(&answer);
+            return classify_server_error(&answer);
         }
-        TryOutcome::Answered(answer)
+        AttemptOutcome::Answered(answer)
     }
 
-    fn request(
+    fn build_request(
         &self,
         address: &ServerAddress,
         method: &Method,
@@ -194,9 +197,12 @@
         request.body(Full::new(body))
     }
 
-    fn success(&self, asked: Result<AskedAnswer, NoAnswer>) -> Result<Bytes, ToolFailure> {
-        let answer = asked.map_err(|none| ToolFailure::Failed {
-            reason: format!("no daemon answered:\n{}", none.tries.trim_end()),
+    fn require_success(
+        &self,
+        result: Result<ReceivedAnswer, NoAnswer>,
+    ) -> Result<Bytes, ToolFailure> {
+        let answer = result.map_err(|failure| ToolFailure::Failed {
+            reason: format!("no daemon answered:\n{}", failure.attempts.trim_end()),
         })?;
         let answer = answer.daemon;
         if answer.status.is_success() {
@@ -206,36 +212,37 @@
     }
 }
 
-/// A daemon that can't do it now; only its own word proves that the request did not run.
-fn unavailable(answer: &DaemonAnswer) -> TryOutcome {
+/// Classifies a 5xx answer. The request is known not to have run only if the daemon's problem
+/// report says so; a proxy in between may answer without such a report.
+fn classify_server_error(answer: &DaemonAnswer) -> AttemptOutcome {
     let problem: ProblemBody = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let reason = described(answer, &problem);
+    let reason = describe(answer, &problem);
     match problem.outcome.as_str() {
-        "not-run" => TryOutcome::NotRun(reason),
-        _ => TryOutcome::Unknown(reason),
+        "not-run" => AttemptOutcome::NotRun(reason),
+        _ => AttemptOutcome::Unknown(reason),
     }
 }
 
-/// The failure that a problem report stands for.
+/// Converts the problem report of an answer to a failure.
 pub(crate) fn problem_failure(answer: &DaemonAnswer) -> ToolFailure {
     let problem: ProblemBody = serde_json::from_slice(&answer.body).unwrap_or_default();
-    let reason = described(answer, &problem);
+    let reason = describe(answer, &problem);
     match answer.status {
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE => ToolFailure::Refused { reason },
         _ => ToolFailure::Failed { reason },
     }
 }
 
-fn described(answer: &DaemonAnswer, problem: &ProblemBody) -> String {
+fn describe(answer: &DaemonAnswer, problem: &ProblemBody) -> String {
     let parts = [problem.title.as_str(), problem.detail.as_str()];
-    let words: Vec<&str> = parts.into_iter().filter(|part| !part.is_empty()).collect();
-    format!("{} {}", answer.status, words.join(": "))
+    let texts: Vec<&str> = parts.into_iter().filter(|part| !part.is_empty()).collect();
+    format!("{} {}", answer.status, texts.join(": "))
         .trim_end()
         .to_owned()
 }
 
-fn not_understood(error: serde_json::Error) -> ToolFailure {
+fn decode_failure(error: serde_json::Error) -> ToolFailure {
     ToolFailure::Failed {
-        reason: format!("the daemon's answer is not understood: {error}"),
+        reason: format!("the daemon's answer is not valid JSON of the expected form: {error}"),
     }
 }
--- a/crates/pollenctl/src/command.rs
+++ b/crates/pollenctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Arguments of the command line.
 
 use std::path::PathBuf;
 
@@ -27,7 +27,7 @@
 pub struct ConnectionOptions {
     /// Daemons to ask, separated by commas, as HOST:PORT, http://HOST:PORT or https://HOST:PORT;
     /// each is tried in turn
-    #[bpaf(env("POLLENCTL_SERVERS"), argument::<String>("ADDRESSES"), parse(read_addresses), fallback(Vec::new()))]
+    #[bpaf(env("POLLENCTL_SERVERS"), argument::<String>("ADDRESSES"), parse(parse_addresses), fallback(Vec::new()))]
     pub servers: Vec<ServerAddress>,
     /// File that holds the operator's token
     #[bpaf(env("POLLENCTL_TOKEN_FILE"), argument("FILE"), optional)]
@@ -38,18 +38,18 @@
     /// Seconds that one try may take
     #[bpaf(
         argument("SECONDS"),
-        guard(is_timeout, "1 to 600 seconds"),
+        guard(is_valid_timeout, "1 to 600 seconds"),
         fallback(10),
         display_fallback
     )]
     pub timeout: u64,
 }
 
-fn is_timeout(seconds: &u64) -> bool {
+fn is_valid_timeout(seconds: &u64) -> bool {
     (1..=600).contains(seconds)
 }
 
-fn read_addresses(text: String) -> Result<Vec<ServerAddress>, String> {
+fn parse_addresses(text: String) -> Result<Vec<ServerAddress>, String> {
     text.split(',').map(|part| part.trim().parse()).collect()
 }
 
--- a/crates/pollenctl/src/diff.rs
+++ b/crates/pollenctl/src/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: how a file differs from the configuration in force.
+//! `diff`: compares a file with the configuration in force.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -10,19 +10,24 @@
 use crate::client::OperatorClient;
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
-use crate::text::read_checked;
+use crate::text::read_and_check;
 
-/// Compares document by document, so that order and spelling do not show.
+/// Prints the differences between the file and the configuration in force.
+///
+/// Canonical documents are compared by key, so document order and formatting make no difference.
+///
+/// # Errors
+/// [`ToolFailure::Differs`] if they differ; other failures if either can't be read.
 pub(crate) async fn diff(
     client: &OperatorClient,
     file: &Path,
     output: &mut ToolOutput<'_>,
 ) -> Result<(), ToolFailure> {
-    let checked = read_checked(file)?;
+    let checked = read_and_check(file)?;
     let view: ConfigurationView = client.get("/operator/v1/configuration").await?;
     let in_force = ParsedConfiguration::parse("in force", &view.text)
         .map_err(|findings| ToolFailure::Findings { findings })?;
-    let text = written(in_force.canonical(), checked.parsed.canonical());
+    let text = format_difference(in_force.canonical(), checked.parsed.canonical());
     if text.is_empty() {
         return output.print(&format!("no difference from revision {}", view.revision));
     }
@@ -31,7 +36,7 @@
     Err(ToolFailure::Differs { reason })
 }
 
-fn written(earlier: &CanonicalText, later: &CanonicalText) -> String {
+fn format_difference(earlier: &CanonicalText, later: &CanonicalText) -> String {
     let mut text = String::new();
     for change in earlier.changes_to(later) {
         let old = earlier
--- a/crates/pollenctl/src/evidence.rs
+++ b/crates/pollenctl/src/evidence.rs
@@ -1,4 +1,4 @@
-//! `evidence`: finds, tells, exports and verifies what happened.
+//! `evidence`: finds, shows, exports and verifies evidence records.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -12,7 +12,7 @@
 use crate::command::EvidenceCommand;
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
-use crate::wall_clock::read_time;
+use crate::wall_clock::parse_time;
 
 const EVIDENCE_PATH: &str = "/operator/v1/evidence";
 
@@ -21,7 +21,7 @@
     records: Vec<EvidenceRecord>,
 }
 
-/// Runs an evidence command; `verify` needs no daemon.
+/// Runs an evidence command. `open` creates the client; `verify` does not call it.
 pub(crate) async fn evidence<O>(
     open: O,
     command: &EvidenceCommand,
@@ -34,9 +34,9 @@
         EvidenceCommand::Find { .. } => find(&open()?, command, output).await,
         EvidenceCommand::Show { request } => show(&open()?, request, output).await,
         EvidenceCommand::Export { from, until, file } => {
-            let mut query = QueryText::default();
-            query.time("from", from.as_deref())?;
-            query.time("until", until.as_deref())?;
+            let mut query = QueryString::default();
+            query.add_time("from", from.as_deref())?;
+            query.add_time("until", until.as_deref())?;
             export(&open()?, &query, file, output).await
         }
         EvidenceCommand::Verify { heads, file } => verify_file(heads.as_deref(), file, output),
@@ -60,14 +60,14 @@
     else {
         return Ok(());
     };
-    let mut query = QueryText::default();
-    query.text("request", request.as_deref());
-    query.text("customer", customer.as_deref());
-    query.text("outcome", outcome.as_deref());
-    query.text("selector", selector.as_deref());
-    query.time("from", from.as_deref())?;
-    query.time("until", until.as_deref())?;
-    query.text("limit", Some(&limit.to_string()));
+    let mut query = QueryString::default();
+    query.add_text("request", request.as_deref());
+    query.add_text("customer", customer.as_deref());
+    query.add_text("outcome", outcome.as_deref());
+    query.add_text("selector", selector.as_deref());
+    query.add_time("from", from.as_deref())?;
+    query.add_time("until", until.as_deref())?;
+    query.add_text("limit", Some(&limit.to_string()));
     let path = format!("{EVIDENCE_PATH}{}", query.as_str());
     let list: RecordList = client.get(&path).await?;
     let mut lines = String::new();
@@ -83,7 +83,7 @@
     request: &str,
     output: &mut ToolOutput<'_>,
 ) -> Result<(), ToolFailure> {
-    let path = format!("{EVIDENCE_PATH}/requests/{}", escaped(request));
+    let path = format!("{EVIDENCE_PATH}/requests/{}", percent_encode(request));
     let list: RecordList = client.get(&path).await?;
     let lines = request_timeline(&RequestId::from(request), &list.records);
     output.print(&lines.join("\n"))
@@ -91,18 +91,18 @@
 
 async fn export(
     client: &OperatorClient,
-    query: &QueryText,
+    query: &QueryString,
     file: &Path,
     output: &mut ToolOutput<'_>,
 ) -> Result<(), ToolFailure> {
-    let named = |error: std::io::Error| ToolFailure::Refused {
+    let file_error = |error: std::io::Error| ToolFailure::Refused {
         reason: format!("{}: {error}", file.display()),
     };
     let path = format!("{EVIDENCE_PATH}/export{}", query.as_str());
     let bytes = client.get_bytes(&path).await?;
-    let mut target = std::fs::File::create_new(file).map_err(named)?;
-    target.write_all(&bytes).map_err(named)?;
-    target.sync_all().map_err(named)?;
+    let mut target = std::fs::File::create_new(file).map_err(file_error)?;
+    target.write_all(&bytes).map_err(file_error)?;
+    target.sync_all().map_err(file_error)?;
     output.print(&format!("{} bytes in {}", bytes.len(), file.display()))
 }
 
@@ -111,12 +111,12 @@
     file: &Path,
     output: &mut ToolOutput<'_>,
 ) -> Result<(), ToolFailure> {
-    let text = read(file)?;
-    let noted = match heads {
+    let text = read_file(file)?;
+    let known_heads = match heads {
         Some(path) => read_heads(path)?,
         None => Vec::new(),
     };
-    let report = verify(&file.display().to_string(), text.lines(), &noted);
+    let report = verify(&file.display().to_string(), text.lines(), &known_heads);
     let mut lines = String::new();
     for chain in &report.chains {
         let head = serde_json::to_string(&chain.head).map_err(ToolFailure::failed)?;
@@ -129,12 +129,14 @@
         return Err(ToolFailure::Differs { reason });
     }
     let records: u64 = report.chains.iter().map(|chain| chain.records).sum();
-    output.note(&format!("whole: {records} records; note the heads above"));
+    output.note(&format!(
+        "complete: {records} records; save the heads above for the next verification"
+    ));
     Ok(())
 }
 
 fn read_heads(path: &Path) -> Result<Vec<ChainHead>, ToolFailure> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     let lines = text.lines().filter(|line| !line.trim().is_empty());
     let heads: Result<Vec<ChainHead>, _> = lines.map(serde_json::from_str).collect();
     heads.map_err(|error| ToolFailure::Refused {
@@ -142,29 +144,29 @@
     })
 }
 
-fn read(path: &Path) -> Result<String, ToolFailure> {
+fn read_file(path: &Path) -> Result<String, ToolFailure> {
     std::fs::read_to_string(path).map_err(|error| ToolFailure::Refused {
         reason: format!("{}: {error}", path.display()),
     })
 }
 
-/// Query of a path.
+/// Query part of a URI, starting with `?` unless empty.
 #[derive(Default)]
-struct QueryText {
+struct QueryString {
     text: String,
 }
 
-impl QueryText {
-    fn text(&mut self, key: &str, value: Option<&str>) {
+impl QueryString {
+    fn add_text(&mut self, key: &str, value: Option<&str>) {
         let Some(value) = value else { return };
-        let joint = if self.text.is_empty() { '?' } else { '&' };
-        let _ = write!(self.text, "{joint}{key}={}", escaped(value));
+        let separator = if self.text.is_empty() { '?' } else { '&' };
+        let _ = write!(self.text, "{separator}{key}={}", percent_encode(value));
     }
 
-    fn time(&mut self, key: &str, value: Option<&str>) -> Result<(), ToolFailure> {
+    fn add_time(&mut self, key: &str, value: Option<&str>) -> Result<(), ToolFailure> {
         if let Some(value) = value {
-            let time = read_time(value)?;
-            self.text(key, Some(&time.0.to_string()));
+            let time = parse_time(value)?;
+            self.add_text(key, Some(&time.0.to_string()));
         }
         Ok(())
     }
@@ -174,8 +176,8 @@
     }
 }
 
-/// Percent-encodes what may not stand in a path segment or a query value.
-fn escaped(text: &str) -> String {
+/// Percent-encodes every byte that is not unreserved in a URI (RFC 3986).
+fn percent_encode(text: &str) -> String {
     text.bytes().fold(String::new(), |mut escaped, byte| {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'~') {
             escaped.push(char::from(byte));
--- a/crates/pollenctl/src/explain.rs
+++ b/crates/pollenctl/src/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: which selector would serve a request, and why the others would not.
+//! `explain`: shows which selector would serve a request, and why the others would not.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -11,19 +11,19 @@
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
 
-/// Writes one selector a line in the order in which they are tried, the serving one marked, then
-/// the backend servers.
+/// Prints one selector per line in matching order, with `*` before the serving one, then the
+/// backend servers.
 pub(crate) async fn explain(
     client: &OperatorClient,
     command: &ToolCommand,
     output: &mut ToolOutput<'_>,
 ) -> Result<(), ToolFailure> {
-    let body = body_of(command)?;
-    let view: ExplainView = client.question("/operator/v1/explain", &body).await?;
-    output.print(&written(&view))
+    let body = request_body(command)?;
+    let view: ExplainView = client.post_query("/operator/v1/explain", &body).await?;
+    output.print(&format_explanation(&view))
 }
 
-fn body_of(command: &ToolCommand) -> Result<ExplainBody, ToolFailure> {
+fn request_body(command: &ToolCommand) -> Result<ExplainBody, ToolFailure> {
     let ToolCommand::Explain {
         customer,
         model,
@@ -33,12 +33,14 @@
         attribute,
     } = command
     else {
-        return Err(ToolFailure::refused("not an explain command"));
+        return Err(ToolFailure::refused(
+            "internal error: expected an explain command",
+        ));
     };
     let mut attributes = BTreeMap::new();
     for text in attribute {
         let Some((key, value)) = text.split_once('=') else {
-            let reason = format!("{text} is no attribute; KEY=VALUE is");
+            let reason = format!("invalid attribute {text}: expected KEY=VALUE");
             return Err(ToolFailure::Refused { reason });
         };
         attributes.insert(Arc::from(key), Arc::from(value));
@@ -57,7 +59,7 @@
     Ok(body)
 }
 
-fn written(view: &ExplainView) -> String {
+fn format_explanation(view: &ExplainView) -> String {
     let mut text = String::new();
     let _ = match &view.serves {
         Some(selector) => writeln!(text, "revision {}: {selector} serves it", view.revision),
--- a/crates/pollenctl/src/failure.rs
+++ b/crates/pollenctl/src/failure.rs
@@ -1,33 +1,33 @@
-//! Why a command failed, and its exit code.
+//! Failures of commands and their exit codes.
 
 use derive_more::{Display, Error};
 use pollendrift_coordination::base::FindingList;
 
-/// Why a command did not do what it was asked.
+/// Failure of a command.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ToolFailure {
-    /// Nothing was changed: no daemon could be asked, or the daemon said so.
+    /// The command failed and changed nothing: no daemon was reachable, or the daemon reported it.
     #[display("{reason}")]
     Failed {
-        /// Why, one try a line.
+        /// Cause, one attempt per line.
         reason: String,
     },
     /// The input is refused.
     #[display("{reason}")]
     Refused {
-        /// Why, and what would be accepted.
+        /// Cause and the accepted form.
         reason: String,
     },
     /// The input is refused with findings.
     #[display("{findings}")]
     Findings {
-        /// All of them.
+        /// All findings.
         findings: FindingList,
     },
-    /// Another change went first.
+    /// Another change took effect first.
     #[display("{reason}")]
     Conflict {
-        /// Which, and how this one differs.
+        /// The other change and the difference from it.
         reason: String,
     },
     /// The change may be in force.
@@ -40,19 +40,19 @@
         change_id: String,
         /// Revision that it is based on.
         based_on: u64,
-        /// What happened to each try.
+        /// Result of each attempt.
         reason: String,
     },
-    /// What was compared is not equal, or evidence is not whole.
+    /// The compared configurations differ, or evidence is incomplete.
     #[display("{reason}")]
     Differs {
-        /// In which way.
+        /// The difference.
         reason: String,
     },
 }
 
 impl ToolFailure {
-    /// Exit code; the page on pollenctl lists them.
+    /// Exit code of the process; `docs/operators/pollenctl.md` lists all codes.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Failed { .. } => 1,
--- a/crates/pollenctl/src/get.rs
+++ b/crates/pollenctl/src/get.rs
@@ -1,4 +1,4 @@
-//! `get`, `status` and `dump`: shows what a daemon holds.
+//! `get`, `status` and `dump`: print the configuration or the state of a daemon.
 
 use pollendrift_coordination::configuration::ConfigurationView;
 
@@ -7,8 +7,8 @@
 use crate::run::ToolOutput;
 use crate::text::with_revision;
 
-/// Writes a configuration with its revision in the first line, so that `apply` knows what an
-/// edited copy was made from.
+/// Prints a configuration with its revision in the first line, from which `apply` reads the base
+/// revision of an edited copy.
 pub(crate) async fn get(
     client: &OperatorClient,
     revision: Option<u64>,
@@ -20,7 +20,7 @@
     output.print(&with_revision(view.revision.0, &view.text))
 }
 
-/// Writes a JSON answer for people.
+/// Prints a JSON answer with indentation.
 pub(crate) async fn show(
     client: &OperatorClient,
     path: &str,
--- a/crates/pollenctl/src/history.rs
+++ b/crates/pollenctl/src/history.rs
@@ -7,9 +7,9 @@
 use crate::client::OperatorClient;
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
-use crate::wall_clock::write_time;
+use crate::wall_clock::format_time;
 
-/// Writes one change a line, newest first.
+/// Prints one accepted change per line, newest first.
 pub(crate) async fn history(
     client: &OperatorClient,
     before: Option<u64>,
@@ -25,7 +25,7 @@
             text,
             "{} {} {} change {}: {}",
             change.revision,
-            write_time(change.time),
+            format_time(change.time),
             change.operator,
             change.change_id,
             change.difference,
--- a/crates/pollenctl/src/in_force.rs
+++ b/crates/pollenctl/src/in_force.rs
@@ -1,4 +1,5 @@
-//! `in-force`: what is in force at each daemon, or was in force at a time.
+//! `in-force`: prints the revision in force at each daemon, or the configuration in force at a
+//! past time.
 
 use std::fmt::Write;
 
@@ -8,9 +9,12 @@
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
 use crate::text::with_revision;
-use crate::wall_clock::{read_time, write_time};
+use crate::wall_clock::{format_time, parse_time};
 
-/// Writes the revision at each daemon, or with `at` the configuration of that time.
+/// Prints the revision at each daemon or, with `at`, the configuration in force at that time.
+///
+/// # Errors
+/// No daemon answers, `at` is invalid, or it is before the retained history.
 pub(crate) async fn in_force(
     client: &OperatorClient,
     at: Option<&str>,
@@ -18,15 +22,15 @@
 ) -> Result<(), ToolFailure> {
     let Some(at) = at else {
         let view: InForceView = client.get("/operator/v1/in-force").await?;
-        let lines: String = view.daemons.iter().map(daemon_line).collect();
+        let lines: String = view.daemons.iter().map(format_daemon).collect();
         return output.print(&lines);
     };
-    let time = read_time(at)?;
+    let time = parse_time(at)?;
     let view: InForceView = client
         .get(&format!("/operator/v1/in-force?at={}", time.0))
         .await?;
     let Some(answer) = view.at else {
-        let reason = format!("{} is before the retained history", write_time(time));
+        let reason = format!("{} is before the retained history", format_time(time));
         return Err(ToolFailure::Failed { reason });
     };
     let change = &answer.change;
@@ -35,7 +39,7 @@
         change.revision,
         change.change_id,
         change.operator,
-        write_time(change.time)
+        format_time(change.time)
     ));
     if answer.clocks_disagree {
         output.note("warning: clocks went backwards around that time; see `history`");
@@ -43,7 +47,7 @@
     output.print(&with_revision(change.revision.0, &answer.text))
 }
 
-fn daemon_line(daemon: &DaemonRevision) -> String {
+fn format_daemon(daemon: &DaemonRevision) -> String {
     let mut line = format!("{} ", daemon.host);
     let _ = match daemon.revision {
         Some(revision) => write!(line, "revision {revision}"),
--- a/crates/pollenctl/src/lib.rs
+++ b/crates/pollenctl/src/lib.rs
@@ -1,6 +1,7 @@
-//! Operators' command line of pollendrift, as a library so that its commands can be tested.
+//! Operators' command line of pollendrift, as a library so that tests can run its commands.
 //!
-//! Each command is one module with one entry function; `docs/operators/pollenctl.md` is their page.
+//! Each module implements one command or a small family; `docs/operators/pollenctl.md` describes
+//! them.
 
 mod address;
 mod apply;
--- a/crates/pollenctl/src/main.rs
+++ b/crates/pollenctl/src/main.rs
@@ -5,18 +5,18 @@
 use bpaf::{Args, ParseFailure};
 use pollenctl::{RetrySettings, command_line, run};
 
-/// Width that help is wrapped to.
+/// Column at which help text is wrapped.
 const HELP_COLUMNS: usize = 100;
-/// Exit code of a command line that is not understood.
-const USAGE_EXIT: u8 = 2;
+/// Exit code for an invalid command line.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let line = match command_line().run_inner(Args::current_args()) {
         Ok(line) => line,
         Err(failure) => {
             failure.print_message(HELP_COLUMNS);
-            let asked_for = matches!(failure, ParseFailure::Stdout(..));
-            return ExitCode::from(if asked_for { 0 } else { USAGE_EXIT });
+            let is_requested = matches!(failure, ParseFailure::Stdout(..));
+            return ExitCode::from(if is_requested { 0 } else { USAGE_EXIT_CODE });
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/pollenctl/src/report.rs
+++ b/crates/pollenctl/src/report.rs
@@ -1,4 +1,4 @@
-//! `report`: makes one HTML page of an exported file, without any daemon.
+//! `report`: renders an exported file as one HTML page, without contacting a daemon.
 
 use std::io::Write as _;
 use std::path::Path;
@@ -8,7 +8,7 @@
 use crate::failure::ToolFailure;
 use crate::run::ToolOutput;
 
-/// Writes the page over `export` to `file`, which must not exist.
+/// Writes the page for `export` to `file`, which must not exist.
 pub(crate) fn report(
     export: &Path,
     file: &Path,
--- a/crates/pollenctl/src/run.rs
+++ b/crates/pollenctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a command and gives its exit code.
+//! Runs commands and maps failures to exit codes.
 
 use std::io::Write;
 
@@ -8,28 +8,28 @@
 use crate::retry::RetrySettings;
 use crate::{apply, check, diff, evidence, explain, get, history, in_force, report};
 
-/// Where a command writes.
+/// Output streams of a command.
 pub(crate) struct ToolOutput<'a> {
-    /// What was asked for.
+    /// Result of the command (standard output).
     pub(crate) out: &'a mut dyn Write,
-    /// Notes, warnings and errors.
+    /// Notes, warnings and errors (standard error).
     pub(crate) notes: &'a mut dyn Write,
 }
 
 impl ToolOutput<'_> {
-    /// Writes what was asked for.
+    /// Writes the result and ends it with a newline.
     pub(crate) fn print(&mut self, text: &str) -> Result<(), ToolFailure> {
-        let ended = if text.is_empty() || text.ends_with('\n') {
+        let line_end = if text.is_empty() || text.ends_with('\n') {
             ""
         } else {
             "\n"
         };
-        write!(self.out, "{text}{ended}")
+        write!(self.out, "{text}{line_end}")
             .and_then(|()| self.out.flush())
             .map_err(ToolFailure::failed)
     }
 
-    /// Writes a note; one that can't be written changes nothing.
+    /// Writes a note; a write error does not change the outcome of the command.
     pub(crate) fn note(&mut self, text: &str) {
         if !text.is_empty() {
             let _ = writeln!(self.notes, "{}", text.trim_end());
@@ -37,7 +37,7 @@
     }
 }
 
-/// Runs a command and gives its exit code; `docs/operators/pollenctl.md` lists the codes.
+/// Runs a command and returns its exit code; `docs/operators/pollenctl.md` lists the codes.
 pub async fn run(
     line: CommandLine,
     retry: &RetrySettings,
--- a/crates/pollenctl/src/text.rs
+++ b/crates/pollenctl/src/text.rs
@@ -1,4 +1,4 @@
-//! Configuration files and the line that says which revision they were made from.
+//! Configuration files and their first line, which contains the base revision.
 
 use std::path::Path;
 
@@ -6,24 +6,27 @@
 
 use crate::failure::ToolFailure;
 
-/// Start of the first line of a file that `get` wrote.
-const REVISION_MARK: &str = "# revision: ";
+/// Prefix of the first line of a file written by `get`.
+const REVISION_PREFIX: &str = "# revision: ";
 
-/// A configuration file that was found good.
+/// Text of a valid configuration file and its parsed form.
 pub(crate) struct CheckedFile {
     pub(crate) text: String,
     pub(crate) parsed: ParsedConfiguration,
 }
 
-/// Reads a file and checks it whole.
-pub(crate) fn read_checked(path: &Path) -> Result<CheckedFile, ToolFailure> {
+/// Reads and checks a complete file.
+///
+/// # Errors
+/// The file is unreadable, is over [`MAX_TEXT_BYTES`], or has findings that are errors.
+pub(crate) fn read_and_check(path: &Path) -> Result<CheckedFile, ToolFailure> {
     let name = path.display().to_string();
     let refused = |reason: String| ToolFailure::Refused {
         reason: format!("{name}: {reason}"),
     };
-    let size = std::fs::metadata(path).map_err(|error| refused(error.to_string()))?;
-    if size.len() > u64::try_from(MAX_TEXT_BYTES).unwrap_or(u64::MAX) {
-        return Err(refused(format!("over {MAX_TEXT_BYTES} bytes")));
+    let metadata = std::fs::metadata(path).map_err(|error| refused(error.to_string()))?;
+    if metadata.len() > u64::try_from(MAX_TEXT_BYTES).unwrap_or(u64::MAX) {
+        return Err(refused(format!("the file is over {MAX_TEXT_BYTES} bytes")));
     }
     let text = std::fs::read_to_string(path).map_err(|error| refused(error.to_string()))?;
     let parsed = ParsedConfiguration::parse(&name, &text)
@@ -31,17 +34,17 @@
     Ok(CheckedFile { text, parsed })
 }
 
-/// The text with its revision in the first line.
+/// Puts the revision in the first line, in place of an existing revision line.
 pub(crate) fn with_revision(revision: u64, text: &str) -> String {
     let rest = match text.split_once('\n') {
-        Some((first, rest)) if first.starts_with(REVISION_MARK) => rest,
+        Some((first, rest)) if first.starts_with(REVISION_PREFIX) => rest,
         _ => text,
     };
-    format!("{REVISION_MARK}{revision}\n{rest}")
+    format!("{REVISION_PREFIX}{revision}\n{rest}")
 }
 
-/// The revision that the first line of a text names.
-pub(crate) fn revision_of(text: &str) -> Option<u64> {
+/// Revision in the first line of a text, if that is a revision line.
+pub(crate) fn base_revision(text: &str) -> Option<u64> {
     let first = text.lines().next()?;
-    first.strip_prefix(REVISION_MARK)?.trim().parse().ok()
+    first.strip_prefix(REVISION_PREFIX)?.trim().parse().ok()
 }
--- a/crates/pollenctl/src/transport.rs
+++ b/crates/pollenctl/src/transport.rs
@@ -1,4 +1,4 @@
-//! One request to one daemon, over plain TCP or TLS.
+//! Sends one request to one daemon over plain TCP or TLS.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -21,22 +21,22 @@
 use crate::address::ServerAddress;
 use crate::failure::ToolFailure;
 
-/// Most bytes of an answer.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// Longest that a connection may take to open.
+/// Maximum time for the TCP connect, and again for the TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An answer of a daemon.
+/// Status and body of a daemon's answer.
 #[derive(Clone, Debug)]
 pub(crate) struct DaemonAnswer {
     pub(crate) status: StatusCode,
     pub(crate) body: Bytes,
 }
 
-/// Why there is no answer.
+/// Failure to get an answer, with its cause.
 #[derive(Clone, Debug, Display)]
 pub(crate) enum SendFailure {
-    /// No byte of the request went out.
+    /// No byte of the request was sent.
     #[display("not reached: {_0}")]
     NotSent(String),
     /// The request may have arrived.
@@ -44,16 +44,22 @@
     NoAnswer(String),
 }
 
-/// Opens connections.
+/// Opens a new connection for each request.
 pub(crate) struct Transport {
     tls: TlsConnector,
-    limit: Duration,
+    request_timeout: Duration,
 }
 
 impl Transport {
-    /// A transport whose tries take at most `limit`; https daemons must be signed by a certificate
-    /// of `ca_file`.
-    pub(crate) fn new(ca_file: Option<&Path>, limit: Duration) -> Result<Self, ToolFailure> {
+    /// Creates a transport whose requests take at most `request_timeout`; certificates of https
+    /// daemons must be signed by one in `ca_file`.
+    ///
+    /// # Errors
+    /// `ca_file` can't be read or holds an invalid certificate.
+    pub(crate) fn new(
+        ca_file: Option<&Path>,
+        request_timeout: Duration,
+    ) -> Result<Self, ToolFailure> {
         let mut roots = RootCertStore::empty();
         if let Some(path) = ca_file {
             let refused = |error| ToolFailure::Refused {
@@ -73,10 +79,13 @@
             .with_root_certificates(roots)
             .with_no_client_auth();
         let tls = TlsConnector::from(Arc::new(config));
-        Ok(Self { tls, limit })
+        Ok(Self {
+            tls,
+            request_timeout,
+        })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     pub(crate) async fn send(
         &self,
         address: &ServerAddress,
@@ -109,7 +118,7 @@
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = handshake.map_err(not_sent)?;
         let driver = tokio::spawn(connection);
-        let answer = timeout(self.limit, async {
+        let answer = timeout(self.request_timeout, async {
             let response = sender.send_request(request).await.map_err(no_answer)?;
             let status = response.status();
             let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
@@ -119,7 +128,7 @@
         .await;
         driver.abort();
         answer.unwrap_or_else(|_| {
-            let seconds = self.limit.as_secs();
+            let seconds = self.request_timeout.as_secs();
             Err(SendFailure::NoAnswer(format!("none within {seconds} s")))
         })
     }
--- a/crates/pollenctl/src/wall_clock.rs
+++ b/crates/pollenctl/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Wall-clock times as people write them, in UTC.
+//! Parses and formats wall-clock times in UTC.
 
 use pollendrift_coordination::base::WallTime;
 
@@ -10,41 +10,41 @@
 const EPOCH_DAYS: u64 = 719_468;
 const DAYS_PER_ERA: u64 = 146_097;
 
-/// Reads `2026-03-01T23:15:00Z`, with or without a fraction of the second, or milliseconds since
+/// Parses `2026-03-01T23:15:00Z`, with an optional fraction of a second, or milliseconds since
 /// 1970.
-pub(crate) fn read_time(text: &str) -> Result<WallTime, ToolFailure> {
+pub(crate) fn parse_time(text: &str) -> Result<WallTime, ToolFailure> {
     if let Ok(ms) = text.parse() {
         return Ok(WallTime(ms));
     }
-    read_utc(text).ok_or_else(|| ToolFailure::Refused {
+    parse_utc(text).ok_or_else(|| ToolFailure::Refused {
         reason: format!(
-            "{text} is no time; 2026-03-01T23:15:00Z or milliseconds since 1970 would be"
+            "invalid time {text}: expected 2026-03-01T23:15:00Z or milliseconds since 1970"
         ),
     })
 }
 
-/// Writes a time in UTC with milliseconds.
-pub(crate) fn write_time(time: WallTime) -> String {
+/// Formats a time in UTC with milliseconds.
+pub(crate) fn format_time(time: WallTime) -> String {
     let seconds = time.0 / MS_PER_SECOND;
-    let (year, month, day) = civil_of(seconds / SECONDS_PER_DAY);
+    let (year, month, day) = date_from_days(seconds / SECONDS_PER_DAY);
     let clock = seconds % SECONDS_PER_DAY;
     let (hour, minute, second) = (clock / 3_600, clock / 60 % 60, clock % 60);
     let ms = time.0 % MS_PER_SECOND;
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{ms:03}Z")
 }
 
-fn read_utc(text: &str) -> Option<WallTime> {
+fn parse_utc(text: &str) -> Option<WallTime> {
     let (date, clock) = text.strip_suffix('Z')?.split_once('T')?;
     let (clock, fraction) = clock.split_once('.').unwrap_or((clock, "0"));
-    let [year, month, day] = numbers(date, '-', [4, 2, 2])?;
-    let [hour, minute, second] = numbers(clock, ':', [2, 2, 2])?;
+    let [year, month, day] = parse_numbers(date, '-', [4, 2, 2])?;
+    let [hour, minute, second] = parse_numbers(clock, ':', [2, 2, 2])?;
     let in_range = year >= 1970 && hour < 24 && minute < 60 && second < 60;
     let digits = fraction.len() <= 9 && fraction.bytes().all(|byte| byte.is_ascii_digit());
     if !in_range || !digits {
         return None;
     }
-    let days = days_of(year, month, day);
-    if civil_of(days) != (year, month, day) {
+    let days = days_since_epoch(year, month, day);
+    if date_from_days(days) != (year, month, day) {
         return None;
     }
     let ms: u64 = format!("{fraction:0<3}").get(..3)?.parse().ok()?;
@@ -52,7 +52,7 @@
     Some(WallTime(seconds * MS_PER_SECOND + ms))
 }
 
-fn numbers(text: &str, separator: char, digits: [usize; 3]) -> Option<[u64; 3]> {
+fn parse_numbers(text: &str, separator: char, digits: [usize; 3]) -> Option<[u64; 3]> {
     let parts: Vec<&str> = text.split(separator).collect();
     let [first, second, third] = parts.as_slice() else {
         return None;
@@ -68,9 +68,9 @@
     ])
 }
 
-/// Days since 1970 of a date of the Gregorian calendar; years are counted from March, so that the
-/// leap day is the last of its year.
-fn days_of(year: u64, month: u64, day: u64) -> u64 {
+/// Days from 1970 to a date of the Gregorian calendar. Years start in March here, so that the leap
+/// day is the last day of its year.
+fn days_since_epoch(year: u64, month: u64, day: u64) -> u64 {
     let year = if month <= 2 { year - 1 } else { year };
     let (era, year_of_era) = (year / 400, year % 400);
     let day_of_year = (153 * ((month + 9) % 12) + 2) / 5 + day.saturating_sub(1);
@@ -78,7 +78,7 @@
     (era * DAYS_PER_ERA + day_of_era).saturating_sub(EPOCH_DAYS)
 }
 
-fn civil_of(days: u64) -> (u64, u64, u64) {
+fn date_from_days(days: u64) -> (u64, u64, u64) {
     let days = days + EPOCH_DAYS;
     let (era, day_of_era) = (days / DAYS_PER_ERA, days % DAYS_PER_ERA);
     let leaps = day_of_era / 1_460;
@@ -95,10 +95,11 @@
 mod tests {
     use pollendrift_coordination::base::WallTime;
 
-    use super::{read_time, write_time};
+    use super::{format_time, parse_time};
 
+    // Guards against wrong leap days, ignored fractions of a second and dates that do not exist.
     #[test]
-    fn times_are_read_and_written() {
+    fn valid_times_are_parsed_and_formatted_and_invalid_ones_refused() {
         let cases = [
             ("1970-01-01T00:00:00Z", Some(0)),
             ("2000-02-29T12:00:00.5Z", Some(951_825_600_500)),
@@ -114,11 +115,11 @@
             ("+026-01-01T00:00:00Z", None),
         ];
         for (text, expected) in cases {
-            let read = read_time(text).ok();
-            assert_eq!(read, expected.map(WallTime), "{text}");
+            let parsed = parse_time(text).ok();
+            assert_eq!(parsed, expected.map(WallTime), "{text}");
         }
         assert_eq!(
-            write_time(WallTime(951_825_600_500)),
+            format_time(WallTime(951_825_600_500)),
             "2000-02-29T12:00:00.500Z"
         );
     }
--- a/crates/pollenctl/tests/commands/apply.rs
+++ b/crates/pollenctl/tests/commands/apply.rs
@@ -1,8 +1,8 @@
-//! What an operator is told when daemons answer, refuse, disappear or lose the answer.
+//! Output of `apply` when daemons answer, refuse, are unreachable or close the connection.
 
 use std::fmt::Write;
 
-use crate::support::{Scripted, ScriptedDaemon, TestFile, pollenctl};
+use crate::support::{ScriptedDaemon, ScriptedReply, TestFile, pollenctl};
 
 const ACCEPTED: &str = r#"{"outcome":"accepted","revision":8,"warnings":[]}"#;
 const CONFLICT: &str = r#"{"outcome":"conflict","conflict":{"based_on":7,"current":9,"winner":null,
@@ -14,21 +14,25 @@
 const UNKNOWN: &str = r#"{"title":"no answer of the keepers","detail":"","outcome":"unknown"}"#;
 const NO_TOKEN: &str = r#"{"title":"no such token","detail":"","outcome":"not-run"}"#;
 
-fn answers(status: u16, body: &str) -> Scripted {
-    Scripted::Answer(status, body.to_owned())
+fn answers(status: u16, body: &str) -> ScriptedReply {
+    ScriptedReply::Answer(status, body.to_owned())
 }
 
-/// The first daemon follows the script of the case, the second that after the bar, on each of two
-/// rounds. Every try carries the same bytes, so a change that took effect at a lost answer does so
-/// once; `unknown` is said as soon as any try may have run and no daemon gave a final word.
+// Guards against a wrong outcome report after a lost answer: a change that took effect would be
+// reported as failed, or resent under other bytes and applied twice. Two daemons follow one script
+// each over two rounds; the outcome is unknown if any attempt may have run without a final answer.
 #[tokio::test]
-async fn an_operator_is_told_what_is_known() {
-    use Scripted::Lose;
-    let cases: Vec<(&str, Vec<Scripted>, Vec<Scripted>)> = vec![
-        ("accepted", vec![answers(200, ACCEPTED)], vec![Lose]),
+async fn apply_reports_whether_the_change_took_effect() {
+    use ScriptedReply::CloseConnection;
+    let cases: Vec<(&str, Vec<ScriptedReply>, Vec<ScriptedReply>)> = vec![
+        (
+            "accepted",
+            vec![answers(200, ACCEPTED)],
+            vec![CloseConnection],
+        ),
         (
             "answer lost, accepted by the resend",
-            vec![Lose],
+            vec![CloseConnection],
             vec![answers(200, ACCEPTED)],
         ),
         (
@@ -36,7 +40,11 @@
             vec![answers(503, NOT_RUN)],
             vec![answers(200, ACCEPTED)],
         ),
-        ("all answers lost", vec![Lose], vec![Lose]),
+        (
+            "all answers lost",
+            vec![CloseConnection],
+            vec![CloseConnection],
+        ),
         (
             "no quorum anywhere",
             vec![answers(503, NOT_RUN)],
@@ -52,21 +60,41 @@
             vec![answers(502, "bad gateway")],
             vec![answers(503, NOT_RUN)],
         ),
-        ("an error without proof", vec![answers(500, "")], vec![Lose]),
-        ("no token", vec![answers(401, NO_TOKEN)], vec![Lose]),
+        (
+            "an error without proof",
+            vec![answers(500, "")],
+            vec![CloseConnection],
+        ),
+        (
+            "no token",
+            vec![answers(401, NO_TOKEN)],
+            vec![CloseConnection],
+        ),
         (
             "answer lost, then no token",
-            vec![Lose],
+            vec![CloseConnection],
             vec![answers(401, NO_TOKEN)],
         ),
-        ("conflict", vec![answers(409, CONFLICT)], vec![Lose]),
+        (
+            "conflict",
+            vec![answers(409, CONFLICT)],
+            vec![CloseConnection],
+        ),
         (
             "conflict after a lost answer",
-            vec![Lose],
+            vec![CloseConnection],
             vec![answers(409, CONFLICT)],
         ),
-        ("refused", vec![answers(422, REFUSED)], vec![Lose]),
-        ("change id reused", vec![answers(409, REUSED)], vec![Lose]),
+        (
+            "refused",
+            vec![answers(422, REFUSED)],
+            vec![CloseConnection],
+        ),
+        (
+            "change id reused",
+            vec![answers(409, REUSED)],
+            vec![CloseConnection],
+        ),
     ];
     let file = TestFile::new(
         "apply.yaml",
@@ -79,7 +107,7 @@
             ScriptedDaemon::start(second).await,
         ];
         let servers = format!("{},{}", daemons[0].address, daemons[1].address);
-        let ran = pollenctl(&[
+        let result = pollenctl(&[
             "--servers",
             &servers,
             "apply",
@@ -88,19 +116,21 @@
             &file.path,
         ])
         .await;
-        let seen: Vec<String> = daemons.iter().flat_map(ScriptedDaemon::seen).collect();
+        let requests: Vec<String> = daemons.iter().flat_map(ScriptedDaemon::requests).collect();
         assert!(
-            seen.iter().all(|request| *request == seen[0]),
-            "{name}: {seen:?}"
+            requests.iter().all(|request| *request == requests[0]),
+            "{name}: {requests:?}"
         );
-        let notes = ran.notes.replace(&daemons[0].address.to_string(), "FIRST");
+        let notes = result
+            .notes
+            .replace(&daemons[0].address.to_string(), "FIRST");
         let notes = notes.replace(&daemons[1].address.to_string(), "SECOND");
         let _ = writeln!(
             report,
             "== {name}: exit {}, {} tries\n{}{notes}",
-            ran.exit,
-            seen.len(),
-            ran.out
+            result.exit,
+            requests.len(),
+            result.out
         );
     }
     insta::assert_snapshot!(report, @r#"
@@ -186,30 +216,35 @@
 
     == change id reused: exit 2, 1 tries
     change c1, based on revision 7
-    pollenctl: the change id stands for another change; leave --change-id out to draw a new one
+    pollenctl: the change id belongs to another change; omit --change-id to generate a new one
     "#);
 }
 
-/// A daemon that refuses the connection never saw the change, and a drawn id is never drawn again.
+// Guards against reporting an unknown outcome if no daemon accepts a connection, and against
+// generating the same change id for two changes.
 #[tokio::test]
-async fn nothing_reached_is_nothing_changed() {
+async fn apply_reports_no_change_if_no_daemon_is_reachable() {
     let unused = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = unused.local_addr().unwrap().to_string();
     drop(unused);
     let file = TestFile::new("unreached.yaml", "# revision: 0\n");
     let mut ids = Vec::new();
     for _ in 0..2 {
-        let ran = pollenctl(&["--servers", &address, "apply", &file.path]).await;
-        assert_eq!(ran.exit, 1, "{}", ran.notes);
-        assert!(ran.notes.contains("nothing was changed"), "{}", ran.notes);
-        ids.push(ran.notes.lines().next().unwrap().to_owned());
+        let result = pollenctl(&["--servers", &address, "apply", &file.path]).await;
+        assert_eq!(result.exit, 1, "{}", result.notes);
+        assert!(
+            result.notes.contains("nothing was changed"),
+            "{}",
+            result.notes
+        );
+        ids.push(result.notes.lines().next().unwrap().to_owned());
     }
     assert_ne!(ids[0], ids[1]);
 }
 
-/// Input that can't be meant is refused before any daemon is asked.
+// Guards against sending invalid input to a daemon instead of refusing it locally with exit code 2.
 #[tokio::test]
-async fn bad_input_is_refused_before_it_is_sent() {
+async fn invalid_input_is_refused_before_it_is_sent() {
     let bad = TestFile::new(
         "bad.yaml",
         "# revision: 7\nkind: selector\nname: s\n---\nkind: x\n",
@@ -238,22 +273,26 @@
     ];
     let mut report = String::new();
     for command in commands {
-        let ran = pollenctl(&[&server[..], &command[..]].concat()).await;
-        let words = command
+        let result = pollenctl(&[&server[..], &command[..]].concat()).await;
+        let arguments = command
             .join(" ")
             .replace(&bad.path, "BAD")
             .replace(&unmarked.path, "UNMARKED");
-        let notes = ran
+        let notes = result
             .notes
             .replace(&bad.path, "BAD")
             .replace(&unmarked.path, "UNMARKED");
-        let _ = writeln!(report, "== {words}: exit {}\n{}{notes}", ran.exit, ran.out);
+        let _ = writeln!(
+            report,
+            "== {arguments}: exit {}\n{}{notes}",
+            result.exit, result.out
+        );
     }
-    let ran = pollenctl(&["status"]).await;
+    let result = pollenctl(&["status"]).await;
     let _ = writeln!(
         report,
         "== without --servers: exit {}\n{}",
-        ran.exit, ran.notes
+        result.exit, result.notes
     );
     insta::assert_snapshot!(report, @r#"
     == check BAD: exit 2
@@ -274,18 +313,18 @@
     pollenctl: no-such-file.yaml: No such file or directory (os error 2)
 
     == in-force --at yesterday: exit 2
-    pollenctl: yesterday is no time; 2026-03-01T23:15:00Z or milliseconds since 1970 would be
+    pollenctl: invalid time yesterday: expected 2026-03-01T23:15:00Z or milliseconds since 1970
 
     == explain --customer c: exit 2
     pollenctl: give one of --model and --service
 
     == explain --customer c --model m --attribute x: exit 2
-    pollenctl: x is no attribute; KEY=VALUE is
+    pollenctl: invalid attribute x: expected KEY=VALUE
 
     == evidence verify no-such-file.yaml: exit 2
     pollenctl: no-such-file.yaml: No such file or directory (os error 2)
 
     == without --servers: exit 2
-    pollenctl: no daemon is named: give --servers HOST:PORT,... or set POLLENCTL_SERVERS
+    pollenctl: no daemon address is given: use --servers HOST:PORT,... or set POLLENCTL_SERVERS
     "#);
 }
--- a/crates/pollenctl/tests/commands/main.rs
+++ b/crates/pollenctl/tests/commands/main.rs
@@ -1,5 +1,5 @@
-//! Commands against a scripted daemon.
-#![allow(clippy::unwrap_used, reason = "a test that can not go on must stop")]
+//! Runs commands against daemons with scripted replies.
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 mod apply;
 mod secure;
--- a/crates/pollenctl/tests/commands/secure.rs
+++ b/crates/pollenctl/tests/commands/secure.rs
@@ -1,4 +1,4 @@
-//! Commands over TLS: the token goes only to a daemon whose certificate is signed as it must be.
+//! Commands over TLS: the token is sent only to a daemon with a trusted certificate.
 
 use std::fmt::Write;
 use std::sync::{Arc, Mutex};
@@ -18,7 +18,7 @@
     generate_simple_self_signed(vec![name.to_owned()]).unwrap()
 }
 
-/// A daemon that keeps what it was sent, and answers one request on each connection.
+/// Starts a TLS daemon that records requests and answers one on each connection.
 async fn secure_daemon(own: &CertifiedKey<KeyPair>) -> (String, Arc<Mutex<Vec<String>>>) {
     let key = PrivateKeyDer::try_from(own.signing_key.serialize_der()).unwrap();
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -31,8 +31,8 @@
     let acceptor = TlsAcceptor::from(Arc::new(config));
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = format!("https://{}", listener.local_addr().unwrap());
-    let seen = Arc::new(Mutex::new(Vec::new()));
-    let shared = seen.clone();
+    let requests = Arc::new(Mutex::new(Vec::new()));
+    let shared = requests.clone();
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
@@ -47,11 +47,13 @@
             stream.shutdown().await.unwrap();
         }
     });
-    (address, seen)
+    (address, requests)
 }
 
+// Guards against sending the operator's token to an impostor: a daemon whose certificate is signed
+// by another authority or issued for another name.
 #[tokio::test]
-async fn the_token_goes_only_to_a_daemon_that_is_known() {
+async fn the_token_is_sent_only_to_a_daemon_with_a_trusted_certificate() {
     let token = TestFile::new("token", "secret-token\n");
     let cases = [
         ("signed as it must be", "127.0.0.1", true),
@@ -64,8 +66,8 @@
         let other = certificate(subject);
         let trusted = if known { &own } else { &other };
         let ca = TestFile::new("ca.pem", &trusted.cert.pem());
-        let (address, seen) = secure_daemon(&own).await;
-        let ran = pollenctl(&[
+        let (address, requests) = secure_daemon(&own).await;
+        let result = pollenctl(&[
             "--servers",
             &address,
             "--token-file",
@@ -75,16 +77,16 @@
             "status",
         ])
         .await;
-        let requests = seen.lock().unwrap().clone();
+        let requests = requests.lock().unwrap().clone();
         let tokens = requests
             .iter()
             .filter(|request| request.contains("authorization: Bearer secret-token\r\n"))
             .count();
-        let out = ran.out.replace('\n', "");
+        let out = result.out.replace('\n', "");
         let _ = writeln!(
             report,
             "{name}: exit {}, {tokens} tokens seen {out}",
-            ran.exit
+            result.exit
         );
     }
     insta::assert_snapshot!(report, @r#"
--- a/crates/pollenctl/tests/commands/support.rs
+++ b/crates/pollenctl/tests/commands/support.rs
@@ -1,4 +1,4 @@
-//! A daemon that answers by a script, and a command run against it.
+//! A daemon with scripted replies, and helpers that run commands against it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -14,52 +14,52 @@
 use pollenctl::{RetrySettings, command_line, run};
 use tokio::net::TcpListener;
 
-/// What the daemon does with the next request.
+/// Reaction of the daemon to one request.
 #[derive(Clone, Debug)]
-pub(crate) enum Scripted {
-    /// It answers.
+pub(crate) enum ScriptedReply {
+    /// Answers with this status and body.
     Answer(u16, String),
-    /// It reads the request and closes the connection.
-    Lose,
+    /// Reads the request and closes the connection without an answer.
+    CloseConnection,
 }
 
-/// A daemon on an ephemeral port.
+/// Daemon with scripted replies on an ephemeral port.
 pub(crate) struct ScriptedDaemon {
     pub(crate) address: SocketAddr,
-    seen: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl ScriptedDaemon {
-    /// Starts a daemon that follows `script` and stays with its last step.
-    pub(crate) async fn start(script: Vec<Scripted>) -> Self {
+    /// Starts a daemon that follows `script` and repeats its last step.
+    pub(crate) async fn start(script: Vec<ScriptedReply>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let shared = seen.clone();
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let shared = requests.clone();
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                let (seen, script) = (shared.clone(), script.clone());
+                let (requests, script) = (shared.clone(), script.clone());
                 let service =
-                    service_fn(move |request| answer(request, seen.clone(), script.clone()));
+                    service_fn(move |request| answer(request, requests.clone(), script.clone()));
                 let connection =
                     http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 tokio::spawn(connection);
             }
         });
-        Self { address, seen }
+        Self { address, requests }
     }
 
-    /// Requests so far: method, path and body.
-    pub(crate) fn seen(&self) -> Vec<String> {
-        self.seen.lock().unwrap().clone()
+    /// Method, path and body of all received requests.
+    pub(crate) fn requests(&self) -> Vec<String> {
+        self.requests.lock().unwrap().clone()
     }
 }
 
 async fn answer(
     request: Request<Incoming>,
-    seen: Arc<Mutex<Vec<String>>>,
-    script: Vec<Scripted>,
+    requests: Arc<Mutex<Vec<String>>>,
+    script: Vec<ScriptedReply>,
 ) -> Result<Response<Full<Bytes>>, String> {
     let head = format!("{} {}", request.method(), request.uri());
     let body = request
@@ -69,43 +69,43 @@
         .map_err(|error| error.to_string())?;
     let body = String::from_utf8_lossy(&body.to_bytes()).into_owned();
     let number = {
-        let mut seen = seen.lock().map_err(|error| error.to_string())?;
-        seen.push(format!("{head} {body}"));
-        seen.len()
+        let mut requests = requests.lock().map_err(|error| error.to_string())?;
+        requests.push(format!("{head} {body}"));
+        requests.len()
     };
     match script.get(number - 1).or(script.last()) {
-        Some(Scripted::Answer(status, body)) => Response::builder()
+        Some(ScriptedReply::Answer(status, body)) => Response::builder()
             .status(*status)
             .body(Full::new(Bytes::from(body.clone())))
             .map_err(|error| error.to_string()),
-        Some(Scripted::Lose) | None => Err("closed by the script".to_owned()),
+        Some(ScriptedReply::CloseConnection) | None => Err("closed by the script".to_owned()),
     }
 }
 
-/// Exit code, output and notes of a command.
-pub(crate) struct Ran {
+/// Exit code, standard output and standard error of a command.
+pub(crate) struct CommandResult {
     pub(crate) exit: u8,
     pub(crate) out: String,
     pub(crate) notes: String,
 }
 
-/// Runs a command line.
-pub(crate) async fn pollenctl(arguments: &[&str]) -> Ran {
+/// Runs a command with two rounds and no back-off.
+pub(crate) async fn pollenctl(arguments: &[&str]) -> CommandResult {
     let line = command_line().run_inner(arguments).unwrap();
     let retry = RetrySettings {
         rounds: 2,
-        first_pause: Duration::ZERO,
+        base_backoff: Duration::ZERO,
     };
     let (mut out, mut notes) = (Vec::new(), Vec::new());
     let exit = run(line, &retry, &mut out, &mut notes).await;
-    Ran {
+    CommandResult {
         exit,
         out: String::from_utf8(out).unwrap(),
         notes: String::from_utf8(notes).unwrap(),
     }
 }
 
-/// A file that goes away with its guard.
+/// Temporary file, removed on drop.
 pub(crate) struct TestFile {
     pub(crate) path: String,
 }
--- a/crates/pollenctl/tests/commands/views.rs
+++ b/crates/pollenctl/tests/commands/views.rs
@@ -1,8 +1,8 @@
-//! What operators see of the configuration, its history and its effects.
+//! Output of the read-only commands.
 
 use std::fmt::Write;
 
-use crate::support::{Scripted, ScriptedDaemon, TestFile, pollenctl};
+use crate::support::{ScriptedDaemon, ScriptedReply, TestFile, pollenctl};
 use pollendrift_coordination::base::{Revision, WallTime};
 use pollendrift_coordination::configuration::{
     ChangeLog, ChangeRequest, ChangeRetention, ConfigurationView, DaemonRevision, ExplainBody,
@@ -10,7 +10,7 @@
 };
 use pollendrift_coordination::replicated::ReplicatedTime;
 
-fn changed_log() -> ChangeLog {
+fn log_with_two_changes() -> ChangeLog {
     let mut log = ChangeLog::new(ChangeRetention::default());
     for number in 0..2 {
         let text = format!(
@@ -31,16 +31,21 @@
     log
 }
 
-fn json<T>(value: &T) -> Vec<Scripted>
+fn json<T>(value: &T) -> Vec<ScriptedReply>
 where
     T: serde::Serialize,
 {
-    vec![Scripted::Answer(200, serde_json::to_string(value).unwrap())]
+    vec![ScriptedReply::Answer(
+        200,
+        serde_json::to_string(value).unwrap(),
+    )]
 }
 
+// Guards against a wrong path, query or body in the request of a read-only command, and against
+// an answer that is printed incompletely or with a wrong exit code.
 #[tokio::test]
-async fn views_are_written_for_people() {
-    let mut log = changed_log();
+async fn read_only_commands_send_the_right_request_and_print_readable_output() {
+    let mut log = log_with_two_changes();
     let body = ExplainBody {
         customer: "d".into(),
         model: Some("m".into()),
@@ -67,7 +72,7 @@
         "other.yaml",
         "kind: selector\nname: s\nmodel: m\norder: 5\n---\nkind: selector\nname: t\nservice: p\n",
     );
-    let cases: Vec<(Vec<&str>, Vec<Scripted>)> = vec![
+    let cases: Vec<(Vec<&str>, Vec<ScriptedReply>)> = vec![
         (
             vec!["get"],
             json(&ConfigurationView::of(&log, None).unwrap()),
@@ -112,7 +117,7 @@
         ),
         (
             vec!["dump"],
-            vec![Scripted::Answer(200, "not JSON".to_owned())],
+            vec![ScriptedReply::Answer(200, "not JSON".to_owned())],
         ),
         (
             vec![
@@ -131,7 +136,7 @@
         ),
         (
             vec!["get", "--revision", "99"],
-            vec![Scripted::Answer(
+            vec![ScriptedReply::Answer(
                 404,
                 r#"{"title":"not retained"}"#.to_owned(),
             )],
@@ -141,16 +146,16 @@
     for (command, script) in cases {
         let daemon = ScriptedDaemon::start(script).await;
         let address = daemon.address.to_string();
-        let ran = pollenctl(&[&["--servers", &address][..], &command[..]].concat()).await;
-        let words = command
+        let result = pollenctl(&[&["--servers", &address][..], &command[..]].concat()).await;
+        let arguments = command
             .join(" ")
             .replace(&same.path, "SAME")
             .replace(&other.path, "OTHER");
-        let asked = daemon.seen().join(" | ");
+        let requests = daemon.requests().join(" | ");
         let _ = writeln!(
             report,
-            "== {words}: exit {}\nasked: {asked}\n{}{}",
-            ran.exit, ran.out, ran.notes
+            "== {arguments}: exit {}\nasked: {requests}\n{}{}",
+            result.exit, result.out, result.notes
         );
     }
     insta::assert_snapshot!(report, @r#"
@@ -234,7 +239,7 @@
 
     == dump: exit 1
     asked: GET /operator/v1/dump 
-    pollenctl: the daemon's answer is not understood: expected ident at line 1 column 2
+    pollenctl: the daemon's answer is not valid JSON of the expected form: expected ident at line 1 column 2
 
     == evidence find --customer a&b --from 1970-01-01T00:00:01Z: exit 0
     asked: GET /operator/v1/evidence?customer=a%26b&from=1000&limit=100 
--- a/crates/pollenctl/tests/outer_requests.rs
+++ b/crates/pollenctl/tests/outer_requests.rs
@@ -69,7 +69,7 @@
     let line = command_line().run_inner([&options[..], command].concat().as_slice());
     let retry = RetrySettings {
         rounds: 1,
-        first_pause: Duration::ZERO,
+        base_backoff: Duration::ZERO,
     };
     let (mut out, mut notes) = (Vec::new(), Vec::new());
     let runtime = run(line.expect("is understood"), &retry, &mut out, &mut notes);
