--- a/crates/daemon/tests/hosts/claims.rs
+++ b/crates/daemon/tests/hosts/claims.rs
@@ -69,7 +69,7 @@
 async fn a_call_with_a_lost_answer_stays_unknown_and_is_not_run_again() {
     let group = HostGroup::start(3, 3).await;
     let service = start_portal(&group).await;
-    service.cut_before_answer(true);
+    service.disconnect_before_answer(true);
     let mut seen = Vec::new();
     for entry in [0, 1] {
         let outcome = caller(&group, entry)
@@ -77,7 +77,7 @@
             .await;
         seen.push(format!("cut, entry {entry}: {}", outcome_kind(&outcome)));
     }
-    service.cut_before_answer(false);
+    service.disconnect_before_answer(false);
     let outcome = caller(&group, 2)
         .post("portal", "filings", "key-2", "a")
         .await;
--- a/crates/daemon/tests/hosts/drafts.rs
+++ b/crates/daemon/tests/hosts/drafts.rs
@@ -83,7 +83,7 @@
         }),
         ("swapped tokens", |engine| engine.faults().swap_tokens(true)),
         ("cut in the middle", |engine| {
-            engine.faults().cut_after_tokens(7)
+            engine.faults().disconnect_after_tokens(7)
         }),
         ("silent in the middle", |engine| {
             engine.faults().stall_after_tokens(7)
@@ -123,7 +123,7 @@
 fn reset(engine: &EngineServer) {
     engine.faults().duplicate_tokens(false);
     engine.faults().swap_tokens(false);
-    engine.faults().cut_after_tokens(0);
+    engine.faults().disconnect_after_tokens(0);
     engine.faults().stall_after_tokens(0);
     engine.faults().skip_layer(false);
 }
@@ -204,7 +204,7 @@
 async fn a_draft_with_progress_survives_more_failures_than_the_attempt_limit() {
     let host = OneHost::start(24).await;
     for engine in host.engines.iter().step_by(4) {
-        engine.faults().cut_after_tokens(4);
+        engine.faults().disconnect_after_tokens(4);
     }
     insta::assert_snapshot!(host.draft_result().await, @"whole");
 }
--- a/crates/daemon/tests/hosts/evidence.rs
+++ b/crates/daemon/tests/hosts/evidence.rs
@@ -7,7 +7,7 @@
 use pollendrift_standins::engine::{EngineServer, EngineSettings};
 use pollendrift_standins::fleet::{ModelShape, mixed_engines};
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, OPERATOR_TOKEN, loopback};
-use pollendrift_standins::load::{LoadPlan, SentRequest, inspect, run_load};
+use pollendrift_standins::load::{LoadPlan, SentRequest, compare_with_evidence, run_load};
 use pollendrift_standins::service::PlainService;
 
 use crate::support::HostGroup;
@@ -16,14 +16,14 @@
     LoadPlan {
         entries: group.entries(),
         token: CUSTOMER_TOKEN.to_owned(),
-        drafters: 6,
-        clerks: 2,
+        draft_callers: 6,
+        service_callers: 2,
         duration: Duration::from_millis(600),
         max_tokens: 8,
         prompt_words: 4,
         shape: ModelShape::default(),
         seed: 11,
-        run: run.to_owned(),
+        id_prefix: run.to_owned(),
     }
 }
 
@@ -57,8 +57,8 @@
 
 /// Numbers of requests that are missing or wrong in one host's export, which is made immediately.
 async fn evidence_errors(group: &HostGroup, sent: &[SentRequest], host: usize) -> (usize, usize) {
-    let report = inspect(sent, &export(group, host).await).unwrap();
-    (report.missing.len(), report.untrue.len())
+    let report = compare_with_evidence(sent, &export(group, host).await).unwrap();
+    (report.missing.len(), report.contradicted.len())
 }
 
 // Guards against responses that are missing from the evidence. One entry, not a keeper, crashes
--- a/crates/daemon/tests/hosts/placement.rs
+++ b/crates/daemon/tests/hosts/placement.rs
@@ -29,7 +29,7 @@
 }
 
 fn served_span(engine: &EngineServer) -> String {
-    let served = engine.served();
+    let served = engine.current_offer();
     format!(
         "{} {}..{}",
         served.version, served.layers.first, served.layers.end
--- a/crates/daemon/tests/hosts/resumes.rs
+++ b/crates/daemon/tests/hosts/resumes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pollendrift_standins::caller::{DraftAsk, DraftCaller};
+use pollendrift_standins::caller::{DraftCaller, DraftParameters};
 use pollendrift_standins::engine::{EngineServer, EngineSettings};
 use pollendrift_standins::fleet::{ModelShape, mixed_engines};
 use pollendrift_standins::harness::{CUSTOMER_TOKEN, loopback};
@@ -46,19 +46,19 @@
     let mut seen = Vec::new();
     for other in [0, 1, 2] {
         let id = format!("draft-{other}");
-        let ask = DraftAsk {
+        let parameters = DraftParameters {
             model: &shape.model,
             prompt: PROMPT,
             max_tokens: TOKENS,
             id: Some(&id),
-            last: None,
+            last_position: None,
         };
         let mut token_count = 0;
         let first_caller = caller(&group, 3);
         let first = {
             let group = &mut group;
             first_caller
-                .read(&ask, |_| {
+                .stream(&parameters, |_| {
                     token_count += 1;
                     if token_count == 9 {
                         group.crash(3);
@@ -67,33 +67,39 @@
                 .await
                 .unwrap()
         };
-        let last = first.positions.last().copied();
+        let last_position = first.positions.last().copied();
         let rest = caller(&group, other)
-            .read(&DraftAsk { last, ..ask }, |_| {})
+            .stream(
+                &DraftParameters {
+                    last_position,
+                    ..parameters
+                },
+                |_| {},
+            )
             .await
             .unwrap();
         let resumed = rest.texts.len();
-        let cut = first.is_cut();
+        let cut = first.is_interrupted();
         let mut answer = first;
-        answer.go_on_with(rest, Duration::ZERO);
+        answer.append_resumed(rest, Duration::ZERO);
         let result = answer.check(&expected);
         seen.push(format!(
             "entry {other}: cut {}, went on {}, {result:?}",
             cut,
             resumed > 0
         ));
-        let foreign = DraftAsk {
+        let foreign = DraftParameters {
             prompt: "another draft",
-            last,
-            ..ask
+            last_position,
+            ..parameters
         };
-        let beyond = DraftAsk {
-            last: Some(30_000),
-            ..ask
+        let beyond = DraftParameters {
+            last_position: Some(30_000),
+            ..parameters
         };
-        for (name, ask) in [("foreign", foreign), ("beyond", beyond)] {
+        for (name, parameters) in [("foreign", foreign), ("beyond", beyond)] {
             let refusal = caller(&group, other)
-                .read(&ask, |_| {})
+                .stream(&parameters, |_| {})
                 .await
                 .unwrap()
                 .refusal
--- a/crates/daemon/tests/hosts/stops.rs
+++ b/crates/daemon/tests/hosts/stops.rs
@@ -16,7 +16,7 @@
         .unwrap();
     service.announce(group.entries(), 1, "dc-a");
     group.wait_servers(1).await;
-    service.hold(true);
+    service.hold_answers(true);
     let caller = ServiceCaller::new(&group.entry(3), CUSTOMER_TOKEN);
     let running = caller.clone();
     let sent = tokio::spawn(async move { running.post("portal", "filings", "held", "a").await });
@@ -31,7 +31,7 @@
         caller.post("portal", "filings", "late", "a").await,
         CallOutcome::NotRun(_) | CallOutcome::NotSent(_)
     );
-    service.hold(false);
+    service.hold_answers(false);
     let answered = matches!(sent.await.unwrap(), CallOutcome::Answered(_));
     let finished = stopped.await.unwrap();
     let late = service.runs().get("late").copied().unwrap_or(0);
--- a/crates/standins/examples/evidence_cost/main.rs
+++ b/crates/standins/examples/evidence_cost/main.rs
@@ -141,21 +141,21 @@
     let plan = LoadPlan {
         entries,
         token: CUSTOMER_TOKEN.to_owned(),
-        drafters: options.drafters,
-        clerks: options.clerks,
+        draft_callers: options.drafters,
+        service_callers: options.clerks,
         duration: Duration::from_secs(options.seconds),
         max_tokens: 32,
         prompt_words: 24,
         shape: ModelShape::default(),
         seed: turn,
-        run: format!("cost-{turn}"),
+        id_prefix: format!("cost-{turn}"),
     };
     let report = run_load(&plan).await;
     seen(&report)
 }
 
 fn seen(report: &LoadReport) -> Result<Turn, Box<dyn Error>> {
-    if report.wrong + report.incomplete > 0 || report.whole == 0 {
+    if report.wrong + report.incomplete > 0 || report.complete == 0 {
         return Err(format!("the load did not go through:\n{report}").into());
     }
     let answered = f64::from(u32::try_from(report.calls.answered)?);
--- a/crates/standins/examples/inspect/main.rs
+++ b/crates/standins/examples/inspect/main.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use bpaf::Bpaf;
-use pollendrift_standins::load::{InspectionReport, SentRequest, inspect};
+use pollendrift_standins::load::{EvidenceComparison, SentRequest, compare_with_evidence};
 
 /// Compares the requests that a load sent with an export of evidence.
 #[derive(Clone, Debug, Bpaf)]
@@ -26,7 +26,7 @@
     match run(&inspect_options().run()) {
         Ok(report) => {
             print!("{report}");
-            if report.holds() {
+            if report.is_consistent() {
                 return ExitCode::SUCCESS;
             }
             ExitCode::FAILURE
@@ -38,13 +38,13 @@
     }
 }
 
-fn run(options: &InspectOptions) -> Result<InspectionReport, Box<dyn Error>> {
+fn run(options: &InspectOptions) -> Result<EvidenceComparison, Box<dyn Error>> {
     let mut sent = Vec::new();
     for file in &options.sent {
         sent.extend(read_sent(file)?);
     }
     let export = std::fs::read_to_string(&options.export)?;
-    Ok(inspect(&sent, &export)?)
+    Ok(compare_with_evidence(&sent, &export)?)
 }
 
 fn read_sent(file: &Path) -> Result<Vec<SentRequest>, Box<dyn Error>> {
--- a/crates/standins/examples/load/main.rs
+++ b/crates/standins/examples/load/main.rs
@@ -72,14 +72,14 @@
     let plan = LoadPlan {
         entries: options.entry.clone(),
         token: options.token.clone(),
-        drafters: options.drafters,
-        clerks: options.clerks,
+        draft_callers: options.drafters,
+        service_callers: options.clerks,
         duration: Duration::from_secs(options.seconds),
         max_tokens: options.tokens,
         prompt_words: 24,
         shape: shape.clone(),
         seed: options.seed,
-        run: format!("load-{:x}", fresh_incarnation()),
+        id_prefix: format!("load-{:x}", fresh_incarnation()),
     };
     let report = tokio::select! {
         report = run_load(&plan) => report,
--- a/crates/standins/src/announcer.rs
+++ b/crates/standins/src/announcer.rs
@@ -1,4 +1,4 @@
-//! Announces a backend server to the entries, one after the other, as a balancer would.
+//! Announces a backend server to the entries in turn, as through a load balancer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use pollendrift_http::HttpClient;
 use tokio::sync::watch;
 
-/// Path that entries take announcements on.
+/// Path of announcements at an entry.
 pub const ANNOUNCEMENT_PATH: &str = "/backend/v1/announcements";
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// Who announces, and to whom.
+/// Identity of the announcing server, and the entries to announce it to.
 #[derive(Clone, Debug)]
 pub struct AnnouncerSettings {
     /// `ip:port` of every entry.
     pub entries: Vec<String>,
     /// Name of the server.
     pub server: String,
-    /// Life of the server's process.
+    /// Incarnation of the server's process.
     pub incarnation: u64,
     /// Data centre of the server.
     pub data_centre: String,
@@ -29,15 +29,15 @@
     pub checks_fencing: bool,
 }
 
-/// Reads the server's present offer and load.
+/// Source of the server's current offer and load.
 pub trait OfferSource: Send + Sync + 'static {
-    /// What is offered now.
+    /// Current offer.
     fn offer(&self) -> ServerOffer;
-    /// Load now.
+    /// Current load.
     fn load(&self) -> ServerLoad;
 }
 
-/// A running announcer; dropping it falls silent without saying goodbye.
+/// A running announcer; dropping it stops the announcements without a `Leaving` state.
 #[derive(Debug)]
 pub struct ServerAnnouncer {
     leaving: watch::Sender<bool>,
@@ -45,18 +45,18 @@
 }
 
 impl ServerAnnouncer {
-    /// Starts to announce `address`.
+    /// Starts to announce `address` as the address of the server.
     pub fn start(
         settings: AnnouncerSettings,
         address: String,
         source: Arc<dyn OfferSource>,
     ) -> Self {
-        let (leaving, leave) = watch::channel(false);
-        let task = tokio::spawn(announce_loop(settings, address, source, leave));
+        let (leaving, leaving_receiver) = watch::channel(false);
+        let task = tokio::spawn(announce_loop(settings, address, source, leaving_receiver));
         Self { leaving, task }
     }
 
-    /// Announces from now on that the server is leaving.
+    /// Sets the announced state to `Leaving` and announces it at once.
     pub fn leave(&self) {
         let _ = self.leaving.send(true);
     }
@@ -72,13 +72,13 @@
     settings: AnnouncerSettings,
     address: String,
     source: Arc<dyn OfferSource>,
-    mut leave: watch::Receiver<bool>,
+    mut leaving: watch::Receiver<bool>,
 ) {
     let client = HttpClient::new(MAX_REPLY_BYTES);
     let mut sequence = 0_u64;
     loop {
         sequence += 1;
-        let state = if *leave.borrow() {
+        let state = if *leaving.borrow() {
             AnnouncementState::Leaving
         } else {
             AnnouncementState::Serving
@@ -97,7 +97,7 @@
         let pause = announce_once(&client, &settings.entries, sequence, &announcement).await;
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            changed = leave.changed() => if changed.is_err() { return },
+            changed = leaving.changed() => if changed.is_err() { return },
         }
     }
 }
@@ -109,8 +109,8 @@
     announcement: &Announcement,
 ) -> Duration {
     let count = entries.len().max(1);
-    let turn = usize::try_from(sequence).unwrap_or(0) % count;
-    let Some(entry) = entries.get(turn) else {
+    let index = usize::try_from(sequence).unwrap_or(0) % count;
+    let Some(entry) = entries.get(index) else {
         return RETRY_PAUSE;
     };
     let reply = client
--- a/crates/standins/src/caller.rs
+++ b/crates/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of drafts that checks what it is told.
+//! A caller that streams drafts and checks the answers.
 
 use std::time::Duration;
 
@@ -16,52 +16,53 @@
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// What was wrong with an answer.
+/// Error in an answer.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum AnswerFault {
+pub enum AnswerError {
     /// The request was refused.
     #[display("refused: {detail}")]
     Refused {
-        /// The refusal's words.
+        /// Detail of the refusal.
         detail: String,
     },
-    /// The stream ended without saying that the answer is complete.
+    /// The stream ended before its last event.
     #[display("ended after {tokens} tokens without its last event")]
     Incomplete {
-        /// Tokens that came.
+        /// Received tokens.
         tokens: usize,
     },
-    /// A token differs from what the whole pipeline gives.
-    #[display("token {position} differs from what all layers in order give")]
+    /// A token differs from the output of the complete pipeline.
+    #[display("token {position} differs from the output of all layers in order")]
     WrongToken {
         /// Position of the first token that differs.
         position: usize,
     },
 }
 
-/// What came back for one draft.
+/// Answer to one draft.
 #[derive(Clone, Debug, Default)]
 pub struct DraftReply {
     /// Texts of the tokens in order of arrival.
     pub texts: Vec<String>,
-    /// Positions that the events named.
+    /// Positions in the events, in order of arrival.
     pub positions: Vec<u32>,
-    /// Times from the send to each token.
+    /// Time from sending the request to the arrival of each token.
     pub arrivals: Vec<Duration>,
-    /// Whether the last event said complete.
+    /// Whether the last event (`[DONE]`) arrived.
     pub complete: bool,
-    /// The refusal or the error event, if one came.
+    /// The refusal or error event, if any.
     pub refusal: Option<ProblemReport>,
 }
 
 impl DraftReply {
-    /// Whether the stream broke off, so that it may go on at another entry.
-    pub fn is_cut(&self) -> bool {
+    /// Whether the stream ended without a last event or an error, so that another entry can resume
+    /// it.
+    pub fn is_interrupted(&self) -> bool {
         !self.complete && self.refusal.is_none()
     }
 
-    /// Adds what came after the stream went on, `offset` after the first send.
-    pub fn go_on_with(&mut self, rest: Self, offset: Duration) {
+    /// Appends a resumed stream whose request was sent `offset` after the first one.
+    pub fn append_resumed(&mut self, rest: Self, offset: Duration) {
         self.texts.extend(rest.texts);
         self.positions.extend(rest.positions);
         self.arrivals
@@ -70,31 +71,31 @@
         self.refusal = rest.refusal;
     }
 
-    /// Compares the reply with the tokens that a whole pipeline gives.
+    /// Compares the reply with the expected tokens of the complete pipeline.
     ///
     /// # Errors
-    /// The first fault.
-    pub fn check(&self, expected: &[u64]) -> Result<(), AnswerFault> {
+    /// The first error found.
+    pub fn check(&self, expected: &[u64]) -> Result<(), AnswerError> {
         if let Some(refusal) = &self.refusal {
-            return Err(AnswerFault::Refused {
+            return Err(AnswerError::Refused {
                 detail: refusal.detail.clone(),
             });
         }
         if !self.complete || self.texts.len() < expected.len() {
-            return Err(AnswerFault::Incomplete {
+            return Err(AnswerError::Incomplete {
                 tokens: self.texts.len(),
             });
         }
         for (index, text) in self.texts.iter().enumerate() {
-            let fits = expected
+            let text_matches = expected
                 .get(index)
                 .is_some_and(|token| token_text(*token) == *text);
-            let placed = self
+            let position_matches = self
                 .positions
                 .get(index)
                 .is_some_and(|position| usize::try_from(*position) == Ok(index));
-            if !fits || !placed {
-                return Err(AnswerFault::WrongToken { position: index });
+            if !text_matches || !position_matches {
+                return Err(AnswerError::WrongToken { position: index });
             }
         }
         Ok(())
@@ -113,25 +114,25 @@
     finish_reason: Option<String>,
 }
 
-/// A draft that is asked for.
+/// Parameters of one draft.
 #[derive(Clone, Copy, Debug)]
-pub struct DraftAsk<'ask> {
-    /// Model.
-    pub model: &'ask str,
-    /// Prompt.
-    pub prompt: &'ask str,
-    /// Tokens at most.
+pub struct DraftParameters<'draft> {
+    /// Name of the model.
+    pub model: &'draft str,
+    /// Text of the prompt.
+    pub prompt: &'draft str,
+    /// Maximum number of tokens.
     pub max_tokens: u32,
-    /// Request id; the entry gives one if absent.
-    pub id: Option<&'ask str>,
-    /// Last position that the caller holds.
-    pub last: Option<u32>,
+    /// Request id; the entry generates one if absent.
+    pub id: Option<&'draft str>,
+    /// Last position received so far, if the draft is resumed.
+    pub last_position: Option<u32>,
 }
 
-/// Header that names the last event that a caller holds.
+/// Header with the id of the last event that the caller received.
 const LAST_EVENT_HEADER: &str = "last-event-id";
 
-/// Sends drafts to one entry as one customer.
+/// Client that sends drafts to one entry as one customer.
 #[derive(Clone, Debug)]
 pub struct DraftCaller {
     client: HttpClient,
@@ -141,7 +142,7 @@
 }
 
 impl DraftCaller {
-    /// A caller of `entry` (`ip:port`) with a bearer token.
+    /// Creates a caller of `entry` (`ip:port`) with a bearer token.
     pub fn new(entry: &str, token: &str) -> Self {
         Self {
             client: HttpClient::new(MAX_ANSWER_BYTES),
@@ -151,16 +152,17 @@
         }
     }
 
-    /// Sends `id` with each draft, as its `x-request-id`.
+    /// Sets the `x-request-id` of drafts without an id of their own.
     pub fn with_request_id(mut self, id: &str) -> Self {
         self.request_id = Some(id.to_owned());
         self
     }
 
-    /// Streams one draft; `show` gets each token's text as it comes.
+    /// Streams one new draft and calls `show` with the text of each token on arrival.
     ///
     /// # Errors
-    /// The entry could not be reached or broke off before its first byte.
+    /// The entry is unreachable, or the connection ended before a complete response head or
+    /// refusal.
     pub async fn draft<F>(
         &self,
         model: &str,
@@ -171,26 +173,31 @@
     where
         F: FnMut(&str),
     {
-        let ask = DraftAsk {
+        let parameters = DraftParameters {
             model,
             prompt,
             max_tokens,
             id: None,
-            last: None,
+            last_position: None,
         };
-        self.read(&ask, show).await
+        self.stream(&parameters, show).await
     }
 
-    /// Streams a draft under `id`, from the event after `last` if the caller holds a part of it.
+    /// Streams a draft, from the event after `last_position` if that is set.
     ///
     /// # Errors
-    /// The entry could not be reached or broke off before its first byte.
-    pub async fn read<F>(&self, ask: &DraftAsk<'_>, show: F) -> Result<DraftReply, ClientError>
+    /// The entry is unreachable, or the connection ended before a complete response head or
+    /// refusal.
+    pub async fn stream<F>(
+        &self,
+        parameters: &DraftParameters<'_>,
+        show: F,
+    ) -> Result<DraftReply, ClientError>
     where
         F: FnMut(&str),
     {
         let sent_at = Instant::now();
-        let response = self.client.send(self.request(ask)?).await?;
+        let response = self.client.send(self.request(parameters)?).await?;
         let mut reply = DraftReply::default();
         if !response.status().is_success() {
             let body = self.client.read(response).await?;
@@ -206,22 +213,25 @@
         Ok(reply)
     }
 
-    fn request(&self, ask: &DraftAsk<'_>) -> Result<Request<Full<Bytes>>, ClientError> {
+    fn request(
+        &self,
+        parameters: &DraftParameters<'_>,
+    ) -> Result<Request<Full<Bytes>>, ClientError> {
         let not_sent = |reason: String| ClientError::NotSent { reason };
         let body = CompletionRequest {
-            model: ask.model.to_owned(),
-            prompt: ask.prompt.to_owned(),
-            max_tokens: Some(ask.max_tokens),
+            model: parameters.model.to_owned(),
+            prompt: parameters.prompt.to_owned(),
+            max_tokens: Some(parameters.max_tokens),
             stream: Some(true),
             adapter: None,
         };
         let body = serde_json::to_vec(&body).map_err(|error| not_sent(error.to_string()))?;
         let mut request = Request::post(format!("http://{}/v1/completions", self.entry))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token));
-        if let Some(id) = ask.id.or(self.request_id.as_deref()) {
+        if let Some(id) = parameters.id.or(self.request_id.as_deref()) {
             request = request.header(REQUEST_ID_HEADER, id);
         }
-        if let Some(last) = ask.last {
+        if let Some(last) = parameters.last_position {
             request = request.header(LAST_EVENT_HEADER, last);
         }
         request
@@ -238,7 +248,7 @@
 ) where
     F: FnMut(&str),
 {
-    // A broken stream leaves `complete` false, which is what the check looks at.
+    // A broken stream leaves `complete` false, which `check` reports as incomplete.
     while let Ok(Some(line)) = lines.next_line().await {
         let Some(data) = line.strip_prefix(b"data: ") else {
             continue;
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,10 +1,10 @@
-//! A model engine that holds a range of layers and runs it as one stage of a pipeline.
+//! A stand-in model engine that serves a range of layers as one stage of a pipeline.
 
 mod cache;
+mod capacity;
 mod fault;
 mod handler;
 mod order;
-mod pace;
 mod sequence;
 mod step;
 
@@ -19,66 +19,66 @@
 
 use crate::announcer::{AnnouncerSettings, OfferSource, ServerAnnouncer};
 use cache::SequenceTable;
+use capacity::ComputeCapacity;
 use order::OrderState;
-use pace::EnginePace;
 
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What a stand-in engine is.
+/// Settings of a stand-in engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Name of the backend server.
     pub server: String,
-    /// What it announces and how fast it runs.
+    /// Announced offer; its rates also set the speed of the engine.
     pub offer: EngineOffer,
 }
 
-/// State that all handlers of one engine share.
+/// State shared by all handlers of one engine.
 #[derive(Debug)]
 pub(crate) struct EngineContext {
     pub(crate) server: String,
-    /// What is served and announced now; a load replaces it.
+    /// Offer that is served and announced; an executed order replaces it.
     offer: Mutex<Arc<EngineOffer>>,
     pub(crate) orders: Mutex<OrderState>,
     pub(crate) sequences: SequenceTable,
-    pub(crate) pace: EnginePace,
+    pub(crate) capacity: ComputeCapacity,
     pub(crate) faults: FaultPlan,
     pub(crate) client: HttpClient,
 }
 
 impl EngineContext {
-    /// What is served now.
-    pub(crate) fn served(&self) -> Arc<EngineOffer> {
+    /// Offer that is currently served.
+    pub(crate) fn current_offer(&self) -> Arc<EngineOffer> {
         Arc::clone(&lock(&self.offer))
     }
 
-    /// Serves `offer` from now on.
-    pub(crate) fn serve(&self, offer: EngineOffer) {
+    /// Replaces the served offer.
+    pub(crate) fn set_offer(&self, offer: EngineOffer) {
         *lock(&self.offer) = Arc::new(offer);
     }
 }
 
-/// Locks what no panic can leave half changed.
-pub(crate) fn lock<T>(held: &Mutex<T>) -> MutexGuard<'_, T> {
-    held.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex and ignores poisoning: no panic can leave its data inconsistent.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl OfferSource for EngineContext {
     fn offer(&self) -> ServerOffer {
-        ServerOffer::Engine(self.served().as_ref().clone())
+        ServerOffer::Engine(self.current_offer().as_ref().clone())
     }
 
     fn load(&self) -> ServerLoad {
         ServerLoad {
-            running: self.pace.running(),
-            queued: self.pace.queued(),
-            prefill_tokens: self.pace.prefill_tokens(),
+            running: self.capacity.running(),
+            queued: self.capacity.queued(),
+            prefill_tokens: self.capacity.prefill_tokens(),
             kv_used_tokens: self.sequences.used_tokens(),
         }
     }
 }
 
-/// A running engine; dropping it cuts every connection, as a crash does.
+/// A running engine; dropping it closes every connection, as a crash does.
 #[derive(Debug)]
 pub struct EngineServer {
     server: HttpServer,
@@ -92,13 +92,13 @@
     /// # Errors
     /// The address can't be bound.
     pub async fn start(settings: EngineSettings, address: SocketAddr) -> io::Result<Self> {
-        let pace = EnginePace::new(&settings.offer);
+        let capacity = ComputeCapacity::new(&settings.offer);
         let context = Arc::new(EngineContext {
             server: settings.server,
             offer: Mutex::new(Arc::new(settings.offer)),
             orders: Mutex::default(),
             sequences: SequenceTable::default(),
-            pace,
+            capacity,
             faults: FaultPlan::default(),
             client: HttpClient::new(MAX_BODY_BYTES),
         });
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Starts to announce this engine to `entries`.
+    /// Starts announcing this engine to `entries` (`ip:port`).
     pub fn announce(&mut self, entries: Vec<String>, incarnation: u64, data_centre: &str) {
         let settings = AnnouncerSettings {
             entries,
@@ -128,7 +128,7 @@
         ));
     }
 
-    /// Announces from now on that the engine is leaving.
+    /// Sets the announced state to `Leaving` and announces it at once.
     pub fn leave(&self) {
         if let Some(announcer) = &self.announcer {
             announcer.leave();
@@ -140,17 +140,17 @@
         self.server.address()
     }
 
-    /// Faults to bring about, changeable while the engine runs.
+    /// Injected faults, which can change while the engine runs.
     pub fn faults(&self) -> &FaultPlan {
         &self.context.faults
     }
 
-    /// What the engine serves now.
-    pub fn served(&self) -> Arc<EngineOffer> {
-        self.context.served()
+    /// Offer that the engine currently serves.
+    pub fn current_offer(&self) -> Arc<EngineOffer> {
+        self.context.current_offer()
     }
 
-    /// Sequences whose KV the engine holds.
+    /// Number of sequences whose KV state the engine holds.
     pub fn open_sequences(&self) -> usize {
         self.context.sequences.len()
     }
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! KV state of the sequences that an engine holds.
+//! KV state of the sequences in an engine.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -8,9 +8,10 @@
 
 use crate::token::{SpanCache, StandInWeights};
 
-/// One sequence's state in this engine.
+/// State of one sequence in this engine.
 ///
-/// Invariant: `downstream_have` never passes the positions of `span`.
+/// `downstream_have` is the number of positions whose KV the next stage (`downstream`) has.
+/// Invariant: it is at most the number of positions in `span`.
 #[derive(Debug)]
 pub(crate) struct SequenceState {
     pub(crate) attempt: u32,
@@ -19,21 +20,21 @@
     pub(crate) downstream: String,
 }
 
-/// A sequence that one step at a time may change.
+/// A sequence that only one step at a time changes.
 #[derive(Debug)]
 pub(crate) struct SharedSequence {
-    newest: AtomicU32,
+    newest_attempt: AtomicU32,
     state: tokio::sync::Mutex<SequenceState>,
 }
 
 impl SharedSequence {
-    /// Waits for the step before to end.
+    /// Waits for the previous step to end.
     pub(crate) async fn lock(&self) -> tokio::sync::MutexGuard<'_, SequenceState> {
         self.state.lock().await
     }
 
     fn newest_attempt(&self) -> u32 {
-        self.newest.load(Ordering::Relaxed)
+        self.newest_attempt.load(Ordering::Relaxed)
     }
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl SequenceTable {
-    /// The sequence of `request`, made with an empty cache if it is not held.
+    /// Returns the sequence of `request`; creates it with an empty cache if absent.
     pub(crate) fn open(
         &self,
         request: &str,
@@ -61,23 +62,25 @@
                 downstream: String::new(),
             };
             Arc::new(SharedSequence {
-                newest: AtomicU32::new(attempt),
+                newest_attempt: AtomicU32::new(attempt),
                 state: tokio::sync::Mutex::new(state),
             })
         });
-        sequence.newest.fetch_max(attempt, Ordering::Relaxed);
+        sequence
+            .newest_attempt
+            .fetch_max(attempt, Ordering::Relaxed);
         Arc::clone(sequence)
     }
 
-    /// Forgets the sequence of `request`, unless a newer attempt holds it.
+    /// Removes the sequence of `request`, unless a newer attempt uses it.
     ///
-    /// A replaced attempt releases late, when the next one already runs over the same stages;
-    /// without the attempt's number it would take the KV from under its successor.
+    /// The release of a replaced attempt can arrive when the next attempt already runs over the
+    /// same stages. Without the check of the attempt number it would delete that attempt's KV state.
     pub(crate) fn release(&self, request: &str, attempt: u32) {
         let mut sequences = self.lock();
         let replaced = sequences
             .get(request)
-            .is_some_and(|held| held.newest_attempt() > attempt);
+            .is_some_and(|sequence| sequence.newest_attempt() > attempt);
         if !replaced {
             sequences.remove(request);
         }
@@ -87,13 +90,13 @@
         self.lock().len()
     }
 
-    /// Tokens of KV in use; sequences in the middle of a step are left out.
+    /// KV tokens in use, without sequences that are running a step.
     pub(crate) fn used_tokens(&self) -> u64 {
         let sequences = self.lock();
-        let held = sequences
+        let used = sequences
             .values()
             .filter_map(|sequence| Some(sequence.state.try_lock().ok()?.span.len()));
-        u64::try_from(held.sum::<usize>()).unwrap_or(u64::MAX)
+        u64::try_from(used.sum::<usize>()).unwrap_or(u64::MAX)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, BTreeMap<String, Arc<SharedSequence>>> {
--- a/crates/standins/src/engine/fault.rs
+++ b/crates/standins/src/engine/fault.rs
@@ -1,13 +1,13 @@
-//! Faults that a stand-in engine brings about on request.
+//! Faults that a test can inject into a stand-in engine.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Faults in force; all off by default.
+/// Injected faults; all off by default.
 #[derive(Debug, Default)]
 pub struct FaultPlan {
     duplicate_tokens: AtomicBool,
     swap_tokens: AtomicBool,
-    cut_after_tokens: AtomicU64,
+    disconnect_after_tokens: AtomicU64,
     stall_after_tokens: AtomicU64,
     slow_percent: AtomicU64,
     skip_layer: AtomicBool,
@@ -26,27 +26,29 @@
         self.swap_tokens.store(on, Ordering::Relaxed);
     }
 
-    /// Cuts each stream after this many tokens; 0 is off.
-    pub fn cut_after_tokens(&self, tokens: u64) {
-        self.cut_after_tokens.store(tokens, Ordering::Relaxed);
+    /// Closes each stream after this many tokens; 0 is off.
+    pub fn disconnect_after_tokens(&self, tokens: u64) {
+        self.disconnect_after_tokens
+            .store(tokens, Ordering::Relaxed);
     }
 
-    /// Falls silent, with the stream open, after this many tokens; 0 is off.
+    /// Sends nothing more after this many tokens but keeps the stream open; 0 is off.
     pub fn stall_after_tokens(&self, tokens: u64) {
         self.stall_after_tokens.store(tokens, Ordering::Relaxed);
     }
 
-    /// Adds this many percent to every computation.
+    /// Lengthens every computation by this many percent.
     pub fn slow_percent(&self, percent: u64) {
         self.slow_percent.store(percent, Ordering::Relaxed);
     }
 
-    /// Runs one layer too few, and says so in the chain.
+    /// Skips the first layer of the stage; the reported chain shows the layers that ran.
     pub fn skip_layer(&self, on: bool) {
         self.skip_layer.store(on, Ordering::Relaxed);
     }
 
-    /// Takes orders under old fencing numbers too; set before the engine announces itself, which says so.
+    /// Accepts orders with old fencing numbers. Set it before the first announcement, which states
+    /// whether the engine checks fencing numbers.
     pub fn ignore_fencing(&self, on: bool) {
         self.ignore_fencing.store(on, Ordering::Relaxed);
     }
@@ -55,7 +57,7 @@
         self.ignore_fencing.load(Ordering::Relaxed)
     }
 
-    /// Refuses all work before its first step, as an engine does that holds another version.
+    /// Refuses all work before its first step, like an engine with another version.
     pub fn refuse_work(&self, on: bool) {
         self.refuse_work.store(on, Ordering::Relaxed);
     }
@@ -72,8 +74,8 @@
         self.swap_tokens.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn cuts_at(&self, sent: u64) -> bool {
-        reached(&self.cut_after_tokens, sent)
+    pub(crate) fn disconnects_at(&self, sent: u64) -> bool {
+        reached(&self.disconnect_after_tokens, sent)
     }
 
     pub(crate) fn stalls_at(&self, sent: u64) -> bool {
--- a/crates/standins/src/engine/handler.rs
+++ b/crates/standins/src/engine/handler.rs
@@ -1,4 +1,4 @@
-//! HTTP face of a stand-in engine.
+//! HTTP interface of a stand-in engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
     HandlerFuture, HttpHandler, ResponseBody, channel_body, json_response, read_json, text_response,
 };
 
-use super::order::{ORDER_PATH, take_order};
+use super::order::{ORDER_PATH, handle_order};
 use super::sequence::{SEQUENCE_PATH, run_sequence};
 use super::step::{STEP_PATH, run_step};
 use super::{EngineContext, MAX_BODY_BYTES};
@@ -64,7 +64,7 @@
             Ok(order) => order,
             Err(failure) => return text_response(StatusCode::BAD_REQUEST, failure.to_string()),
         };
-        let reply = take_order(&self.context, order);
+        let reply = handle_order(&self.context, order);
         let status = if reply.accepted {
             StatusCode::OK
         } else {
--- a/crates/standins/src/engine/order.rs
+++ b/crates/standins/src/engine/order.rs
@@ -1,4 +1,5 @@
-//! Orders to load other layers: refused under an old fencing number, seen only when announced.
+//! Orders to load other layers. An order with an old fencing number is refused; the new layers
+//! become visible to daemons with the next announcement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,29 +8,30 @@
 
 use super::{EngineContext, lock};
 
-/// Path that orders come to.
+/// Path of orders.
 pub(crate) const ORDER_PATH: &str = "/engine/v1/orders";
-/// Time that a load takes.
+/// Duration of loading weights.
 const LOAD_TIME: Duration = Duration::from_millis(50);
 
-/// Orders taken so far.
+/// State of the accepted orders.
 #[derive(Debug, Default)]
 pub(crate) struct OrderState {
     highest_fencing: u64,
     loading: bool,
 }
 
-/// Begins the load of an order, unless its number is old, its layers do not fit, or a load is under way.
-pub(crate) fn take_order(context: &Arc<EngineContext>, order: OrderRequest) -> OrderReply {
+/// Starts loading the ordered layers, unless the fencing number is old, the layers are not a valid
+/// range of the model, or another load is running.
+pub(crate) fn handle_order(context: &Arc<EngineContext>, order: OrderRequest) -> OrderReply {
     let mut state = lock(&context.orders);
     let is_old = order.fencing < state.highest_fencing && !context.faults.ignores_fencing();
-    let is_span =
-        order.layers.first < order.layers.end && order.layers.end <= context.served().model_layers;
-    let accepted = !is_old && is_span && !state.loading;
+    let is_valid_span = order.layers.first < order.layers.end
+        && order.layers.end <= context.current_offer().model_layers;
+    let accepted = !is_old && is_valid_span && !state.loading;
     if accepted {
         state.highest_fencing = state.highest_fencing.max(order.fencing);
         state.loading = true;
-        tokio::spawn(load(Arc::clone(context), order));
+        tokio::spawn(load_layers(Arc::clone(context), order));
     }
     OrderReply {
         accepted,
@@ -37,14 +39,14 @@
     }
 }
 
-async fn load(context: Arc<EngineContext>, order: OrderRequest) {
+async fn load_layers(context: Arc<EngineContext>, order: OrderRequest) {
     tokio::time::sleep(LOAD_TIME).await;
     let offer = EngineOffer {
         model: order.model,
         version: order.version,
         layers: order.layers,
-        ..context.served().as_ref().clone()
+        ..context.current_offer().as_ref().clone()
     };
-    context.serve(offer);
+    context.set_offer(offer);
     lock(&context.orders).loading = false;
 }
--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! A whole sequence, driven by the first stage: one step a token, events back to the entry.
+//! Generation of a sequence, driven by the first stage: one step per token, events to the entry.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use super::step::{StageWork, advance, own_stage, prepare, run_span, stage_weights};
 use crate::token::{is_stop, prompt_tokens, token_text};
 
-/// Path that the first stage takes sequences on.
+/// Path of sequences at the first stage.
 pub(crate) const SEQUENCE_PATH: &str = "/engine/v1/sequences";
 
-/// Generates until the answer is whole, a stage fails or the entry goes away.
+/// Generates tokens until the answer is complete, a stage fails or the entry disconnects.
 pub(crate) async fn run_sequence(
     context: Arc<EngineContext>,
     request: SequenceRequest,
@@ -26,32 +26,32 @@
     let mut stream = EventStream {
         context: &context,
         sender,
-        held: None,
+        delayed: None,
         sent: 0,
     };
-    let ended = tokio::select! {
-        ended = generate(&context, &request, &mut stream) => ended,
-        // The entry is gone: nobody reads on, so the slots are freed at once.
-        () = watch.gone() => StreamEnd::Gone,
+    let state = tokio::select! {
+        state = generate(&context, &request, &mut stream) => state,
+        // The entry disconnected and nothing reads the stream, so the slots are freed at once.
+        () = watch.gone() => StreamState::Disconnected,
     };
     drop(watch);
-    if ended == StreamEnd::Finished {
+    if state == StreamState::Finished {
         stream.finish().await;
     }
     release_all(&context, &request).await;
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StreamEnd {
+enum StreamState {
     Finished,
-    Gone,
+    Disconnected,
 }
 
 async fn generate(
     context: &EngineContext,
     request: &SequenceRequest,
     stream: &mut EventStream<'_>,
-) -> StreamEnd {
+) -> StreamState {
     let mut inputs = prompt_tokens(&request.prompt);
     inputs.extend_from_slice(&request.confirmed);
     let mut count = u32::try_from(request.confirmed.len()).unwrap_or(u32::MAX);
@@ -69,13 +69,13 @@
                     .await;
             }
         };
-        if stream.faulted().await {
-            return StreamEnd::Gone;
+        if stream.inject_fault().await {
+            return StreamState::Disconnected;
         }
         last = Some(reply.token);
         inputs.push(reply.token);
-        if stream.send(token(request, count, reply)).await == StreamEnd::Gone {
-            return StreamEnd::Gone;
+        if stream.send(token(request, count, reply)).await == StreamState::Disconnected {
+            return StreamState::Disconnected;
         }
         count += 1;
     }
@@ -107,7 +107,7 @@
         .open(&request.request, request.attempt, &weights, span);
     let mut state = sequence.lock().await;
     prepare(context, &mut state, request.attempt, &weights, stage)?;
-    // The last input must run anew even where KV is held, since its token is what is asked for.
+    // The last input runs again even if its KV state is cached, because its output is the next token.
     let have = state.span.len().min(inputs.len().saturating_sub(1));
     state.span.truncate(have);
     state.downstream_have = state.downstream_have.min(have);
@@ -139,7 +139,7 @@
     })
 }
 
-/// Whether any layer may have run: not if this engine refused the work before its first step.
+/// Whether any layer may have run. None ran if this engine refused the work before its first step.
 fn has_started(context: &EngineContext, refusal: &StepRefusal, sent: u64) -> bool {
     let refused_here = refusal.server == context.server;
     let before_work = matches!(
@@ -161,46 +161,47 @@
     })
 }
 
-/// Event lines towards the entry, with the faults that are asked for.
+/// Stream of event lines to the entry, with injected faults. `delayed` is a token event to be sent
+/// after the next one.
 struct EventStream<'context> {
     context: &'context EngineContext,
     sender: BodySender,
-    held: Option<Bytes>,
+    delayed: Option<Bytes>,
     sent: u64,
 }
 
 impl EventStream<'_> {
-    async fn send(&mut self, event: SequenceEvent) -> StreamEnd {
+    async fn send(&mut self, event: SequenceEvent) -> StreamState {
         let is_token = matches!(event, SequenceEvent::Token(_));
         let Ok(mut line) = serde_json::to_vec(&event) else {
-            return StreamEnd::Gone;
+            return StreamState::Disconnected;
         };
         line.push(b'\n');
         let line = Bytes::from(line);
         if is_token {
             self.sent += 1;
         }
-        if is_token && self.context.faults.swaps() && self.held.is_none() {
-            self.held = Some(line);
-            return StreamEnd::Finished;
+        if is_token && self.context.faults.swaps() && self.delayed.is_none() {
+            self.delayed = Some(line);
+            return StreamState::Finished;
         }
         let mut alive = self.sender.send(line.clone()).await;
         if is_token && self.context.faults.duplicates() {
             alive = self.sender.send(line).await;
         }
-        if let Some(held) = self.held.take() {
-            alive = self.sender.send(held).await;
+        if let Some(delayed) = self.delayed.take() {
+            alive = self.sender.send(delayed).await;
         }
         if alive {
-            StreamEnd::Finished
+            StreamState::Finished
         } else {
-            StreamEnd::Gone
+            StreamState::Disconnected
         }
     }
 
-    /// Brings about a cut or a stall if one is due; true if the stream is over.
-    async fn faulted(&self) -> bool {
-        if self.context.faults.cuts_at(self.sent) {
+    /// Injects a disconnection or a stall if one is due; returns whether the stream is over.
+    async fn inject_fault(&self) -> bool {
+        if self.context.faults.disconnects_at(self.sent) {
             return true;
         }
         if self.context.faults.stalls_at(self.sent) {
@@ -219,7 +220,7 @@
     context.sequences.release(&request.request, request.attempt);
     for stage in request.route.iter().skip(1) {
         let path = format!("{SEQUENCE_PATH}/{}/release", request.request);
-        // A stage that can't be reached has lost its KV, or drops it with the next attempt.
+        // An unreachable stage has lost its KV state, or replaces it at the next attempt.
         let _ = context
             .client
             .post(&stage.address, &path, &request.attempt)
--- a/crates/standins/src/engine/step.rs
+++ b/crates/standins/src/engine/step.rs
@@ -1,4 +1,5 @@
-//! One step: run this stage's layers, hand the activations on, and bring the token back.
+//! One step: runs the layers of this stage, sends the activations to the next stage and returns
+//! the token.
 
 use pollendrift_border::{
     ChainLink, LayerSpan, RouteStage, StepRefusal, StepRefusalReason, StepReply, StepRequest,
@@ -9,12 +10,12 @@
 use super::cache::SequenceState;
 use crate::token::StandInWeights;
 
-/// Path that stages take steps on.
+/// Path of steps at a stage.
 pub(crate) const STEP_PATH: &str = "/engine/v1/steps";
-/// Resends to a downstream stage that lacks KV before the step is given up.
+/// Maximum sends to a downstream stage that reports missing KV before the step fails.
 const MAX_KV_RESENDS: u32 = 3;
 
-/// Runs a step that came from the stage before.
+/// Runs a step received from the previous stage.
 pub(crate) async fn run_step(
     context: &EngineContext,
     step: &StepRequest,
@@ -43,22 +44,25 @@
     advance(context, &mut state, &work).await
 }
 
-/// What one stage has to do in a step.
+/// Work of one stage in a step.
 pub(crate) struct StageWork<'step> {
     pub(crate) step: &'step StepRequest,
     pub(crate) stage: &'step RouteStage,
     pub(crate) inputs: &'step [u64],
 }
 
-/// Runs the layers for `work.inputs` and the stages after this one.
+/// Runs the layers of this stage for `work.inputs`, then the following stages.
 pub(crate) async fn advance(
     context: &EngineContext,
     state: &mut SequenceState,
     work: &StageWork<'_>,
 ) -> Result<StepReply, StepRefusal> {
     let layers = work.stage.layers.end - work.stage.layers.first;
-    let slower = context.faults.slower_percent();
-    context.pace.work(layers, work.inputs.len(), slower).await;
+    let percent = context.faults.slower_percent();
+    context
+        .capacity
+        .compute(layers, work.inputs.len(), percent)
+        .await;
     for input in work.inputs {
         state.span.extend(*input);
     }
@@ -70,7 +74,10 @@
     Ok(reply)
 }
 
-/// Makes the held state fit the attempt, or says why it can't.
+/// Adapts the sequence state to the attempt; the cache is reset if span or weights differ.
+///
+/// # Errors
+/// A newer attempt already uses the sequence.
 pub(crate) fn prepare(
     context: &EngineContext,
     state: &mut SequenceState,
@@ -82,7 +89,7 @@
     if attempt < state.attempt {
         return Err(refusal(context, StepRefusalReason::OldAttempt, 0));
     }
-    if !state.span.serves(weights, span.first, span.end) {
+    if !state.span.matches(weights, span.first, span.end) {
         state.span = crate::token::SpanCache::new(weights.clone(), span.first, span.end);
         state.downstream_have = 0;
     }
@@ -90,7 +97,7 @@
     Ok(())
 }
 
-/// Layers that really run for a stage: all that are asked for, less one if that fault is on.
+/// Layers that run for a stage: all requested ones, without the first if that fault is injected.
 pub(crate) fn run_span(context: &EngineContext, stage: &RouteStage) -> LayerSpan {
     let skipped = u32::from(context.faults.skips_layer());
     LayerSpan {
@@ -103,12 +110,12 @@
     context: &EngineContext,
     route: &'route [RouteStage],
 ) -> Result<&'route RouteStage, StepRefusal> {
-    let offer = context.served();
-    let held = &offer.layers;
+    let offer = context.current_offer();
+    let served = &offer.layers;
     route
         .first()
         .filter(|stage| stage.server == context.server)
-        .filter(|stage| held.first <= stage.layers.first && stage.layers.end <= held.end)
+        .filter(|stage| served.first <= stage.layers.first && stage.layers.end <= served.end)
         .filter(|stage| stage.layers.first < stage.layers.end)
         .ok_or_else(|| refusal(context, StepRefusalReason::WrongLayers, 0))
 }
@@ -118,10 +125,10 @@
     version: &str,
     adapter: Option<&str>,
 ) -> Result<StandInWeights, StepRefusal> {
-    let offer = context.served();
-    let holds_adapter =
-        adapter.is_none_or(|adapter| offer.adapters.iter().any(|held| held == adapter));
-    if offer.version != version || !holds_adapter || context.faults.refuses_work() {
+    let offer = context.current_offer();
+    let has_adapter =
+        adapter.is_none_or(|adapter| offer.adapters.iter().any(|name| name == adapter));
+    if offer.version != version || !has_adapter || context.faults.refuses_work() {
         return Err(refusal(context, StepRefusalReason::WrongVersion, 0));
     }
     Ok(StandInWeights::new(
@@ -184,7 +191,7 @@
     }
     let mut refused = refusal(context, StepRefusalReason::MissingKv, 0);
     for _ in 0..MAX_KV_RESENDS {
-        match send_on(context, state, step, next).await {
+        match send_step(context, state, step, next).await {
             Ok(reply) => {
                 state.downstream_have = state.span.len();
                 return Ok(reply);
@@ -203,13 +210,13 @@
     Err(refused)
 }
 
-async fn send_on(
+async fn send_step(
     context: &EngineContext,
     state: &SequenceState,
     step: &StepRequest,
     next: &RouteStage,
 ) -> Result<StepReply, StepRefusal> {
-    let onward = StepRequest {
+    let forwarded = StepRequest {
         request: step.request.clone(),
         attempt: step.attempt,
         version: step.version.clone(),
@@ -225,12 +232,12 @@
     };
     let response = context
         .client
-        .post(&next.address, STEP_PATH, &onward)
+        .post(&next.address, STEP_PATH, &forwarded)
         .await
         .map_err(unreachable)?;
-    let taken = response.status().is_success();
+    let accepted = response.status().is_success();
     let body = context.client.read(response).await.map_err(unreachable)?;
-    if taken {
+    if accepted {
         return serde_json::from_slice(&body).map_err(|error| {
             unreachable(ClientError::BadAnswer {
                 reason: error.to_string(),
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,15 +1,15 @@
-//! Offers of a fleet of mixed kinds.
+//! Offers of a fleet with mixed kinds of accelerators.
 
 use pollendrift_border::{EngineOffer, EngineOfferRole, LayerSpan};
 
-/// Model that a fleet holds.
+/// Model served by a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelShape {
-    /// Its name.
+    /// Name of the model.
     pub model: String,
     /// Version of its weights.
     pub version: String,
-    /// Its layers.
+    /// Number of layers.
     pub layers: u32,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A kind of accelerator; rates are for a quarter of the default model.
+/// A kind of accelerator. Rates apply to a quarter of the layers of the default model.
 #[derive(Clone, Copy, Debug)]
 struct AcceleratorKind {
     name: &'static str,
@@ -34,7 +34,7 @@
     link_bytes_per_second: u64,
 }
 
-/// Four kinds: compute differs eightfold, links a hundredfold.
+/// Four kinds; compute rates differ by a factor of 8, link rates by a factor of 100.
 const KINDS: [AcceleratorKind; 4] = [
     AcceleratorKind {
         name: "kind-a",
@@ -72,18 +72,18 @@
 const ACTIVATION_BYTES: u32 = 16_384;
 const KV_BYTES_PER_TOKEN: u32 = 32_768;
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Spans that the model's layers are cut into.
+/// Number of layer spans that the model is divided into.
 const SPANS: u32 = 4;
 
-/// Offers of `count` engines: kinds and spans in turn, so that each span has each kind.
+/// Offers of `count` engines. Kinds and spans rotate so that each span is served by each kind.
 pub fn mixed_engines(shape: &ModelShape, count: u32) -> Vec<EngineOffer> {
     (0..count).map(|index| engine_offer(shape, index)).collect()
 }
 
 fn engine_offer(shape: &ModelShape, index: u32) -> EngineOffer {
     let span = index % SPANS;
-    let turn = usize::try_from((index / SPANS + span) % 4).unwrap_or(0);
-    let kind = KINDS.get(turn).copied().unwrap_or(KINDS[0]);
+    let kind_index = usize::try_from((index / SPANS + span) % 4).unwrap_or(0);
+    let kind = KINDS.get(kind_index).copied().unwrap_or(KINDS[0]);
     let width = shape.layers / SPANS;
     let end = if span + 1 == SPANS {
         shape.layers
--- a/crates/standins/src/harness.rs
+++ b/crates/standins/src/harness.rs
@@ -4,30 +4,29 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// Credential of the customer that [`HostBuilder`] names.
+/// Bearer token of the customer in the settings of [`HostBuilder`].
 pub const CUSTOMER_TOKEN: &str = "customer-token";
-/// Name of that customer.
+/// Name of the customer in the settings of [`HostBuilder`].
 pub const CUSTOMER: &str = "federation";
-/// Credential of the operator that [`HostBuilder`] names.
+/// Bearer token of the operator in the settings of [`HostBuilder`].
 pub const OPERATOR_TOKEN: &str = "operator-token";
 
-/// A loopback address whose port the system chooses.
+/// Loopback address with port 0, so that the system chooses the port.
 pub fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Ports from which [`free_addresses`] takes; below those that systems give to outgoing connections.
+/// Ports for [`free_addresses`], below the range that systems use for outgoing connections.
 const PORTS: std::ops::Range<u16> = 20_000..32_000;
-/// How many ports apart two processes begin.
+/// Distance between the first ports of processes with consecutive ids.
 const PROCESS_STRIDE: u32 = 97;
 
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// Loopback addresses whose ports were free a moment ago, each given once in a process.
+/// Loopback addresses whose ports were free when checked; each is returned once per process.
 ///
-/// A host that is started again needs its old ports. Had they come from the system's range for
-/// outgoing connections, any connection could hold one of them by then, and the start would wait
-/// for as long as that connection lives.
+/// A restarted host needs its old ports. From the system's range for outgoing connections, another
+/// connection could occupy one of them meanwhile, and the start would wait until it is closed.
 ///
 /// # Errors
 /// No port is free.
@@ -56,10 +55,10 @@
     PORTS.start + u16::try_from(offset).unwrap_or(0)
 }
 
-/// An incarnation above those of all earlier runs: seconds since the Unix epoch.
+/// Incarnation greater than those of all earlier runs: seconds since the Unix epoch.
 ///
-/// Hosts remember servers for a while after their leases end, so a stand-in that comes back under
-/// an old incarnation is, rightly, not heard.
+/// Hosts keep the incarnation of a server for a while after its lease expires and correctly ignore
+/// announcements with an older one.
 pub fn fresh_incarnation() -> u64 {
     let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since_epoch.map_or(1, |time| time.as_secs())
@@ -68,15 +67,15 @@
 /// Addresses of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostAddresses {
-    /// Callers, operators and backend servers.
+    /// Address for callers, operators and backend servers.
     pub entry: SocketAddr,
-    /// Platform.
+    /// Address for the platform.
     pub platform: SocketAddr,
-    /// Peers.
+    /// Address for peers.
     pub peers: SocketAddr,
 }
 
-/// Builds settings texts of hosts that know each other.
+/// Builds the settings texts of hosts that list each other as peers.
 #[derive(Clone, Debug)]
 pub struct HostBuilder {
     hosts: Vec<HostAddresses>,
@@ -84,12 +83,12 @@
     token_digest: String,
     operator_digest: String,
     operators: String,
-    more: String,
+    extra_settings: String,
 }
 
 impl HostBuilder {
-    /// `hosts` hosts on free loopback ports, the first `keepers` of them keepers; the digests are
-    /// those of [`CUSTOMER_TOKEN`] and [`OPERATOR_TOKEN`].
+    /// Creates `hosts` hosts on free loopback ports, the first `keepers` of them keepers. The
+    /// digests are those of [`CUSTOMER_TOKEN`] and [`OPERATOR_TOKEN`].
     ///
     /// # Errors
     /// No port is free.
@@ -114,18 +113,18 @@
             token_digest,
             operator_digest,
             operators: String::new(),
-            more: String::new(),
+            extra_settings: String::new(),
         })
     }
 
-    /// Adds further settings to every host.
+    /// Appends settings (YAML) to those of every host.
     #[must_use]
-    pub fn with(mut self, more: &str) -> Self {
-        self.more.push_str(more);
+    pub fn with(mut self, settings: &str) -> Self {
+        self.extra_settings.push_str(settings);
         self
     }
 
-    /// Adds an operator who proves itself by its certificate.
+    /// Adds an operator that authenticates with a certificate.
     #[must_use]
     pub fn with_certified_operator(mut self, name: &str) -> Self {
         self.operators += &format!("  - {{name: {name}, role: viewer, certificate: true}}\n");
@@ -142,7 +141,8 @@
         format!("host-{index}")
     }
 
-    /// Settings of host `index`, with its data in `folder` if it is a keeper.
+    /// Settings of host `index`; `folder` is its data folder if it is a keeper. Empty if there is
+    /// no such host.
     pub fn settings(&self, index: usize, folder: &Path) -> String {
         let Some(own) = self.hosts.get(index) else {
             return String::new();
@@ -166,7 +166,7 @@
             self.token_digest,
             self.operator_digest,
             self.operators,
-            self.more,
+            self.extra_settings,
         )
     }
 
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for what pollendrift meets: model engines, plain services and callers.
+//! Test doubles ("stand-ins") of model engines, plain services and callers.
 //!
-//! Used by tests, examples and benches only; nothing here is published or run in production.
+//! Only tests, examples and benches use this crate; it is neither published nor run in production.
 
 pub mod announcer;
 pub mod caller;
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -1,7 +1,7 @@
-//! A load of checked drafts and keyed service calls, and what came of it.
+//! Generates a load of checked drafts and keyed service calls, and reports the results.
 
 mod call;
-mod inspect;
+mod comparison;
 mod report;
 mod sent;
 
@@ -15,11 +15,11 @@
 use tokio::time::Instant;
 
 pub use call::{CallOutcome, ServiceCaller};
-pub use inspect::{InspectionReport, inspect};
+pub use comparison::{EvidenceComparison, compare_with_evidence};
 pub use report::{CallCounts, LoadReport};
-pub use sent::{SeenOutcome, SentRequest};
+pub use sent::{ObservedOutcome, SentRequest};
 
-use crate::caller::{DraftAsk, DraftCaller, DraftReply};
+use crate::caller::{DraftCaller, DraftParameters, DraftReply};
 use crate::fleet::ModelShape;
 use crate::token::{StandInWeights, expected_answer};
 
@@ -34,37 +34,37 @@
     "bracket",
 ];
 
-/// What a load sends.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
-    /// `ip:port` of every entry; requests go to them in turn.
+    /// `ip:port` of every entry; requests are sent to them in turn.
     pub entries: Vec<String>,
-    /// Credential of the customer.
+    /// Bearer token of the customer.
     pub token: String,
-    /// Callers that each send one draft after the other.
-    pub drafters: u32,
-    /// Callers that each send one keyed call after the other.
-    pub clerks: u32,
-    /// How long new requests are begun.
+    /// Number of callers that each send drafts one after the other.
+    pub draft_callers: u32,
+    /// Number of callers that each send keyed service calls one after the other.
+    pub service_callers: u32,
+    /// Time during which new requests are started.
     pub duration: Duration,
-    /// Tokens of each answer, at most.
+    /// Maximum tokens of each answer.
     pub max_tokens: u32,
-    /// Words of each prompt.
+    /// Number of random words in each prompt.
     pub prompt_words: u32,
-    /// Model that drafts ask for.
+    /// Model that drafts request.
     pub shape: ModelShape,
-    /// Fixes prompts and turns.
+    /// Seed of the prompts; also part of the call keys.
     pub seed: u64,
-    /// Start of the id of every request; no two runs against the same daemons share one.
-    pub run: String,
+    /// Prefix of all request ids; must differ between runs against the same daemons.
+    pub id_prefix: String,
 }
 
-/// Runs the load to its end.
+/// Runs the load and waits for all answers.
 pub async fn run_load(plan: &LoadPlan) -> LoadReport {
     let report = Arc::new(Mutex::new(LoadReport::new()));
     let started = Instant::now();
     let mut callers = JoinSet::new();
-    for index in 0..plan.drafters {
+    for index in 0..plan.draft_callers {
         callers.spawn(draft_loop(
             plan.clone(),
             index,
@@ -72,7 +72,7 @@
             Arc::clone(&report),
         ));
     }
-    for index in 0..plan.clerks {
+    for index in 0..plan.service_callers {
         callers.spawn(call_loop(plan.clone(), index, started, Arc::clone(&report)));
     }
     while callers.join_next().await.is_some() {}
@@ -89,67 +89,78 @@
         plan.shape.layers,
     );
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ u64::from(index));
-    let mut turn = usize::try_from(index).unwrap_or(0);
+    let mut entry_index = usize::try_from(index).unwrap_or(0);
     while started.elapsed() < plan.duration {
         let prompt = random_prompt(&mut rng, plan.prompt_words, index);
-        let Some(entry) = entry_of(&plan, turn) else {
+        let Some(entry) = entry_at(&plan, entry_index) else {
             return;
         };
-        turn += 1;
-        let id = format!("{}-draft-{index}-{turn}", plan.run);
+        entry_index += 1;
+        let id = format!("{}-draft-{index}-{entry_index}", plan.id_prefix);
         let caller = DraftCaller::new(entry, &plan.token).with_request_id(&id);
-        let ask = DraftAsk {
+        let parameters = DraftParameters {
             model: &plan.shape.model,
             prompt: &prompt,
             max_tokens: plan.max_tokens,
             id: Some(&id),
-            last: None,
+            last_position: None,
         };
-        let mut reply = caller.read(&ask, |_| {}).await;
+        let mut reply = caller.stream(&parameters, |_| {}).await;
         let mut resumes = 0;
         if let Ok(reply) = reply.as_mut().map_err(|_| ()) {
-            resumes = go_on(&plan, turn, &ask, reply).await;
+            resumes = resume_stream(&plan, entry_index, &parameters, reply).await;
         }
         let expected = expected_answer(&weights, &prompt, plan.max_tokens);
         let received = reply.as_ref().map_or(0, |reply| reply.texts.len());
-        let seen = SeenOutcome::of_draft(&reply);
+        let observed = ObservedOutcome::of_draft(&reply);
         let mut report = report.lock().await;
         report.resumed += u64::from(resumes > 0);
         report.sent.push(SentRequest {
             request: id.clone(),
-            seen,
+            observed,
             received,
             resumes,
         });
         match reply {
-            Ok(reply) => report.take_draft(&reply, &expected),
-            Err(error) => report.take_lost_draft(&error),
+            Ok(reply) => report.record_draft(&reply, &expected),
+            Err(error) => report.record_lost_draft(&error),
         }
     }
 }
 
-/// Goes on with a stream that broke off, at the entries that follow; how many took it on.
-async fn go_on(plan: &LoadPlan, turn: usize, ask: &DraftAsk<'_>, reply: &mut DraftReply) -> usize {
-    let broke_at = Instant::now();
+/// Resumes an interrupted stream at the following entries; returns the number of entries that
+/// accepted it.
+async fn resume_stream(
+    plan: &LoadPlan,
+    entry_index: usize,
+    parameters: &DraftParameters<'_>,
+    reply: &mut DraftReply,
+) -> usize {
+    let interrupted_at = Instant::now();
     let mut resumed = 0;
     for step in 0..plan.entries.len() {
-        let Some(last) = reply.positions.last().copied().filter(|_| reply.is_cut()) else {
+        let Some(last) = reply
+            .positions
+            .last()
+            .copied()
+            .filter(|_| reply.is_interrupted())
+        else {
             return resumed;
         };
-        let Some(entry) = entry_of(plan, turn + step) else {
+        let Some(entry) = entry_at(plan, entry_index + step) else {
             return resumed;
         };
-        let offset = reply.arrivals.last().copied().unwrap_or_default() + broke_at.elapsed();
-        let ask = DraftAsk {
-            last: Some(last),
-            ..*ask
+        let offset = reply.arrivals.last().copied().unwrap_or_default() + interrupted_at.elapsed();
+        let parameters = DraftParameters {
+            last_position: Some(last),
+            ..*parameters
         };
         if let Ok(rest) = DraftCaller::new(entry, &plan.token)
-            .read(&ask, |_| {})
+            .stream(&parameters, |_| {})
             .await
         {
             resumed += usize::from(rest.refusal.is_none());
-            reply.go_on_with(rest, offset);
+            reply.append_resumed(rest, offset);
         }
     }
     resumed
@@ -158,30 +169,31 @@
 async fn call_loop(plan: LoadPlan, index: u32, started: Instant, report: Arc<Mutex<LoadReport>>) {
     let mut number = 0_u64;
     while started.elapsed() < plan.duration {
-        let turn = usize::try_from(number).unwrap_or(0) + usize::try_from(index).unwrap_or(0);
-        let Some(entry) = entry_of(&plan, turn) else {
+        let entry_index =
+            usize::try_from(number).unwrap_or(0) + usize::try_from(index).unwrap_or(0);
+        let Some(entry) = entry_at(&plan, entry_index) else {
             return;
         };
         let key = format!("{:x}-{index}-{number}", plan.seed);
         number += 1;
-        let id = format!("{}-call-{index}-{number}", plan.run);
+        let id = format!("{}-call-{index}-{number}", plan.id_prefix);
         let caller = ServiceCaller::new(entry, &plan.token).with_request_id(&id);
         let sent_at = Instant::now();
-        let outcome = caller.file("portal", &key).await;
-        let seen = SeenOutcome::of_call(&outcome);
+        let outcome = caller.post_attestation("portal", &key).await;
+        let observed = ObservedOutcome::of_call(&outcome);
         let mut report = report.lock().await;
         report.sent.push(SentRequest {
             request: id,
-            seen,
-            received: usize::from(seen == SeenOutcome::Complete),
+            observed,
+            received: usize::from(observed == ObservedOutcome::Complete),
             resumes: 0,
         });
-        report.take_call(outcome, sent_at.elapsed());
+        report.record_call(outcome, sent_at.elapsed());
     }
 }
 
-fn entry_of(plan: &LoadPlan, turn: usize) -> Option<&String> {
-    plan.entries.get(turn % plan.entries.len().max(1))
+fn entry_at(plan: &LoadPlan, entry_index: usize) -> Option<&String> {
+    plan.entries.get(entry_index % plan.entries.len().max(1))
 }
 
 fn random_prompt(rng: &mut ChaCha8Rng, words: u32, caller: u32) -> String {
--- a/crates/standins/src/load/call.rs
+++ b/crates/standins/src/load/call.rs
@@ -1,4 +1,4 @@
-//! A caller of plain services that names its calls.
+//! A caller of plain services that sends an idempotency key with each call.
 
 use bytes::Bytes;
 use http::{Request, StatusCode, header};
@@ -11,22 +11,22 @@
 
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
-/// What a caller was told of one call.
+/// Outcome of one call as the caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It ran; the body of the answer.
+    /// The call ran; the body of the answer.
     Answered(String),
-    /// It did not run.
+    /// The call did not run; the detail of the report.
     NotRun(String),
-    /// The entry could not be reached.
+    /// The entry was unreachable; the error.
     NotSent(String),
-    /// The connection broke, so it may have run.
+    /// The connection broke, so the call may have run; the error.
     Broken(String),
-    /// It may have run.
+    /// The call may have run; the detail of the report.
     Unknown(String),
 }
 
-/// Sends calls to one entry as one customer.
+/// Client that sends service calls to one entry as one customer.
 #[derive(Clone, Debug)]
 pub struct ServiceCaller {
     client: HttpClient,
@@ -36,7 +36,7 @@
 }
 
 impl ServiceCaller {
-    /// A caller of `entry` (`ip:port`) with a bearer token.
+    /// Creates a caller of `entry` (`ip:port`) with a bearer token.
     pub fn new(entry: &str, token: &str) -> Self {
         Self {
             client: HttpClient::new(MAX_ANSWER_BYTES),
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Sends `id` with each call, as its `x-request-id`.
+    /// Sets the `x-request-id` of all calls.
     pub fn with_request_id(mut self, id: &str) -> Self {
         self.request_id = Some(id.to_owned());
         self
     }
 
-    /// Files one attestation under `key`.
-    pub async fn file(&self, service: &str, key: &str) -> CallOutcome {
+    /// Posts one attestation, a non-idempotent call, under `key`.
+    pub async fn post_attestation(&self, service: &str, key: &str) -> CallOutcome {
         self.post(service, "attestations", key, "attestation").await
     }
 
-    /// Posts `body` to a path of `service` under `key`; an empty key sends none.
+    /// Posts `body` to a path of `service` under `key`; an empty key sends no key header.
     pub async fn post(&self, service: &str, path: &str, key: &str, body: &str) -> CallOutcome {
         let mut request = Request::post(format!("http://{}/services/{service}/{path}", self.entry))
             .header(header::AUTHORIZATION, format!("Bearer {}", self.token));
@@ -83,13 +83,13 @@
         };
         let status = response.status();
         match self.client.read(response).await {
-            Ok(body) => told(status, &body),
+            Ok(body) => outcome_of_answer(status, &body),
             Err(error) => CallOutcome::Broken(error.to_string()),
         }
     }
 }
 
-fn told(status: StatusCode, body: &[u8]) -> CallOutcome {
+fn outcome_of_answer(status: StatusCode, body: &[u8]) -> CallOutcome {
     match serde_json::from_slice::<ProblemReport>(body) {
         Ok(report) if report.outcome == ProblemReportOutcome::NotRun => {
             CallOutcome::NotRun(report.detail)
--- a/crates/standins/src/load/report.rs
+++ b/crates/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Counts and times of a load.
+//! Counts and latencies of a load.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,44 +9,44 @@
 
 use super::call::CallOutcome;
 use super::sent::SentRequest;
-use crate::caller::{AnswerFault, DraftReply};
+use crate::caller::{AnswerError, DraftReply};
 
-const HIGHEST_MICROS: u64 = 120_000_000;
-const DIGITS: u8 = 3;
+const MAX_MICROS: u64 = 120_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Calls by what their callers were told.
+/// Number of calls by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Answered.
+    /// Calls that were answered.
     pub answered: u64,
-    /// Told that they did not run.
+    /// Calls that did not run.
     pub not_run: u64,
-    /// Told that they may have run.
+    /// Calls that may have run.
     pub unknown: u64,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
     /// Time from the first request to the last answer.
     pub elapsed: Duration,
-    /// Drafts whose whole answer was right.
-    pub whole: u64,
-    /// Tokens of those answers.
+    /// Drafts with a complete, correct answer.
+    pub complete: u64,
+    /// Tokens of the complete, correct answers.
     pub tokens: u64,
-    /// Drafts whose answer was wrong.
+    /// Drafts with a wrong token in the answer.
     pub wrong: u64,
     /// Drafts whose stream ended without its last event or an error.
     pub incomplete: u64,
-    /// Drafts whose stream broke off and went on at another entry.
+    /// Drafts whose stream was interrupted and resumed at another entry.
     pub resumed: u64,
     /// Drafts refused or ended by an error event, by outcome and kind.
     pub refusals: BTreeMap<String, u64>,
-    /// Drafts whose entry could not be reached or broke off, by error.
+    /// Drafts whose entry was unreachable or disconnected, by error.
     pub lost: BTreeMap<String, u64>,
     /// Calls of plain services.
     pub calls: CallCounts,
-    /// Every request that was sent.
+    /// All sent requests.
     pub sent: Vec<SentRequest>,
     first_token: Option<Histogram<u64>>,
     between_tokens: Option<Histogram<u64>>,
@@ -60,12 +60,12 @@
 }
 
 impl LoadReport {
-    /// An empty report.
+    /// Report with zero counts and empty histograms.
     pub fn new() -> Self {
-        let histogram = || Histogram::new_with_max(HIGHEST_MICROS, DIGITS).ok();
+        let histogram = || Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS).ok();
         Self {
             elapsed: Duration::ZERO,
-            whole: 0,
+            complete: 0,
             tokens: 0,
             wrong: 0,
             incomplete: 0,
@@ -80,18 +80,18 @@
         }
     }
 
-    /// Takes the reply to one draft.
-    pub fn take_draft(&mut self, reply: &DraftReply, expected: &[u64]) {
+    /// Counts the reply to one draft after checking it against the expected tokens.
+    pub fn record_draft(&mut self, reply: &DraftReply, expected: &[u64]) {
         match reply.check(expected) {
-            Ok(()) => self.take_whole(reply),
-            Err(AnswerFault::Refused { .. }) => self.take_refusal(reply),
-            Err(AnswerFault::Incomplete { .. }) => self.incomplete += 1,
-            Err(AnswerFault::WrongToken { .. }) => self.wrong += 1,
+            Ok(()) => self.record_complete(reply),
+            Err(AnswerError::Refused { .. }) => self.record_refusal(reply),
+            Err(AnswerError::Incomplete { .. }) => self.incomplete += 1,
+            Err(AnswerError::WrongToken { .. }) => self.wrong += 1,
         }
     }
 
-    /// Takes a draft whose entry could not be reached or broke off.
-    pub fn take_lost_draft(&mut self, error: &ClientError) {
+    /// Counts a draft whose entry was unreachable or disconnected.
+    pub fn record_lost_draft(&mut self, error: &ClientError) {
         let kind = match error {
             ClientError::NotSent { .. } => "not-sent",
             ClientError::NoAnswer { .. } => "no-answer",
@@ -100,19 +100,19 @@
         *self.lost.entry(kind.to_owned()).or_default() += 1;
     }
 
-    /// Takes what the caller of a service was told, and how long it took.
-    pub fn take_call(&mut self, outcome: CallOutcome, time: Duration) {
+    /// Counts a service call by outcome; `time` is recorded for answered calls.
+    pub fn record_call(&mut self, outcome: CallOutcome, time: Duration) {
         match outcome {
             CallOutcome::Answered(_) => {
                 self.calls.answered += 1;
-                record(&mut self.call_times, time);
+                record_time(&mut self.call_times, time);
             }
             CallOutcome::NotRun(_) | CallOutcome::NotSent(_) => self.calls.not_run += 1,
             CallOutcome::Broken(_) | CallOutcome::Unknown(_) => self.calls.unknown += 1,
         }
     }
 
-    /// Tokens a second of whole answers.
+    /// Tokens per second of complete, correct answers.
     pub fn tokens_per_second(&self) -> f64 {
         let tokens = u32::try_from(self.tokens).unwrap_or(u32::MAX);
         f64::from(tokens) / self.elapsed.as_secs_f64().max(f64::EPSILON)
@@ -140,21 +140,21 @@
         at_quantile(&self.call_times, quantile)
     }
 
-    fn take_whole(&mut self, reply: &DraftReply) {
-        self.whole += 1;
+    fn record_complete(&mut self, reply: &DraftReply) {
+        self.complete += 1;
         self.tokens += u64::try_from(reply.texts.len()).unwrap_or(0);
         let Some(first) = reply.arrivals.first() else {
             return;
         };
-        record(&mut self.first_token, *first);
+        record_time(&mut self.first_token, *first);
         for pair in reply.arrivals.windows(2) {
             if let [earlier, later] = pair {
-                record(&mut self.between_tokens, later.saturating_sub(*earlier));
+                record_time(&mut self.between_tokens, later.saturating_sub(*earlier));
             }
         }
     }
 
-    fn take_refusal(&mut self, reply: &DraftReply) {
+    fn record_refusal(&mut self, reply: &DraftReply) {
         let Some(report) = &reply.refusal else {
             return;
         };
@@ -168,7 +168,7 @@
     }
 }
 
-fn record(histogram: &mut Option<Histogram<u64>>, time: Duration) {
+fn record_time(histogram: &mut Option<Histogram<u64>>, time: Duration) {
     if let Some(histogram) = histogram {
         let micros = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         histogram.saturating_record(micros);
@@ -189,7 +189,7 @@
             "elapsed            {:.1} s",
             self.elapsed.as_secs_f64()
         )?;
-        writeln!(formatter, "whole answers      {}", self.whole)?;
+        writeln!(formatter, "whole answers      {}", self.complete)?;
         writeln!(
             formatter,
             "tokens a second    {:.0}",
--- a/crates/standins/src/load/sent.rs
+++ b/crates/standins/src/load/sent.rs
@@ -1,4 +1,4 @@
-//! What a load remembers of each request that it sent.
+//! Record of each request that a load sent.
 
 use pollendrift_border::ProblemReportOutcome;
 use pollendrift_http::ClientError;
@@ -7,40 +7,41 @@
 use super::call::CallOutcome;
 use crate::caller::DraftReply;
 
-/// One request of a load, as one JSON line.
+/// One request of a load; serialized as one JSON line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentRequest {
-    /// Its `x-request-id`, which no other request bears.
+    /// Unique `x-request-id` of the request.
     pub request: String,
-    /// What the caller saw.
-    pub seen: SeenOutcome,
-    /// Tokens or, for a call, answers that came.
+    /// Outcome that the caller observed.
+    #[serde(rename = "seen")]
+    pub observed: ObservedOutcome,
+    /// Received tokens or, for a call, received answers.
     pub received: usize,
-    /// Entries at which the caller went on after its stream broke off.
+    /// Entries that resumed the stream after an interruption.
     #[serde(default)]
     pub resumes: usize,
 }
 
-/// What the caller of one request saw.
+/// Outcome of one request as its caller observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SeenOutcome {
+pub enum ObservedOutcome {
     /// The connection broke, or the stream ended without its last event.
     Broken,
-    /// The whole answer.
+    /// A complete answer.
     Complete,
     /// An answer that began, then an error event.
     Incomplete,
-    /// A refusal that says that the request did not run.
+    /// A refusal that states that the request did not run.
     NotRun,
-    /// The entry could not be reached, so that the request never left.
+    /// The entry was unreachable and the request was not sent.
     NotSent,
-    /// An answer that says that the request may have run.
+    /// An answer that states that the request may have run.
     Unknown,
 }
 
-impl SeenOutcome {
-    /// What the caller of a draft saw.
+impl ObservedOutcome {
+    /// Outcome of a draft.
     pub fn of_draft(reply: &Result<DraftReply, ClientError>) -> Self {
         match reply {
             Err(ClientError::NotSent { .. }) => Self::NotSent,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// What the caller of a plain service saw.
+    /// Outcome of a call of a plain service.
     pub fn of_call(outcome: &CallOutcome) -> Self {
         match outcome {
             CallOutcome::Answered(_) => Self::Complete,
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service whose calls are counted by key.
+//! A stand-in plain service that counts its calls by key.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -18,20 +18,20 @@
 
 use crate::announcer::{AnnouncerSettings, OfferSource, ServerAnnouncer};
 
-/// Header that names a call.
+/// Header with the idempotency key of a call.
 pub const KEY_HEADER: &str = "idempotency-key";
 const MAX_BODY_BYTES: usize = 16 << 20;
 const OFFERED_SLOTS: u32 = 64;
 
-/// State of one service instance.
+/// Shared state of one service instance.
 #[derive(Debug)]
 struct ServiceContext {
     server: String,
     service: String,
     runs: Mutex<BTreeMap<String, u64>>,
     delay_micros: AtomicU64,
-    cut_before_answer: AtomicBool,
-    held: watch::Sender<bool>,
+    disconnect_before_answer: AtomicBool,
+    answers_held: watch::Sender<bool>,
     running: AtomicU64,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// A running plain service; dropping it cuts every connection, as a crash does.
+/// A running plain service; dropping it closes every connection, as a crash does.
 #[derive(Debug)]
 pub struct PlainService {
     server: HttpServer,
@@ -73,8 +73,8 @@
             service: service.to_owned(),
             runs: Mutex::new(BTreeMap::new()),
             delay_micros: AtomicU64::new(0),
-            cut_before_answer: AtomicBool::new(false),
-            held: watch::Sender::new(false),
+            disconnect_before_answer: AtomicBool::new(false),
+            answers_held: watch::Sender::new(false),
             running: AtomicU64::new(0),
         });
         let handler = Arc::new(ServiceHandler {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Starts to announce this instance to `entries`.
+    /// Starts announcing this instance to `entries` (`ip:port`).
     pub fn announce(&mut self, entries: Vec<String>, incarnation: u64, data_centre: &str) {
         let settings = AnnouncerSettings {
             entries,
@@ -110,7 +110,7 @@
         self.server.address()
     }
 
-    /// How often each key ran; calls without a key count under the empty key.
+    /// Number of runs per key; calls without a key count under the empty key.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.context
             .runs
@@ -119,20 +119,22 @@
             .clone()
     }
 
-    /// Makes every call take this long.
+    /// Sets the duration of every call.
     pub fn set_delay(&self, delay: Duration) {
         let micros = u64::try_from(delay.as_micros()).unwrap_or(u64::MAX);
         self.context.delay_micros.store(micros, Ordering::Relaxed);
     }
 
-    /// Holds every call that has run back from its answer, until it is let go.
-    pub fn hold(&self, on: bool) {
-        self.context.held.send_replace(on);
+    /// Delays the answer of every call that ran until `on` is false again.
+    pub fn hold_answers(&self, on: bool) {
+        self.context.answers_held.send_replace(on);
     }
 
-    /// Runs calls but cuts the connection before the answer.
-    pub fn cut_before_answer(&self, on: bool) {
-        self.context.cut_before_answer.store(on, Ordering::Relaxed);
+    /// Runs calls but closes the connection before the answer.
+    pub fn disconnect_before_answer(&self, on: bool) {
+        self.context
+            .disconnect_before_answer
+            .store(on, Ordering::Relaxed);
     }
 }
 
@@ -157,13 +159,22 @@
             self.context.delay_micros.load(Ordering::Relaxed),
         ))
         .await;
-        // An error would mean that the service is gone, and this call with it.
-        let _ = self.context.held.subscribe().wait_for(|held| !held).await;
+        // Fails only if the service is dropped, which also ends this call.
+        let _ = self
+            .context
+            .answers_held
+            .subscribe()
+            .wait_for(|is_held| !is_held)
+            .await;
         self.context.running.fetch_sub(1, Ordering::Relaxed);
-        if self.context.cut_before_answer.load(Ordering::Relaxed) {
-            let (sender, cut) = pollendrift_http::channel_body(1);
+        if self
+            .context
+            .disconnect_before_answer
+            .load(Ordering::Relaxed)
+        {
+            let (sender, truncated) = pollendrift_http::channel_body(1);
             drop(sender);
-            return Response::new(cut);
+            return Response::new(truncated);
         }
         text_response(
             StatusCode::OK,
--- a/crates/standins/src/token.rs
+++ b/crates/standins/src/token.rs
@@ -1,29 +1,29 @@
-//! A token that proves its path: its value is computed from every layer in order.
+//! Stand-in model whose token values depend on every layer, in order.
 //!
-//! Each layer mixes its number, the weights' version and its KV state into the activation, and
-//! folds the activation into its KV state. A skipped, doubled or swapped layer or position, or a
-//! layer of another version, changes every later token.
+//! Each layer hashes its number, the version of the weights and its KV state into the activation,
+//! and the activation into its KV state. A skipped, repeated or swapped layer or position, or a
+//! layer of another version, therefore changes every later token.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Words that token values are shown as.
+/// Texts of tokens, by token value modulo 16.
 const WORDS: [&str; 16] = [
     "clause", "fixing", "façade", "coastal", "exposure", "valve", "isolate", "permit", "outage",
     "bracket", "rail", "panel", "pump", "switch", "sequence", "check",
 ];
-/// One token in this many ends an answer.
+/// A token whose value is a multiple of this ends the answer.
 const STOP_ONE_IN: u64 = 509;
 
-/// Weights that a stand-in model is made of.
+/// Weights of a stand-in model, reduced to a digest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandInWeights {
-    /// Layers of the whole model.
+    /// Number of layers of the complete model.
     pub layers: u32,
     digest: u64,
 }
 
 impl StandInWeights {
-    /// Weights of one model version, with an adapter if any.
+    /// Weights of one model version with an optional adapter.
     pub fn new(model: &str, version: &str, adapter: Option<&str>, layers: u32) -> Self {
         Self {
             layers,
@@ -41,13 +41,13 @@
     hasher.finish()
 }
 
-/// Tokens of a prompt: one for each word.
+/// Tokens of a prompt, one per word; a prompt without words gives one token.
 pub fn prompt_tokens(prompt: &str) -> Vec<u64> {
     let tokens: Vec<u64> = prompt.split_whitespace().map(mix).collect();
     if tokens.is_empty() { vec![0] } else { tokens }
 }
 
-/// Text that a token is shown as.
+/// Text of a token.
 pub fn token_text(token: u64) -> String {
     let word = usize::try_from(token % 16).unwrap_or(0);
     format!("{} ", WORDS.get(word).copied().unwrap_or("check"))
@@ -60,7 +60,7 @@
 
 /// KV state of one sequence in one span of layers.
 ///
-/// Invariant: `states` and `outputs` hold one item for each position that has been run.
+/// Invariant: `states` and `outputs` have one item per computed position.
 #[derive(Clone, Debug)]
 pub struct SpanCache {
     weights: StandInWeights,
@@ -71,7 +71,7 @@
 }
 
 impl SpanCache {
-    /// An empty cache for layers `first..end`.
+    /// Cache for layers `first..end` without positions.
     pub fn new(weights: StandInWeights, first: u32, end: u32) -> Self {
         Self {
             weights,
@@ -82,28 +82,28 @@
         }
     }
 
-    /// Whether the cache was made for this span and these weights.
-    pub fn serves(&self, weights: &StandInWeights, first: u32, end: u32) -> bool {
+    /// Whether the cache belongs to these layers and weights.
+    pub fn matches(&self, weights: &StandInWeights, first: u32, end: u32) -> bool {
         self.weights == *weights && self.first == first && self.end == end
     }
 
-    /// Positions that have been run.
+    /// Number of computed positions.
     pub fn len(&self) -> usize {
         self.outputs.len()
     }
 
-    /// Whether no position has been run.
+    /// Whether no position is computed.
     pub fn is_empty(&self) -> bool {
         self.outputs.is_empty()
     }
 
-    /// Forgets all positions from `len` on.
+    /// Removes all positions from `len` on.
     pub fn truncate(&mut self, len: usize) {
         self.states.truncate(len);
         self.outputs.truncate(len);
     }
 
-    /// Runs the span's layers for the next position and returns the activation after them.
+    /// Computes the next position through all layers of the span and returns the output activation.
     pub fn extend(&mut self, input: u64) -> u64 {
         let mut activation = input;
         let span = usize::try_from(self.end - self.first).unwrap_or(0);
@@ -118,13 +118,13 @@
         activation
     }
 
-    /// Activations after the span from position `from` on.
+    /// Output activations from position `from` on; empty if there are none.
     pub fn outputs_from(&self, from: usize) -> &[u64] {
         self.outputs.get(from..).unwrap_or(&[])
     }
 }
 
-/// The answer that a whole pipeline gives, computed in one place.
+/// Expected answer: the tokens of the complete pipeline, computed in one cache.
 pub fn expected_answer(weights: &StandInWeights, prompt: &str, max_tokens: u32) -> Vec<u64> {
     let mut cache = SpanCache::new(weights.clone(), 0, weights.layers);
     let mut last = 0;
@@ -148,11 +148,11 @@
 
     fn split_answer(
         weights: &StandInWeights,
-        cuts: &[(u32, u32)],
+        spans: &[(u32, u32)],
         prompt: &str,
         count: usize,
     ) -> Vec<u64> {
-        let mut stages: Vec<SpanCache> = cuts
+        let mut stages: Vec<SpanCache> = spans
             .iter()
             .map(|(first, end)| SpanCache::new(weights.clone(), *first, *end))
             .collect();
@@ -173,8 +173,10 @@
         answer
     }
 
+    // Guards against a stand-in model that gives the expected answer although a layer was skipped,
+    // repeated or swapped, which would hide routing errors from all tests that check answers.
     #[test]
-    fn only_the_whole_chain_in_order_gives_the_expected_answer() {
+    fn only_all_layers_in_order_give_the_expected_answer() {
         let weights = StandInWeights::new("m", "v1", None, 8);
         let expected = expected_answer(&weights, "one two three", 5);
         let cases = [
@@ -183,8 +185,8 @@
             ("doubled layer", vec![(0, 4), (3, 8)], false),
             ("swapped stages", vec![(3, 8), (0, 3)], false),
         ];
-        for (name, cuts, same) in cases {
-            let answer = split_answer(&weights, &cuts, "one two three", expected.len());
+        for (name, spans, same) in cases {
+            let answer = split_answer(&weights, &spans, "one two three", expected.len());
             assert_eq!(answer == expected, same, "{name}");
         }
         let other = StandInWeights::new("m", "v2", None, 8);
--- a/crates/standins/tests/inspection.rs
+++ b/crates/standins/tests/inspection.rs
@@ -1,14 +1,14 @@
-//! Contract of the comparison of callers' sights with evidence, as a table.
-#![allow(clippy::unwrap_used, reason = "a helper that fails is a failed test")]
+//! Comparison of the outcomes that callers observed with the evidence records, as a table.
+#![allow(clippy::unwrap_used, reason = "a test may panic on a failed step")]
 
 use pollendrift_coordination::base::{SequenceNumber, WallTime};
 use pollendrift_coordination::evidence::{
     BodyDigest, ChainHead, ChainWriter, DecisionTrace, EvidenceDigest, EvidenceEvent, OutcomeKind,
     RequestBegun, RequestFinished, RequestTimings, SealedRecord,
 };
-use pollendrift_standins::load::{SeenOutcome, SentRequest, inspect};
+use pollendrift_standins::load::{ObservedOutcome, SentRequest, compare_with_evidence};
 
-fn begun() -> EvidenceEvent {
+fn start_record() -> EvidenceEvent {
     EvidenceEvent::RequestBegun(RequestBegun {
         request: "r1".into(),
         customer: "ponant".into(),
@@ -20,7 +20,7 @@
     })
 }
 
-fn ended(outcome: OutcomeKind) -> EvidenceEvent {
+fn end_record(outcome: OutcomeKind) -> EvidenceEvent {
     EvidenceEvent::RequestFinished(RequestFinished {
         request: "r1".into(),
         customer: "ponant".into(),
@@ -54,19 +54,24 @@
     lines
 }
 
-fn judged(seen: SeenOutcome, received: usize, export: &str) -> &'static str {
-    judged_after(0, seen, received, export)
+fn classify(observed: ObservedOutcome, received: usize, export: &str) -> &'static str {
+    classify_resumed(0, observed, received, export)
 }
 
-fn judged_after(resumes: usize, seen: SeenOutcome, received: usize, export: &str) -> &'static str {
+fn classify_resumed(
+    resumes: usize,
+    observed: ObservedOutcome,
+    received: usize,
+    export: &str,
+) -> &'static str {
     let sent = SentRequest {
         request: "r1".into(),
-        seen,
+        observed,
         received,
         resumes,
     };
-    let report = inspect(&[sent], export).unwrap();
-    let counts = [&report.cut_off, &report.missing, &report.untrue].map(Vec::len);
+    let report = compare_with_evidence(&[sent], export).unwrap();
+    let counts = [&report.unrecorded, &report.missing, &report.contradicted].map(Vec::len);
     match counts {
         [0, 0, 0] => "agrees",
         [1, 0, 0] => "cut off",
@@ -76,43 +81,52 @@
     }
 }
 
+// Guards against a comparison that accepts evidence which lacks or contradicts what a caller
+// observed, or that reports evidence as wrong although it agrees.
 #[test]
-fn each_pair_of_sight_and_record_is_judged() {
+fn each_pair_of_observed_and_recorded_outcome_is_classified() {
     let records: Vec<(&str, String)> = vec![
         ("nothing", export(Vec::new())),
-        ("begun", export(vec![begun()])),
+        ("begun", export(vec![start_record()])),
         (
             "complete",
-            export(vec![begun(), ended(OutcomeKind::Complete)]),
+            export(vec![start_record(), end_record(OutcomeKind::Complete)]),
         ),
         (
             "incomplete",
-            export(vec![begun(), ended(OutcomeKind::Incomplete)]),
+            export(vec![start_record(), end_record(OutcomeKind::Incomplete)]),
+        ),
+        (
+            "not-run",
+            export(vec![start_record(), end_record(OutcomeKind::NotRun)]),
         ),
-        ("not-run", export(vec![begun(), ended(OutcomeKind::NotRun)])),
         (
             "unknown",
-            export(vec![begun(), ended(OutcomeKind::Unknown)]),
+            export(vec![start_record(), end_record(OutcomeKind::Unknown)]),
         ),
         (
             "twice",
-            export(vec![begun(), begun(), ended(OutcomeKind::Complete)]),
+            export(vec![
+                start_record(),
+                start_record(),
+                end_record(OutcomeKind::Complete),
+            ]),
         ),
     ];
-    let sights = [
-        ("complete", SeenOutcome::Complete, 1),
-        ("incomplete", SeenOutcome::Incomplete, 1),
-        ("not-run", SeenOutcome::NotRun, 0),
-        ("unknown", SeenOutcome::Unknown, 0),
-        ("broken", SeenOutcome::Broken, 0),
-        ("broken after a token", SeenOutcome::Broken, 1),
-        ("not sent", SeenOutcome::NotSent, 0),
+    let observations = [
+        ("complete", ObservedOutcome::Complete, 1),
+        ("incomplete", ObservedOutcome::Incomplete, 1),
+        ("not-run", ObservedOutcome::NotRun, 0),
+        ("unknown", ObservedOutcome::Unknown, 0),
+        ("broken", ObservedOutcome::Broken, 0),
+        ("broken after a token", ObservedOutcome::Broken, 1),
+        ("not sent", ObservedOutcome::NotSent, 0),
     ];
     let mut table = String::new();
-    for (name, seen, received) in sights {
+    for (name, observed, received) in observations {
         for (record, export) in &records {
-            let verdict = judged(seen, received, export);
-            table += &format!("{name} | {record} | {verdict}\n");
+            let class = classify(observed, received, export);
+            table += &format!("{name} | {record} | {class}\n");
         }
     }
     insta::assert_snapshot!(table, @r"
@@ -168,55 +182,75 @@
     ");
 }
 
+// Guards against an invalid record line that is skipped, or reported without its line number.
 #[test]
-fn a_line_that_is_no_record_is_named() {
-    let damaged = format!("{}{{\"record\":1}}", export(vec![begun()]));
-    let error = inspect(&[], &damaged).unwrap_err();
+fn an_invalid_record_line_is_reported_with_its_number() {
+    let damaged = format!("{}{{\"record\":1}}", export(vec![start_record()]));
+    let error = compare_with_evidence(&[], &damaged).unwrap_err();
     assert!(error.starts_with("line 2 of the export"), "{error}");
 }
 
-// A stream that went on at another entry is taken on there anew. Without that allowance each such
-// answer counted as false; with it, a second end or one more beginning than the caller made still
-// does.
+// Guards against reporting a resumed stream as contradicted: each entry that resumes it writes
+// another start record. A second end record, or more start records than the resumes explain, is
+// still a contradiction.
 #[test]
-fn a_stream_that_went_on_elsewhere_may_begin_once_more() {
-    let gone = ended(OutcomeKind::CallerGone);
-    let complete = ended(OutcomeKind::Complete);
+fn a_resumed_stream_may_have_one_more_start_record_per_resume() {
+    let gone = end_record(OutcomeKind::CallerGone);
+    let complete = end_record(OutcomeKind::Complete);
     let cases: Vec<(&str, usize, Vec<EvidenceEvent>)> = vec![
         (
             "first entry died",
             1,
-            vec![begun(), begun(), complete.clone()],
+            vec![start_record(), start_record(), complete.clone()],
         ),
         (
             "first entry lost its caller",
             1,
-            vec![begun(), gone.clone(), begun(), complete.clone()],
+            vec![
+                start_record(),
+                gone.clone(),
+                start_record(),
+                complete.clone(),
+            ],
         ),
         (
             "begun once too often",
             1,
-            vec![begun(), begun(), begun(), complete.clone()],
+            vec![
+                start_record(),
+                start_record(),
+                start_record(),
+                complete.clone(),
+            ],
         ),
         (
             "ended twice",
             1,
-            vec![begun(), complete.clone(), begun(), complete.clone()],
+            vec![
+                start_record(),
+                complete.clone(),
+                start_record(),
+                complete.clone(),
+            ],
         ),
         (
             "went away for good",
             1,
-            vec![begun(), begun(), gone.clone()],
+            vec![start_record(), start_record(), gone.clone()],
+        ),
+        (
+            "did not go on",
+            0,
+            vec![start_record(), gone, start_record(), complete],
         ),
-        ("did not go on", 0, vec![begun(), gone, begun(), complete]),
     ];
-    let verdict = |(name, resumes, events): (&str, usize, Vec<EvidenceEvent>)| {
+    let class = |(name, resumes, events): (&str, usize, Vec<EvidenceEvent>)| {
         format!(
             "{name}: {}",
-            judged_after(resumes, SeenOutcome::Complete, 1, &export(events))
+            classify_resumed(resumes, ObservedOutcome::Complete, 1, &export(events))
         )
     };
-    let table: Vec<String> = cases.into_iter().map(verdict).collect();
+    let table: Vec<String> = cases.into_iter().map(class).collect();
     insta::assert_snapshot!(table.join("\n"), @r"
     first entry died: agrees
     first entry lost its caller: false
