--- a/crates/standins/benches/capacity.rs
+++ b/crates/standins/benches/capacity.rs
@@ -1,5 +1,5 @@
-//! Cost of one ledger step and of one frame of renewals between peers.
-#![allow(missing_docs, reason = "the macros of the harness make public items")]
+//! Cost of one ledger step, and of encoding and decoding one frame of renewals between peers.
+#![allow(missing_docs, reason = "the macros of criterion generate public items")]
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 const STAGES: u32 = 4;
 const TOKENS: u32 = 208;
 const RENEWALS: u64 = 256;
-const FRAME_BOUND: usize = 1 << 20;
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
 fn route() -> Vec<ChainLink> {
     let span = LAYERS / STAGES;
@@ -49,7 +49,7 @@
     }
 }
 
-/// One answer, token by token; the time is that of one token.
+/// Accepts one answer token by token; the reported throughput is per token.
 fn ledger(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("ledger");
     group.throughput(Throughput::Elements(u64::from(TOKENS)));
@@ -99,9 +99,9 @@
         }
         let limit = usize::try_from(RENEWALS).unwrap_or(usize::MAX);
         let now = now.after(Duration::from_secs(2));
-        let (told, reached) =
+        let (new_batch, new_cursor) =
             table.batch(now, cursor, limit + 1, LeaseScope::Own, InitialSync::Full);
-        (batch, cursor) = (told, reached);
+        (batch, cursor) = (new_batch, new_cursor);
     }
     batch
 }
@@ -111,9 +111,9 @@
     group.throughput(Throughput::Elements(RENEWALS));
     let frame = PeerFrame::Leases(renewals());
     group.bench_function("encode", |bencher| {
-        bencher.iter(|| encode_frame(black_box(&frame), FRAME_BOUND));
+        bencher.iter(|| encode_frame(black_box(&frame), MAX_FRAME_BYTES));
     });
-    let Ok(bytes) = encode_frame(&frame, FRAME_BOUND) else {
+    let Ok(bytes) = encode_frame(&frame, MAX_FRAME_BYTES) else {
         return;
     };
     println!("{} bytes", bytes.len());
--- a/crates/standins/examples/evidence_cost/main.rs
+++ b/crates/standins/examples/evidence_cost/main.rs
@@ -1,7 +1,8 @@
-//! What recording evidence costs: the same load with the keepers storing each record, and with
-//! records acknowledged at once without any keeper, in turns within one run.
+//! Cost of recording evidence: runs the same load with keepers that store each record and with a
+//! sink that acknowledges records at once, in alternation within one run.
 //!
-//! Hosts, engines and callers share one process, so the figures compare the two and nothing else.
+//! Hosts, engines and callers share one process, so the results are only valid relative to each
+//! other.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -26,8 +27,8 @@
 const ENGINES: u32 = 8;
 const SELECTORS: &str = "kind: selector\nname: drafts\nmodel: draft\n---\nkind: selector\n\
                          name: portal\nservice: portal\n";
-/// Longest wait for hosts and backend servers to know each other.
-const GUARD: Duration = Duration::from_secs(30);
+/// Maximum time until all hosts are ready with the configuration in force.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Compares a load with and without evidence.
 #[derive(Clone, Debug, Bpaf)]
@@ -48,9 +49,9 @@
 }
 
 /// Acknowledges records without storing them.
-struct ForgetfulSink;
+struct DiscardingSink;
 
-impl EvidenceSink for ForgetfulSink {
+impl EvidenceSink for DiscardingSink {
     fn store(&self, sent: KeeperBatch) -> StoreFuture {
         let last = sent
             .batch
@@ -61,14 +62,14 @@
             match last {
                 Some(Ok(sealed)) => Ok(sealed.record.sequence),
                 _ => Err(SinkError::Later {
-                    reason: "the batch holds no record".to_owned(),
+                    reason: "the batch has no valid last record".to_owned(),
                 }),
             }
         })
     }
 }
 
-struct Turn {
+struct RunResult {
     calls: f64,
     tokens: f64,
     call_p50: Duration,
@@ -82,18 +83,18 @@
     println!("evidence   calls/s  tokens/s  call p50  first token p50");
     for turn in 0..options.turns {
         for recorded in [true, false] {
-            let seen = run_turn(&options, u64::from(turn), recorded).await?;
+            let result = run_turn(&options, u64::from(turn), recorded).await?;
             let name = if recorded { "keepers" } else { "none" };
             println!(
                 "{name:<8} {:>9.0} {:>9.0} {:>6.1} ms {:>13.1} ms",
-                seen.calls,
-                seen.tokens,
-                seen.call_p50.as_secs_f64() * 1e3,
-                seen.first_p50.as_secs_f64() * 1e3
+                result.calls,
+                result.tokens,
+                result.call_p50.as_secs_f64() * 1e3,
+                result.first_p50.as_secs_f64() * 1e3
             );
             let [with, without] = &mut sums;
             let sum = if recorded { with } else { without };
-            *sum = (sum.0 + seen.calls, sum.1 + seen.tokens);
+            *sum = (sum.0 + result.calls, sum.1 + result.tokens);
         }
     }
     let [with, without] = sums;
@@ -109,7 +110,7 @@
     options: &CostOptions,
     turn: u64,
     recorded: bool,
-) -> Result<Turn, Box<dyn Error>> {
+) -> Result<RunResult, Box<dyn Error>> {
     let folder = tempfile::tempdir()?;
     let builder = host_builder()?;
     let mut hosts = Vec::new();
@@ -121,7 +122,7 @@
             .map_err(|findings| findings.to_string())?;
         let sink: Option<Box<dyn EvidenceSink>> = match recorded {
             true => None,
-            false => Some(Box::new(ForgetfulSink)),
+            false => Some(Box::new(DiscardingSink)),
         };
         hosts.push({
             let extras = DaemonExtras {
@@ -136,7 +137,7 @@
         .iter()
         .map(|host| host.entry.to_string())
         .collect();
-    put_in_force(&hosts).await?;
+    apply_selectors(&hosts).await?;
     let _servers = start_servers(&entries).await?;
     let plan = LoadPlan {
         entries,
@@ -151,15 +152,18 @@
         id_prefix: format!("cost-{turn}"),
     };
     let report = run_load(&plan).await;
-    seen(&report)
+    result_of(&report)
 }
 
-fn seen(report: &LoadReport) -> Result<Turn, Box<dyn Error>> {
+fn result_of(report: &LoadReport) -> Result<RunResult, Box<dyn Error>> {
     if report.wrong + report.incomplete > 0 || report.complete == 0 {
-        return Err(format!("the load did not go through:\n{report}").into());
+        return Err(format!(
+            "the load has no complete answer, or wrong or incomplete ones:\n{report}"
+        )
+        .into());
     }
     let answered = f64::from(u32::try_from(report.calls.answered)?);
-    Ok(Turn {
+    Ok(RunResult {
         calls: answered / report.elapsed.as_secs_f64(),
         tokens: report.tokens_per_second(),
         call_p50: report.call_time(0.5),
@@ -172,25 +176,29 @@
     HostBuilder::new(HOSTS, HOSTS, digest(CUSTOMER_TOKEN), digest(OPERATOR_TOKEN))
 }
 
-async fn put_in_force(hosts: &[RouterDaemon]) -> Result<(), Box<dyn Error>> {
+async fn apply_selectors(hosts: &[RouterDaemon]) -> Result<(), Box<dyn Error>> {
     let change = ChangeRequest {
         change_id: "measure".into(),
         based_on: Revision(0),
         operator: "operator-1".into(),
         text: SELECTORS.into(),
     };
-    let first = hosts.first().ok_or("no host")?;
+    let first = hosts.first().ok_or("the group has no host")?;
     let command = ReplicatedCommand::ChangeConfiguration(change);
     first.node().submit(command).await?;
     let ready = async {
         for host in hosts {
-            let held = || host.node().configuration().map(|held| held.revision());
-            while held() != Ok(Revision(1)) || host.unready_reason().is_some() {
+            let revision = || {
+                host.node()
+                    .configuration()
+                    .map(|configuration| configuration.revision())
+            };
+            while revision() != Ok(Revision(1)) || host.unready_reason().is_some() {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         }
     };
-    tokio::time::timeout(GUARD, ready).await?;
+    tokio::time::timeout(READY_TIMEOUT, ready).await?;
     Ok(())
 }
 
@@ -208,7 +216,7 @@
     }
     let mut service = PlainService::start("portal-1", "portal", loopback()).await?;
     service.announce(entries.to_vec(), 1, "dc-a");
-    // Two heartbeats: by then every entry has heard of every server.
+    // After two heartbeats every entry knows every server.
     tokio::time::sleep(Duration::from_secs(2)).await;
     Ok((engines, service))
 }
--- a/crates/standins/examples/experiment/changes.rs
+++ b/crates/standins/examples/experiment/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration as customers grow: bytes and time.
+//! Size and processing time of configuration changes by number of customers.
 
 use pollendrift::peers::{ConfigurationFrame, FrameBytes, PeerFrame, encode_frame};
 use pollendrift_coordination::base::{Revision, WallTime};
@@ -13,14 +13,14 @@
 use crate::routing::{CUSTOMER_SIZES, customers_text};
 use crate::series::Series;
 
-const FRAME_BOUND: usize = 64 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
 pub(crate) fn run(_seed: u64) -> Vec<Series> {
-    let mut whole_bytes = Series::new("configuration, whole", "customers", "bytes");
+    let mut text_bytes = Series::new("configuration, whole", "customers", "bytes");
     let mut delta_bytes = Series::new("configuration, one edit as a delta", "customers", "bytes");
     let mut check = Series::new("parse and check a text", "customers", "us");
-    let mut take_whole = Series::new("follower takes a whole", "customers", "us");
-    let mut take_delta = Series::new("follower takes a delta", "customers", "us");
+    let mut apply_text = Series::new("follower takes a whole", "customers", "us");
+    let mut apply_delta = Series::new("follower takes a delta", "customers", "us");
     for size in CUSTOMER_SIZES {
         let mut log = ChangeLog::new(ChangeRetention::default());
         accept(&mut log, size, 5);
@@ -31,26 +31,26 @@
         }
         let delta = accept(&mut log, size, 6);
         let text = log.canonical().text();
-        let whole = ConfigurationFrame::Whole {
+        let text_frame = ConfigurationFrame::Whole {
             revision: log.revision(),
             content: FrameBytes::from(text.clone().into_bytes()),
         };
-        whole_bytes.add(size, frame_bytes(whole));
+        text_bytes.add(size, frame_bytes(text_frame));
         delta_bytes.add(size, frame_bytes(ConfigurationFrame::Push(delta.clone())));
         let input = customers_text(size, 6);
         check.add(
             size,
             micros_per_call(|| ParsedConfiguration::parse("experiment", &input)),
         );
-        take_whole.add(
+        apply_text.add(
             size,
             micros_per_call(|| FollowedConfiguration::default().apply_text(Revision(2), &text)),
         );
-        let cloning = micros_per_call(|| follower.clone());
-        let taking = micros_per_call(|| follower.clone().apply_delta(&delta));
-        take_delta.add(size, (taking - cloning).max(0.0));
+        let clone_time = micros_per_call(|| follower.clone());
+        let total_time = micros_per_call(|| follower.clone().apply_delta(&delta));
+        apply_delta.add(size, (total_time - clone_time).max(0.0));
     }
-    vec![whole_bytes, delta_bytes, check, take_whole, take_delta]
+    vec![text_bytes, delta_bytes, check, apply_text, apply_delta]
 }
 
 fn accept(log: &mut ChangeLog, customers: usize, weight: u32) -> ConfigurationDelta {
@@ -69,7 +69,7 @@
 }
 
 fn frame_bytes(frame: ConfigurationFrame) -> f64 {
-    match encode_frame(&PeerFrame::Configuration(frame), FRAME_BOUND) {
+    match encode_frame(&PeerFrame::Configuration(frame), MAX_FRAME_BYTES) {
         Ok(bytes) => bytes.len() as f64,
         Err(error) => fail(&error.to_string()),
     }
--- a/crates/standins/examples/experiment/clock.rs
+++ b/crates/standins/examples/experiment/clock.rs
@@ -1,14 +1,14 @@
-//! Times calls.
+//! Measures the duration of calls.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Shortest time that one round of calls takes.
+/// Minimum duration of one round of calls.
 const ROUND: Duration = Duration::from_millis(20);
-/// Rounds; the quickest counts, since what else runs on the machine only adds.
+/// Number of rounds; the fastest counts, because other load on the machine only adds time.
 const ROUNDS: u32 = 5;
 
-/// Microseconds of one call.
+/// Microseconds per call in the fastest round.
 pub(crate) fn micros_per_call<F, T>(mut call: F) -> f64
 where
     F: FnMut() -> T,
--- a/crates/standins/examples/experiment/fleet.rs
+++ b/crates/standins/examples/experiment/fleet.rs
@@ -22,15 +22,15 @@
 const SPAN_LAYERS: u32 = 16;
 /// Engines of one pipeline of each model; they share a data centre and a kind.
 const PIPELINES: usize = MODELS * SPANS;
-/// One in so many servers is a plain service.
-const SERVICE_PART: usize = 14;
-/// Plain services.
+/// One in this many servers is a plain service.
+const SERVICE_INTERVAL: usize = 14;
+/// Number of different plain services.
 const SERVICES: usize = 3;
 
-/// Time at which every lease of a filled fleet runs.
+/// Time at which every lease of a filled fleet is valid.
 pub(crate) const FILLED_AT: MonotonicTime = MonotonicTime::from_millis(60_000);
 
-/// Makes announcements.
+/// Generates announcements with seeded loads.
 pub(crate) struct Announcer {
     rng: ChaCha8Rng,
 }
@@ -52,7 +52,7 @@
             data_centre: format!("centre-{}", index / PIPELINES % DATA_CENTRES),
             state: AnnouncementState::Serving,
             checks_fencing: index.is_multiple_of(2),
-            offer: if index % SERVICE_PART == SERVICE_PART - 1 {
+            offer: if index % SERVICE_INTERVAL == SERVICE_INTERVAL - 1 {
                 service(index)
             } else {
                 engine(index)
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A load that swings by a tenth about its mean, as between two heartbeats.
+    /// Random load that varies by at most a tenth around its mean, like between two heartbeats.
     fn load(&mut self) -> ServerLoad {
         ServerLoad {
             running: self.rng.random_range(38..=42),
@@ -74,7 +74,7 @@
 
 fn service(index: usize) -> ServerOffer {
     ServerOffer::Service(ServiceOffer {
-        service: format!("service-{}", index / SERVICE_PART % SERVICES),
+        service: format!("service-{}", index / SERVICE_INTERVAL % SERVICES),
         slots: 32,
     })
 }
@@ -108,7 +108,7 @@
     })
 }
 
-/// A fleet of `servers` whose leases run, and the announcer that made it.
+/// Fleet of `servers` with valid leases, and the announcer that generated their announcements.
 pub(crate) fn filled(seed: u64, servers: usize) -> (Arc<BackendFleet>, Announcer) {
     let fleet = BackendFleet::new(
         BackendLeaseSettings::default(),
@@ -117,7 +117,7 @@
     );
     let mut announcer = Announcer::new(seed);
     for sequence in 1..=2 {
-        // Slow starts are over by the second heartbeat.
+        // Slow start ends before the second heartbeat.
         let now = MonotonicTime::from_micros(sequence * FILLED_AT.as_micros() / 2);
         for index in 0..servers {
             if let Err(error) = fleet.announce(now, &announcer.heartbeat(index, sequence)) {
--- a/crates/standins/examples/experiment/main.rs
+++ b/crates/standins/examples/experiment/main.rs
@@ -1,8 +1,8 @@
-//! Measures how the cost of decisions, messages and state grows with the installation.
+//! Measures how the cost of decisions, messages and state grows with the size of the installation.
 //!
-//! Drives the pure tables, the daemon's fleet and the codecs at growing sizes with seeded input,
-//! fits a slope to each series and prints one table. It models no network: it feeds tables, counts
-//! bytes and times calls. Counts depend on the seed alone; times on the machine.
+//! Runs the tables, the fleet of the daemon and the codecs at growing sizes with seeded input, fits
+//! a line to each series and prints one table. It simulates no network: it fills tables, counts
+//! bytes and measures calls. Counts depend only on the seed; times also depend on the machine.
 
 mod changes;
 mod chart;
@@ -35,10 +35,10 @@
     out: Option<PathBuf>,
 }
 
-/// Measures one part.
+/// Function that measures one part with a seed.
 type PartRun = fn(u64) -> Vec<Series>;
 
-/// Parts, alphabetically but for the memory, which is measured in a fresh process.
+/// Parts in alphabetical order, except that memory runs first, before other parts allocate.
 const PARTS: [(&str, PartRun); 5] = [
     ("memory", memory::run),
     ("changes", changes::run),
@@ -47,7 +47,7 @@
     ("spreading", spreading::run),
 ];
 
-/// Ends the program with a message.
+/// Prints a message and exits with 1.
 fn fail(message: &str) -> ! {
     eprintln!("{message}");
     std::process::exit(1)
@@ -57,7 +57,9 @@
     let options = options().run();
     let is_known = |name: &String| PARTS.iter().any(|(part, _)| part == name);
     if let Some(name) = options.only.iter().find(|name| !is_known(name)) {
-        fail(&format!("there is no part `{name}`"));
+        fail(&format!(
+            "unknown part `{name}`: expected changes, memory, records, routing or spreading"
+        ));
     }
     let mut measured = Vec::new();
     for (name, run) in PARTS {
--- a/crates/standins/examples/experiment/memory.rs
+++ b/crates/standins/examples/experiment/memory.rs
@@ -1,7 +1,7 @@
-//! Resident memory of what a daemon holds, as it grows.
+//! Resident memory of the tables of a daemon by size.
 //!
-//! Reads the resident size of this process before and after each structure is made. What is made is
-//! kept, and this part runs first: else freed memory of earlier work would hide what is taken.
+//! Reads the resident size of this process before and after each structure is created. Structures
+//! are never freed, and this part runs first. Otherwise reuse of freed memory would hide growth.
 
 use pollendrift_coordination::base::Revision;
 use pollendrift_coordination::configuration::FollowedConfiguration;
@@ -32,24 +32,24 @@
     vec![servers, customers, ledgers]
 }
 
-/// Resident KiB that what `make` returns takes; it is kept for good, so that the next one can't
-/// be put where it stood.
+/// Growth of the resident size, in KiB, by the result of `make`. The result is leaked, so that the
+/// next one can't reuse its memory.
 fn growth<F, T>(make: F) -> f64
 where
     F: FnOnce() -> T,
 {
-    let before = resident();
-    let made = make();
-    let after = resident();
-    std::mem::forget(made);
+    let before = resident_kib();
+    let value = make();
+    let after = resident_kib();
+    std::mem::forget(value);
     after - before
 }
 
-fn resident() -> f64 {
+fn resident_kib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok());
-    kib.unwrap_or_else(|| fail("the resident size can't be read"))
+    kib.unwrap_or_else(|| fail("no VmRSS line with a number in /proc/self/status"))
 }
 
 fn follow(customers: usize) -> FollowedConfiguration {
--- a/crates/standins/examples/experiment/records.rs
+++ b/crates/standins/examples/experiment/records.rs
@@ -1,4 +1,4 @@
-//! Claims and evidence: bytes and time of each as what is held grows.
+//! Size and processing time of claims and evidence records by number of stored ones.
 
 use pollendrift_coordination::agreement::{LogIndex, StateMachine};
 use pollendrift_coordination::base::{Incarnation, MonotonicTime, SequenceNumber, WallTime};
@@ -29,7 +29,7 @@
 
 fn measure_claims() -> Vec<Series> {
     let mut snapshot = Series::new("snapshot of settled claims", "claims", "bytes");
-    let mut both = Series::new("take and settle a claim", "claims", "us");
+    let mut duration = Series::new("take and settle a claim", "claims", "us");
     let mut command = Series::new("commands of one claim, encoded", "claims", "bytes");
     for size in CLAIM_SIZES {
         let mut state = ReplicatedState::new(ReplicatedSettings::default());
@@ -41,9 +41,9 @@
             claim(&mut state, number);
             number += 1;
         });
-        both.add(count(size), micros);
+        duration.add(count(size), micros);
     }
-    vec![snapshot, command, both]
+    vec![snapshot, command, duration]
 }
 
 fn count(size: u64) -> usize {
@@ -132,11 +132,11 @@
         host: "host-1".into(),
         incarnation: Incarnation(7),
     };
-    let bounds = BufferSettings {
+    let settings = BufferSettings {
         max_batch_records: usize::MAX,
         ..BufferSettings::default()
     };
-    let mut buffer = EvidenceBuffer::new(writer, bounds, ["keeper-1".into()]);
+    let mut buffer = EvidenceBuffer::new(writer, settings, ["keeper-1".into()]);
     for number in 0..records {
         let event = EvidenceEvent::RequestBegun(RequestBegun {
             request: format!("host-1-7-{number:06}").into(),
--- a/crates/standins/examples/experiment/routing.rs
+++ b/crates/standins/examples/experiment/routing.rs
@@ -1,4 +1,4 @@
-//! Decisions for requests as backend servers and customers grow.
+//! Duration of request decisions by number of backend servers and customers.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 pub(crate) const SERVER_SIZES: [usize; 4] = [40, 400, 4_000, 12_000];
 pub(crate) const CUSTOMER_SIZES: [usize; 4] = [10, 100, 400, 1_600];
 
-/// Selectors of the measured drafts: all engines, one kind of four, one data centre of fourteen,
+/// Selectors of the measured drafts, which allow all engines, one kind of 4, one data centre of 14,
 /// and none.
 const ROUTING_TEXT: &str = "kind: selector\nname: every\nmodel: model-0\n---\n\
     kind: selector\nname: kind\nmodel: model-0\nallow: {matchLabels: {announced/kind: kind-0}}\n---\n\
@@ -134,7 +134,8 @@
     vec![select, labels]
 }
 
-/// A text with a label rule and a selector for each customer; `weight` is that of the last one.
+/// Configuration text with a label rule and a selector per customer. `weight` is the weight label
+/// of the last customer; the others have weight 5.
 pub(crate) fn customers_text(customers: usize, weight: u32) -> Arc<str> {
     let document = |customer: usize| {
         let weight = if customer + 1 == customers { weight } else { 5 };
--- a/crates/standins/examples/experiment/series.rs
+++ b/crates/standins/examples/experiment/series.rs
@@ -1,4 +1,4 @@
-//! Measured series: samples at growing sizes, and the line that fits them.
+//! Measured series: samples at growing sizes and a fitted line.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Series {
     pub(crate) name: &'static str,
-    /// What `size` counts.
+    /// Objects that `size` counts.
     pub(crate) over: &'static str,
     /// Unit of `value`.
     pub(crate) unit: &'static str,
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FittedLine {
     pub(crate) base: f64,
-    /// Growth of the value for one more of what `size` counts.
+    /// Growth of the value per unit of `size`.
     pub(crate) slope: f64,
 }
 
@@ -48,13 +48,17 @@
         let count = self.samples.len() as f64;
         let mean = |of: fn(&Sample) -> f64| self.samples.iter().map(of).sum::<f64>() / count;
         let (size, value) = (mean(|s| s.size), mean(|s| s.value));
-        let mut together = 0.0;
-        let mut spread = 0.0;
+        let mut covariance = 0.0;
+        let mut variance = 0.0;
         for sample in &self.samples {
-            together += (sample.size - size) * (sample.value - value);
-            spread += (sample.size - size).powi(2);
+            covariance += (sample.size - size) * (sample.value - value);
+            variance += (sample.size - size).powi(2);
         }
-        let slope = if spread > 0.0 { together / spread } else { 0.0 };
+        let slope = if variance > 0.0 {
+            covariance / variance
+        } else {
+            0.0
+        };
         FittedLine {
             base: value - slope * size,
             slope,
--- a/crates/standins/examples/experiment/spreading.rs
+++ b/crates/standins/examples/experiment/spreading.rs
@@ -1,4 +1,5 @@
-//! Leases and load between hosts: bytes and time of one heartbeat of every server.
+//! Replication of leases and load between hosts: size and processing time of one heartbeat of every
+//! server.
 
 use std::time::Duration;
 
@@ -17,10 +18,10 @@
 use crate::routing::SERVER_SIZES;
 use crate::series::Series;
 
-const FRAME_BOUND: usize = 64 * 1024 * 1024;
-/// Leases in one frame, as the daemon sends them.
+const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum leases in one frame, as in the daemon.
 const FRAME_LEASES: usize = 256;
-/// Heartbeats over which the mean is taken; in each of them every server is heard once.
+/// Number of averaged heartbeats; in each, every server announces itself once.
 const HEARTBEATS: u64 = 16;
 const HEARTBEAT: Duration = Duration::from_secs(1);
 const HOST_SIZES: [usize; 5] = [9, 40, 100, 200, 400];
@@ -28,13 +29,13 @@
 const SUBSET_SERVERS: usize = 12_000;
 
 pub(crate) fn run(seed: u64) -> Vec<Series> {
-    let mut measured = measure_spread(seed);
+    let mut measured = measure_replication(seed);
     measured.extend(measure_merge(seed));
     measured.extend(measure_subsets());
     measured
 }
 
-/// Frames that bring a peer that was told up to `cursor` up to date, and how far they reach.
+/// Frames with all changes after `cursor`, and the cursor after them.
 fn frames_since(
     fleet: &BackendFleet,
     now: MonotonicTime,
@@ -60,20 +61,20 @@
 fn encoded_bytes(frames: &[LeaseBatch]) -> usize {
     let bytes = |batch: &LeaseBatch| {
         let frame = PeerFrame::Leases(batch.clone());
-        encode_frame(&frame, FRAME_BOUND).map_or(0, |bytes| bytes.len())
+        encode_frame(&frame, MAX_FRAME_BYTES).map_or(0, |bytes| bytes.len())
     };
     frames.iter().map(bytes).sum()
 }
 
-fn measure_spread(seed: u64) -> Vec<Series> {
+fn measure_replication(seed: u64) -> Vec<Series> {
     let mut full = Series::new("all leases in full, to one peer", "servers", "bytes");
     let mut renewed = Series::new("one heartbeat of all, to one peer", "servers", "bytes");
-    let mut told = Series::new("servers whose load was told, of 100", "servers", "percent");
+    let mut sent_loads = Series::new("servers whose load was told, of 100", "servers", "percent");
     let mut encode = Series::new("encode one heartbeat of all", "servers", "us");
     for size in SERVER_SIZES {
         let (fleet, mut announcer) = filled(seed, size);
-        let (whole, mut cursor) = frames_since(&fleet, FILLED_AT, DeltaCursor::default());
-        full.add(size, encoded_bytes(&whole) as f64);
+        let (full_frames, mut cursor) = frames_since(&fleet, FILLED_AT, DeltaCursor::default());
+        full.add(size, encoded_bytes(&full_frames) as f64);
         let mut bytes = 0;
         let mut loads = 0;
         let mut last = Vec::new();
@@ -93,10 +94,10 @@
         }
         let beats = HEARTBEATS as f64;
         renewed.add(size, bytes as f64 / beats);
-        told.add(size, loads as f64 * 100.0 / beats / size as f64);
+        sent_loads.add(size, loads as f64 * 100.0 / beats / size as f64);
         encode.add(size, micros_per_call(|| encoded_bytes(&last)));
     }
-    vec![full, renewed, told, encode]
+    vec![full, renewed, sent_loads, encode]
 }
 
 fn includes_load(named: &NamedLease) -> bool {
@@ -120,30 +121,31 @@
     }
 }
 
-/// Time in which a host takes one heartbeat of every server that a peer heard.
+/// Time to decode and merge one heartbeat of every server, received from a peer.
 fn measure_merge(seed: u64) -> Vec<Series> {
     let mut full = Series::new("decode and take all leases in full", "servers", "us");
     let mut renewed = Series::new("decode and take a heartbeat of all", "servers", "us");
     for size in SERVER_SIZES {
         let (fleet, mut announcer) = filled(seed, size);
         let (_, cursor) = frames_since(&fleet, FILLED_AT, DeltaCursor::default());
-        let (whole, _) = frames_since(&fleet, FILLED_AT, DeltaCursor::default());
+        let (full_frames, _) = frames_since(&fleet, FILLED_AT, DeltaCursor::default());
         let receiver = || {
             let routing = RoutingSettings::default();
             BackendFleet::new(BackendLeaseSettings::default(), routing, seed)
         };
-        let whole = encode_all(&whole);
-        // The first run only warms up; a receiver that holds the leases already would do less.
+        let full_frames = encode_all(&full_frames);
+        // The first run warms up. Each run needs a new receiver: one that already has the leases
+        // would do less work.
         for _ in 0..2 {
             let peer = receiver();
             let start = std::time::Instant::now();
-            take_all(&peer, FILLED_AT, &whole);
+            merge_all(&peer, FILLED_AT, &full_frames);
             let micros = start.elapsed().as_secs_f64() * 1e6;
             full.samples.retain(|sample| sample.size != size as f64);
             full.add(size, micros);
         }
         let peer = receiver();
-        take_all(&peer, FILLED_AT, &whole);
+        merge_all(&peer, FILLED_AT, &full_frames);
         let mut cursor = cursor;
         let mut micros = f64::INFINITY;
         let mut now = FILLED_AT;
@@ -154,11 +156,11 @@
             cursor = reached;
             let frames = encode_all(&frames);
             let start = std::time::Instant::now();
-            take_all(&peer, now, &frames);
+            merge_all(&peer, now, &frames);
             micros = micros.min(start.elapsed().as_secs_f64() * 1e6);
         }
         if peer.serving(now).len() != size {
-            fail("a receiver of renewals holds other servers than their sender");
+            fail("a receiver of renewals has another number of servers than the sender");
         }
         renewed.add(size, micros);
     }
@@ -168,7 +170,7 @@
 fn encode_all(frames: &[LeaseBatch]) -> Vec<Vec<u8>> {
     let encode = |batch: &LeaseBatch| {
         let frame = PeerFrame::Leases(batch.clone());
-        match encode_frame(&frame, FRAME_BOUND) {
+        match encode_frame(&frame, MAX_FRAME_BYTES) {
             Ok(bytes) => bytes.to_vec(),
             Err(error) => fail(&error.to_string()),
         }
@@ -176,20 +178,20 @@
     frames.iter().map(encode).collect()
 }
 
-fn take_all(fleet: &BackendFleet, now: MonotonicTime, frames: &[Vec<u8>]) {
+fn merge_all(fleet: &BackendFleet, now: MonotonicTime, frames: &[Vec<u8>]) {
     let sender = HostName::from("sender");
     for bytes in frames {
         let Ok(PeerFrame::Leases(batch)) = decode_frame(bytes) else {
-            fail("an encoded frame can't be read");
+            fail("an encoded frame can't be decoded as leases");
         };
         fleet.merge_batch(now, (&sender, LeaseSource::Peer), batch, Duration::ZERO);
     }
 }
 
-/// Servers that each entry works with, if they are shared out.
+/// Number of servers per entry if each entry uses a subset of the servers.
 fn measure_subsets() -> Vec<Series> {
     let mut mean = Series::new("servers of an entry, overlap 4, mean", "hosts", "servers");
-    let mut most = Series::new("servers of an entry, overlap 4, most", "hosts", "servers");
+    let mut maximum = Series::new("servers of an entry, overlap 4, most", "hosts", "servers");
     let mut cost = Series::new("entries of one server", "hosts", "us");
     let settings = SubsetSettings::default();
     let region = |centre: usize| format!("region-{}", centre % REGIONS).into();
@@ -209,12 +211,15 @@
         }
         let total: usize = shares.values().sum();
         mean.add(size, total as f64 / size as f64);
-        most.add(size, shares.values().max().map_or(0.0, |most| *most as f64));
+        maximum.add(
+            size,
+            shares.values().max().map_or(0.0, |count| *count as f64),
+        );
         let server = ServerName::from("engine-00001");
         cost.add(
             size,
             micros_per_call(|| entries_of(&settings, &server, &region(1), &hosts).len()),
         );
     }
-    vec![mean, most, cost]
+    vec![mean, maximum, cost]
 }
--- a/crates/standins/examples/in_force/main.rs
+++ b/crates/standins/examples/in_force/main.rs
@@ -1,5 +1,6 @@
-//! Times of the agreed state on nine hosts over loopback in one process: from a change's acceptance
-//! until it is in force everywhere, and from the leader's loss until the next accepted change.
+//! Latencies of the replicated state on nine hosts in one process over loopback: from the
+//! acceptance of a change until it is in force on all hosts, and from the loss of the leader until
+//! the next accepted change.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -20,7 +21,7 @@
 
 const HOSTS: usize = 9;
 const KEEPERS: usize = 3;
-/// A host that is no keeper; changes go through it.
+/// Index of the host that submits changes; it is not a keeper.
 const PROPOSER: usize = 5;
 
 /// Measures how soon changes are in force, and how soon they are accepted after a loss.
@@ -47,7 +48,7 @@
     }
 }
 
-struct HostSet {
+struct HostCluster {
     builder: HostBuilder,
     folders: Vec<tempfile::TempDir>,
     hosts: Vec<Option<RouterDaemon>>,
@@ -55,34 +56,34 @@
 }
 
 async fn run(options: &InForceOptions) -> Result<(), Box<dyn Error>> {
-    let mut set = HostSet::start().await?;
+    let mut cluster = HostCluster::start().await?;
     let mut accepted = histogram()?;
-    let mut everywhere = histogram()?;
+    let mut in_force = histogram()?;
     for number in 0..options.changes {
         let sent_at = Instant::now();
-        set.change(&format!("change-{number}")).await?;
+        cluster.change(&format!("change-{number}")).await?;
         let accepted_at = Instant::now();
         record(&mut accepted, accepted_at - sent_at);
-        set.wait_everywhere().await;
-        record(&mut everywhere, accepted_at.elapsed());
+        cluster.wait_in_force().await;
+        record(&mut in_force, accepted_at.elapsed());
     }
     print("a change accepted", &accepted);
-    print("in force on all nine, from its acceptance", &everywhere);
+    print("in force on all nine, from its acceptance", &in_force);
     let mut recovered = histogram()?;
     for number in 0..options.losses {
-        let leader = set.leader().await;
+        let leader = cluster.leader().await;
         let lost_at = Instant::now();
-        set.hosts[leader] = None;
-        set.change(&format!("loss-{number}")).await?;
+        cluster.hosts[leader] = None;
+        cluster.change(&format!("loss-{number}")).await?;
         record(&mut recovered, lost_at.elapsed());
-        set.restart(leader).await?;
-        set.wait_everywhere().await;
+        cluster.restart(leader).await?;
+        cluster.wait_in_force().await;
     }
     print("next change accepted after the leader's loss", &recovered);
     Ok(())
 }
 
-impl HostSet {
+impl HostCluster {
     async fn start() -> Result<Self, Box<dyn Error>> {
         let digest = |token: &str| TokenDigest::of(token.as_bytes()).to_hex();
         let builder = HostBuilder::new(
@@ -96,17 +97,17 @@
             folders.push(tempfile::tempdir()?);
         }
         let hosts = (0..HOSTS).map(|_| None).collect();
-        let mut set = Self {
+        let mut cluster = Self {
             builder,
             folders,
             hosts,
             revision: Revision(0),
         };
         for index in 0..HOSTS {
-            set.restart(index).await?;
+            cluster.restart(index).await?;
         }
-        set.wait_everywhere().await;
-        Ok(set)
+        cluster.wait_in_force().await;
+        Ok(cluster)
     }
 
     async fn restart(&mut self, index: usize) -> Result<(), Box<dyn Error>> {
@@ -115,7 +116,7 @@
             .map_err(|findings| findings.to_string())?;
         let deadline = Instant::now() + Duration::from_secs(20);
         loop {
-            // The folder and the ports of a lost host are free once its tasks have ended.
+            // The folder and ports of a stopped host become free when its tasks end.
             match RouterDaemon::start(&loaded.settings, Vec::new()).await {
                 Ok(daemon) => {
                     self.hosts[index] = Some(daemon);
@@ -136,7 +137,7 @@
         };
         let proposer = self.hosts[PROPOSER]
             .as_ref()
-            .ok_or("the proposer is gone")?;
+            .ok_or("the proposer is not running")?;
         loop {
             let command = ReplicatedCommand::ChangeConfiguration(change.clone());
             match proposer.node().submit(command).await {
@@ -145,15 +146,20 @@
                     return Ok(());
                 }
                 Ok(other) => return Err(format!("not accepted: {other:?}").into()),
-                // Sent again under the same change id until it is answered.
+                // Resends under the same change id until an answer arrives.
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
             }
         }
     }
 
-    async fn wait_everywhere(&self) {
+    async fn wait_in_force(&self) {
         for host in self.hosts.iter().flatten() {
-            while host.node().configuration().map(|held| held.revision()) != Ok(self.revision) {
+            while host
+                .node()
+                .configuration()
+                .map(|configuration| configuration.revision())
+                != Ok(self.revision)
+            {
                 tokio::time::sleep(Duration::from_micros(200)).await;
             }
         }
--- a/crates/standins/examples/inspect/main.rs
+++ b/crates/standins/examples/inspect/main.rs
@@ -1,7 +1,7 @@
-//! Inspect: compares the requests that a load sent with an export of evidence.
+//! Compares the requests of a load with an export of evidence.
 //!
-//! Exits 1 if a request is missing from evidence, or evidence says another outcome than its
-//! caller saw.
+//! Exits with 1 if a request is missing from the evidence, or its recorded outcome contradicts the
+//! outcome that its caller observed.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
--- a/crates/standins/examples/load/main.rs
+++ b/crates/standins/examples/load/main.rs
@@ -1,6 +1,6 @@
-//! Load: starts stand-in engines and services, sends checked requests through running daemons.
+//! Starts stand-in engines and services, and sends checked requests through running daemons.
 //!
-//! Exits 1 if an answer was wrong or incomplete, or a keyed call ran more than once.
+//! Exits with 1 if an answer is wrong or incomplete, or a keyed call ran more than once.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -67,7 +67,7 @@
     let shape = ModelShape::default();
     let mut engines = start_engines(options, &shape).await?;
     let services = start_services(options).await?;
-    // Two heartbeats: by then every entry has heard of every server.
+    // After two heartbeats every entry knows every server.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let plan = LoadPlan {
         entries: options.entry.clone(),
@@ -89,16 +89,16 @@
     if let Some(file) = &options.sent {
         write_sent(file, &report.sent)?;
     }
-    let doubled = services.iter().flat_map(|service| service.runs()).fold(
+    let runs_by_key = services.iter().flat_map(|service| service.runs()).fold(
         std::collections::BTreeMap::<String, u64>::new(),
         |mut runs, (key, count)| {
             *runs.entry(key).or_default() += count;
             runs
         },
     );
-    let doubled = doubled.values().filter(|count| **count > 1).count();
-    println!("doubled keyed runs {doubled}");
-    Ok(report.wrong == 0 && report.incomplete == 0 && doubled == 0)
+    let repeated = runs_by_key.values().filter(|count| **count > 1).count();
+    println!("doubled keyed runs {repeated}");
+    Ok(report.wrong == 0 && report.incomplete == 0 && repeated == 0)
 }
 
 fn write_sent(file: &Path, sent: &[SentRequest]) -> std::io::Result<()> {
@@ -130,7 +130,7 @@
     let offer = mixed_engines(shape, options.engines)
         .into_iter()
         .nth(usize::try_from(index).unwrap_or(0));
-    let offer = offer.ok_or_else(|| std::io::Error::other("no such engine"))?;
+    let offer = offer.ok_or_else(|| std::io::Error::other("no engine with this index"))?;
     let settings = EngineSettings {
         server: format!("engine-{index}"),
         offer,
@@ -156,9 +156,9 @@
 }
 
 fn data_centre(index: u32) -> &'static str {
-    let turn = usize::try_from(index % 3).unwrap_or(0);
+    let position = usize::try_from(index % 3).unwrap_or(0);
     ["dc-a", "dc-b", "dc-c"]
-        .get(turn)
+        .get(position)
         .copied()
         .unwrap_or("dc-a")
 }
@@ -176,8 +176,8 @@
         tokio::time::sleep(Duration::from_millis(options.kill_every)).await;
         let index = round % engines.len();
         round += 1;
-        let life = u64::try_from(round).unwrap_or(0);
-        let incarnation = fresh_incarnation().saturating_add(life);
+        let number = u64::try_from(round).unwrap_or(0);
+        let incarnation = fresh_incarnation().saturating_add(number);
         let started = start_engine(
             options,
             shape,
@@ -186,10 +186,10 @@
         )
         .await;
         match (started, engines.get_mut(index)) {
-            // The old engine is dropped here, which cuts its connections as a crash does.
+            // Drops the old engine, which closes its connections as a crash does.
             (Ok(engine), Some(slot)) => *slot = engine,
             (Err(error), _) => return error,
-            (Ok(_), None) => return std::io::Error::other("no such engine"),
+            (Ok(_), None) => return std::io::Error::other("no engine with this index"),
         }
     }
 }
--- a/crates/standins/examples/overhead/main.rs
+++ b/crates/standins/examples/overhead/main.rs
@@ -1,5 +1,5 @@
-//! Overhead: what the daemon adds to a streamed token and to a plain call, against calling the
-//! stand-ins directly in the same run, over loopback in one process.
+//! Latency that the daemon adds to a streamed token and to a plain call, compared with direct calls
+//! of the stand-ins in the same run, over loopback in one process.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -29,8 +29,8 @@
 const SELECTORS: &str = "kind: selector\nname: drafts\nmodel: draft\n---\nkind: selector\nname: portal\nservice: portal\n";
 const PROMPT: &str = "valve isolation list";
 const TOKENS: u32 = 100;
-/// Rate at which an engine's own time vanishes beside the wire's.
-const FAST: u64 = 10_000_000;
+/// Tokens per second at which computation time is negligible compared with the network.
+const FAST_RATE: u64 = 10_000_000;
 
 /// Measures what the daemon adds to a streamed token and to a plain call.
 #[derive(Clone, Debug, Bpaf)]
@@ -69,7 +69,7 @@
     let mut routed_tokens = histogram()?;
     let mut direct_calls = histogram()?;
     let mut routed_calls = histogram()?;
-    // One after the other in turns, so that a busy machine slows both ways alike.
+    // Alternates the two paths, so that load on the machine slows both equally.
     for round in 0..options.rounds {
         bench.direct_draft(round, &mut direct_tokens).await?;
         bench.routed_draft(&mut routed_tokens).await?;
@@ -113,8 +113,8 @@
     let shape = ModelShape::default();
     let mut engines = Vec::new();
     for (index, mut offer) in mixed_engines(&shape, 4).into_iter().enumerate() {
-        offer.decode_tokens_per_second = FAST;
-        offer.prefill_tokens_per_second = FAST;
+        offer.decode_tokens_per_second = FAST_RATE;
+        offer.prefill_tokens_per_second = FAST_RATE;
         let settings = EngineSettings {
             server: format!("engine-{index}"),
             offer,
@@ -134,18 +134,18 @@
         client,
         shape,
     };
-    bench.wait().await?;
+    bench.wait_until_ready().await?;
     Ok(bench)
 }
 
 impl Bench {
-    /// Waits until the host serves drafts and calls.
-    async fn wait(&self) -> Result<(), Box<dyn Error>> {
+    /// Waits until the host serves drafts and calls; an error after 20 seconds.
+    async fn wait_until_ready(&self) -> Result<(), Box<dyn Error>> {
         let deadline = Instant::now() + Duration::from_secs(20);
         let mut unused = histogram()?;
         while Instant::now() < deadline {
-            let drafted = self.routed_draft(&mut unused).await.is_ok();
-            if drafted
+            let draft_succeeded = self.routed_draft(&mut unused).await.is_ok();
+            if draft_succeeded
                 && self
                     .call(&self.entry, "/services/portal/dossiers/7", &mut unused)
                     .await
@@ -155,7 +155,7 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        Err("the host did not get ready".into())
+        Err("the host did not serve a draft and a call within 20 s".into())
     }
 
     async fn direct_draft(
@@ -257,14 +257,14 @@
 
 fn print_pair(name: &str, direct: &Histogram<u64>, routed: &Histogram<u64>) {
     for quantile in [0.5, 0.99] {
-        let (plain, through) = (
+        let (direct_time, routed_time) = (
             direct.value_at_quantile(quantile),
             routed.value_at_quantile(quantile),
         );
         println!(
-            "{name:15} p{:<2} direct {plain} us, through the daemon {through} us, added {} us ({} samples)",
+            "{name:15} p{:<2} direct {direct_time} us, through the daemon {routed_time} us, added {} us ({} samples)",
             quantile * 100.0,
-            i128::from(through) - i128::from(plain),
+            i128::from(routed_time) - i128::from(direct_time),
             routed.len()
         );
     }
--- a/crates/standins/examples/policies/cache.rs
+++ b/crates/standins/examples/policies/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix caches of the fake engines, and the late events that tell of them.
+//! Prefix caches of the simulated engines and their delayed cache events.
 
 use pollendrift_coordination::base::{Incarnation, SequenceNumber};
 use pollendrift_coordination::routing::{
@@ -7,28 +7,28 @@
 
 use crate::experiment::{Event, Experiment, Job, REPORT_AGE, Sequence, SequenceKey};
 
-/// Generated tokens after which engines publish a longer prefix.
+/// Number of generated tokens after which engines publish a longer prefix.
 pub(crate) const BLOCK: u32 = 64;
 
-/// Prefixes that one request can have: its prompt and its blocks.
+/// Maximum prefixes of one request: its prompt, and one per block.
 const MAX_PREFIXES: u64 = 16;
 
-/// A cache event on its way.
+/// A cache event that has not arrived yet.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct CacheNews {
+pub(crate) struct DelayedCacheEvent {
     engine: usize,
     job: u64,
-    /// Block that was stored; none where all of the request is evicted.
+    /// Stored block; `None` if all blocks of the request are evicted.
     stored: Option<u32>,
 }
 
 impl Experiment {
-    /// Prefixes of a request that goes on after a loss; a new one shares none.
+    /// Prefixes of a request that resumes after the loss of an engine; a new request shares none.
     pub(crate) fn find_prefixes(&self, job: &Job) -> Vec<PromptPrefix> {
         if job.lost.is_none() {
             return Vec::new();
         }
-        let blocks = 0..=job.made / BLOCK;
+        let blocks = 0..=job.generated / BLOCK;
         let prefix = |block| PromptPrefix {
             digest: digest(job.number, block),
             tokens: job.prompt + block * BLOCK,
@@ -36,45 +36,45 @@
         blocks.map(prefix).collect()
     }
 
-    pub(crate) fn note_stored(&mut self, key: SequenceKey) {
+    pub(crate) fn schedule_stored(&mut self, key: SequenceKey) {
         let Some(sequence) = self.sequences.get(key) else {
             return;
         };
-        let (job, block) = (sequence.job.number, sequence.job.made / BLOCK);
+        let (job, block) = (sequence.job.number, sequence.job.generated / BLOCK);
         for engine in sequence.engines.clone() {
             let stored = Some(block);
-            let news = CacheNews {
+            let event = DelayedCacheEvent {
                 engine,
                 job,
                 stored,
             };
-            self.schedule(REPORT_AGE, Event::Cache(news));
+            self.schedule(REPORT_AGE, Event::Cache(event));
         }
     }
 
-    pub(crate) fn note_evicted(&mut self, sequence: &Sequence) {
+    pub(crate) fn schedule_evicted(&mut self, sequence: &Sequence) {
         let job = sequence.job.number;
         for engine in sequence.engines.clone() {
             let stored = None;
-            let news = CacheNews {
+            let event = DelayedCacheEvent {
                 engine,
                 job,
                 stored,
             };
-            self.schedule(REPORT_AGE, Event::Cache(news));
+            self.schedule(REPORT_AGE, Event::Cache(event));
         }
     }
 
-    pub(crate) fn tell_cache(&mut self, news: CacheNews) {
-        self.cache_events[news.engine] += 1;
-        let change = match news.stored {
-            Some(block) => CacheChange::Stored(vec![digest(news.job, block)]),
-            None => CacheChange::Evicted((0..8).map(|block| digest(news.job, block)).collect()),
+    pub(crate) fn deliver_cache_event(&mut self, delayed: DelayedCacheEvent) {
+        self.cache_events[delayed.engine] += 1;
+        let change = match delayed.stored {
+            Some(block) => CacheChange::Stored(vec![digest(delayed.job, block)]),
+            None => CacheChange::Evicted((0..8).map(|block| digest(delayed.job, block)).collect()),
         };
         let event = CacheEvent {
-            server: self.announced[news.engine].server.clone(),
+            server: self.announced[delayed.engine].server.clone(),
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.cache_events[news.engine]),
+            sequence: SequenceNumber(self.cache_events[delayed.engine]),
             change,
         };
         for planner in &mut self.planners {
--- a/crates/standins/examples/policies/experiment.rs
+++ b/crates/standins/examples/policies/experiment.rs
@@ -1,4 +1,4 @@
-//! One run of one policy: fake engines and links in virtual time around real planners.
+//! One run of one policy: real planners with simulated engines and links in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use slotmap::{SlotMap, new_key_type};
 
-use crate::cache::{BLOCK, CacheNews};
+use crate::cache::{BLOCK, DelayedCacheEvent};
 use crate::fleet::{KINDS, announcements, make_planner};
 use crate::{Options, fail};
 
@@ -39,33 +39,33 @@
 }
 
 #[derive(Default)]
-pub(crate) struct FakeEngine {
+pub(crate) struct SimulatedEngine {
     pub(crate) decode: VecDeque<WorkItem>,
     pub(crate) prefill: VecDeque<WorkItem>,
     pub(crate) batch: Vec<WorkItem>,
     pub(crate) is_busy: bool,
-    pub(crate) is_dead: bool,
+    pub(crate) is_crashed: bool,
     pub(crate) link_free: u64,
-    pub(crate) figures: LoadValues,
+    pub(crate) load: LoadValues,
     reports: VecDeque<(u64, LoadValues)>,
-    /// Microseconds of measured steps.
-    pub(crate) worked: u64,
-    /// Microseconds of that without the floor of a step.
-    pub(crate) useful: u64,
+    /// Total microseconds of measured steps.
+    pub(crate) step_micros: u64,
+    /// Total microseconds of measured steps without the minimum step time.
+    pub(crate) compute_micros: u64,
 }
 
-/// What is left to do for a request, new or after the loss of an engine.
+/// Remaining work of a request, either new or resumed after the loss of an engine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Job {
     /// Number of the request, from which the digests of its prefixes are made.
     pub(crate) number: u64,
     pub(crate) prompt: u32,
-    /// Tokens that the caller has; they are replayed after the prompt.
-    pub(crate) made: u32,
-    pub(crate) wanted: u32,
+    /// Tokens that the caller already received; they are replayed after the prompt.
+    pub(crate) generated: u32,
+    pub(crate) target: u32,
     /// Time of the last token, or of the arrival.
     pub(crate) last_token: u64,
-    /// Engine that was lost, and when.
+    /// Lost engine and the time of its loss.
     pub(crate) lost: Option<(usize, u64)>,
 }
 
@@ -75,13 +75,13 @@
     pub(crate) flight: FlightKey,
     pub(crate) engines: Vec<usize>,
     pub(crate) job: Job,
-    /// Stages that have worked through the prompt.
+    /// Number of stages that have processed the prompt.
     pub(crate) prefilled: usize,
 }
 
 impl Sequence {
-    /// Prompt tokens that a stage works through.
-    pub(crate) fn fresh_tokens(&self, stage: usize) -> u32 {
+    /// Prompt tokens that a stage has to process because they are not cached.
+    pub(crate) fn uncached_tokens(&self, stage: usize) -> u32 {
         self.plan.prompt_tokens - self.plan.stages[stage].cached_tokens
     }
 }
@@ -101,18 +101,18 @@
     Report,
     Tick,
     Arrival,
-    /// The second half begins, with the death of an engine or without.
-    Death {
+    /// The second half of the measured time starts, with or without the crash of an engine.
+    Crash {
         engine: Option<usize>,
     },
-    /// An entry sees that an engine of a sequence is gone.
+    /// An entry detects the loss of an engine of a sequence.
     Lost {
         engine: usize,
         sequence: SequenceKey,
     },
     /// A cache event of an engine arrives.
-    Cache(CacheNews),
-    /// The lease of a dead engine ends.
+    Cache(DelayedCacheEvent),
+    /// The lease of a crashed engine expires.
     LeaseEnd {
         engine: usize,
     },
@@ -121,9 +121,9 @@
 /// How requests arrive.
 #[derive(Clone, Copy)]
 pub(crate) enum LoadShape {
-    /// So many under way at all times.
+    /// Constant number of requests in progress.
     Closed(u32),
-    /// Poisson arrivals, requests a second.
+    /// Poisson arrivals, in requests per second.
     Open(f64),
 }
 
@@ -134,7 +134,7 @@
     rng: ChaCha8Rng,
     pub(crate) planners: Vec<FleetPlanner>,
     pub(crate) announced: Vec<EngineAnnouncement>,
-    pub(crate) engines: Vec<FakeEngine>,
+    pub(crate) engines: Vec<SimulatedEngine>,
     by_name: BTreeMap<String, usize>,
     pub(crate) sequences: SlotMap<SequenceKey, Sequence>,
     pub(crate) wires: BTreeMap<(String, String), u64>,
@@ -144,14 +144,14 @@
     pub(crate) unrouted: u64,
     pub(crate) first_token: Histogram<u64>,
     pub(crate) interval: Histogram<u64>,
-    /// From the loss of an engine to the next token of each sequence that it ran.
+    /// Time from the loss of an engine to the next token of each of its sequences.
     pub(crate) resumed: Histogram<u64>,
     pub(crate) requests: u64,
-    /// Number of the last cache event of each engine.
+    /// Sequence number of the last cache event of each engine.
     pub(crate) cache_events: Vec<u64>,
-    /// Tokens after the death of an engine.
+    /// Tokens after the crash of an engine.
     pub(crate) tokens_after: u64,
-    pub(crate) death: Option<u64>,
+    pub(crate) crashed_at: Option<u64>,
 }
 
 impl Experiment {
@@ -175,7 +175,10 @@
             events: BinaryHeap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             by_name: names.map(|(i, e)| (e.server.to_string(), i)).collect(),
-            engines: announced.iter().map(|_| FakeEngine::default()).collect(),
+            engines: announced
+                .iter()
+                .map(|_| SimulatedEngine::default())
+                .collect(),
             announced,
             planners,
             sequences: SlotMap::with_key(),
@@ -190,7 +193,7 @@
             requests: 0,
             cache_events: vec![0; announcements().len()],
             tokens_after: 0,
-            death: None,
+            crashed_at: None,
         }
     }
 
@@ -215,9 +218,9 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Request(job) => self.route(job),
-            Event::Death { engine } => self.die(engine),
+            Event::Crash { engine } => self.crash(engine),
             Event::Lost { engine, sequence } => self.resume(engine, sequence),
-            Event::Cache(news) => self.tell_cache(news),
+            Event::Cache(event) => self.deliver_cache_event(event),
             Event::LeaseEnd { engine } => self.end_lease(engine),
             Event::Deliver {
                 engine,
@@ -258,18 +261,18 @@
 
     fn request(&mut self) {
         let prompt = self.rng.random_range(128..=896);
-        let wanted = self.rng.random_range(64..=352);
-        let spread = self.rng.random_range(0..100_000);
+        let target = self.rng.random_range(64..=352);
+        let delay = self.rng.random_range(0..100_000);
         self.requests += 1;
         let job = Job {
             number: self.requests,
             prompt,
-            made: 0,
-            wanted,
-            last_token: self.now + spread,
+            generated: 0,
+            target,
+            last_token: self.now + delay,
             lost: None,
         };
-        self.schedule(spread, Event::Request(job));
+        self.schedule(delay, Event::Request(job));
     }
 
     pub(crate) fn route(&mut self, job: Job) {
@@ -288,8 +291,8 @@
             within: None,
             allowed: &PermitAll,
             excluded: lost.as_slice(),
-            prompt_tokens: job.prompt + job.made,
-            expected_tokens: mean.saturating_sub(job.made).max(1),
+            prompt_tokens: job.prompt + job.generated,
+            expected_tokens: mean.saturating_sub(job.generated).max(1),
             prefixes: &prefixes,
             deadline: None,
             priority: RoutePriority::Normal,
@@ -305,10 +308,10 @@
         let engines: Vec<usize> = names.map(|name| self.by_name[name]).collect();
         let prompt = plan.prompt_tokens;
         for (stage, engine) in plan.stages.iter().zip(&engines) {
-            let figures = &mut self.engines[*engine].figures;
-            figures.sequences += 1;
-            figures.kv.0 += u64::from(prompt);
-            figures.prefill.0 += u64::from(prompt - stage.cached_tokens);
+            let load = &mut self.engines[*engine].load;
+            load.sequences += 1;
+            load.kv.0 += u64::from(prompt);
+            load.prefill.0 += u64::from(prompt - stage.cached_tokens);
         }
         let engine = engines[0];
         let sequence = self.sequences.insert(Sequence {
@@ -334,8 +337,8 @@
         let Some(sequence) = self.sequences.get_mut(item.sequence) else {
             return;
         };
-        let is_first = sequence.job.made == 0;
-        sequence.job.made += 1;
+        let is_first = sequence.job.generated == 0;
+        sequence.job.generated += 1;
         if item.prompt > 0 {
             self.planners[sequence.entry].first_token(time, sequence.flight);
             if let Some((_, lost_at)) = sequence.job.lost {
@@ -344,7 +347,7 @@
         }
         if now >= self.measured_from {
             self.tokens += 1;
-            self.tokens_after += u64::from(self.death.is_some());
+            self.tokens_after += u64::from(self.crashed_at.is_some());
             let histogram = if is_first {
                 &mut self.first_token
             } else {
@@ -353,17 +356,17 @@
             histogram.saturating_record((now - sequence.job.last_token).max(1));
         }
         sequence.job.last_token = now;
-        let is_block = item.prompt > 0 || sequence.job.made % BLOCK == 0;
+        let is_block = item.prompt > 0 || sequence.job.generated % BLOCK == 0;
         if is_block {
-            self.note_stored(item.sequence);
+            self.schedule_stored(item.sequence);
         }
         let Some(sequence) = self.sequences.get(item.sequence) else {
             return;
         };
         for engine in &sequence.engines {
-            self.engines[*engine].figures.kv.0 += 1;
+            self.engines[*engine].load.kv.0 += 1;
         }
-        if sequence.job.made < sequence.job.wanted {
+        if sequence.job.generated < sequence.job.target {
             let event = Event::Deliver {
                 engine: sequence.engines[0],
                 sequence: item.sequence,
@@ -382,43 +385,43 @@
         };
         let time = MonotonicTime::from_micros(self.now);
         self.planners[sequence.entry].finished(time, sequence.flight);
-        self.note_evicted(&sequence);
+        self.schedule_evicted(&sequence);
         self.release(&sequence);
         if matches!(self.shape, LoadShape::Closed(_)) {
             self.request();
         }
     }
 
-    /// Takes a sequence that ended off its engines' figures.
+    /// Subtracts a finished sequence from the loads of its engines.
     pub(crate) fn release(&mut self, sequence: &Sequence) {
-        let kv = u64::from(sequence.job.prompt + sequence.job.made);
+        let kv = u64::from(sequence.job.prompt + sequence.job.generated);
         for (stage, engine) in sequence.engines.iter().enumerate() {
-            let figures = &mut self.engines[*engine].figures;
-            figures.sequences -= 1;
-            figures.kv.0 = figures.kv.0.saturating_sub(kv);
+            let load = &mut self.engines[*engine].load;
+            load.sequences -= 1;
+            load.kv.0 = load.kv.0.saturating_sub(kv);
             if stage >= sequence.prefilled {
-                figures.prefill.0 -= u64::from(sequence.fresh_tokens(stage));
+                load.prefill.0 -= u64::from(sequence.uncached_tokens(stage));
             }
         }
     }
 
-    /// Reports arrive with figures that are older than they are.
+    /// Delivers load reports with values that are at least [`REPORT_AGE`] old, once there are any.
     fn report(&mut self) {
         for (index, engine) in self.engines.iter_mut().enumerate() {
-            if engine.is_dead {
+            if engine.is_crashed {
                 continue;
             }
-            engine.reports.push_back((self.now, engine.figures));
+            engine.reports.push_back((self.now, engine.load));
             while engine.reports.len() > 1 && engine.reports[1].0 + REPORT_AGE <= self.now {
                 engine.reports.pop_front();
             }
-            let (taken, figures) = engine.reports[0];
+            let (measured_at, load) = engine.reports[0];
             let report = LoadReport {
                 server: self.announced[index].server.clone(),
                 incarnation: Incarnation(1),
-                sequence: SequenceNumber(taken),
-                measured_at: MonotonicTime::from_micros(taken),
-                figures,
+                sequence: SequenceNumber(measured_at),
+                measured_at: MonotonicTime::from_micros(measured_at),
+                figures: load,
             };
             for planner in &mut self.planners {
                 planner.report(&report);
@@ -427,24 +430,24 @@
         self.schedule(REPORT_EVERY, Event::Report);
     }
 
-    pub(crate) fn print_busy(&self, seconds: u64) {
+    pub(crate) fn print_utilization(&self, seconds: u64) {
         let mut index = 0;
-        for figures in &KINDS {
-            let engines = &self.engines[index..index + figures.count as usize];
-            index += figures.count as usize;
+        for kind in &KINDS {
+            let engines = &self.engines[index..index + kind.count as usize];
+            index += kind.count as usize;
             let shares: Vec<String> = engines
                 .iter()
                 .map(|engine| {
                     format!(
                         "{:.2}-{:.2}/{}",
-                        engine.useful as f64 / seconds as f64 / 1e6,
-                        engine.worked as f64 / seconds as f64 / 1e6,
-                        engine.figures.sequences
+                        engine.compute_micros as f64 / seconds as f64 / 1e6,
+                        engine.step_micros as f64 / seconds as f64 / 1e6,
+                        engine.load.sequences
                     )
                 })
                 .collect();
-            let (first, end) = figures.layers;
-            println!("  {} {first}..{end}: {}", figures.name, shares.join(" "));
+            let (first, end) = kind.layers;
+            println!("  {} {first}..{end}: {}", kind.name, shares.join(" "));
         }
     }
 
--- a/crates/standins/examples/policies/failure.rs
+++ b/crates/standins/examples/policies/failure.rs
@@ -1,43 +1,46 @@
-//! Death of an engine while it runs sequences, and how they go on.
+//! Crash of an engine with running sequences, and their resumption.
 
 use pollendrift_coordination::base::MonotonicTime;
 use pollendrift_coordination::routing::RoutePlanner;
 
 use crate::experiment::{Event, Experiment, Job, SequenceKey};
 
-/// Microseconds until an entry sees a reset connection, or a refused one.
-pub(crate) const DETECT: u64 = 2_000;
+/// Microseconds until an entry detects a reset or refused connection.
+pub(crate) const DETECTION_DELAY: u64 = 2_000;
 
-/// Microseconds until the lease of a dead engine ends.
-const LEASE: u64 = 3_000_000;
+/// Microseconds until the lease of a crashed engine expires.
+const LEASE_DURATION: u64 = 3_000_000;
 
 impl Experiment {
-    /// Splits the measured time in the middle, and lets an engine die there.
-    pub(crate) fn plan_death(&mut self, engine: Option<usize>, seconds: u64) {
+    /// Schedules the start of the second half of the measured time, with the crash of `engine` if
+    /// any.
+    pub(crate) fn schedule_crash(&mut self, engine: Option<usize>, seconds: u64) {
         let after = seconds * 1_000_000 * 3 / 4;
-        self.schedule(after, Event::Death { engine });
+        self.schedule(after, Event::Crash { engine });
     }
 
-    pub(crate) fn die(&mut self, engine: Option<usize>) {
-        self.death = Some(self.now);
+    pub(crate) fn crash(&mut self, engine: Option<usize>) {
+        self.crashed_at = Some(self.now);
         let Some(engine) = engine else {
             return;
         };
-        self.engines[engine].is_dead = true;
-        let ran = |sequence: &crate::experiment::Sequence| sequence.engines.contains(&engine);
+        self.engines[engine].is_crashed = true;
+        let uses_engine =
+            |sequence: &crate::experiment::Sequence| sequence.engines.contains(&engine);
         let keys: Vec<SequenceKey> = self
             .sequences
             .iter()
-            .filter(|(_, sequence)| ran(sequence))
+            .filter(|(_, sequence)| uses_engine(sequence))
             .map(|(key, _)| key)
             .collect();
         for sequence in keys {
-            self.schedule(DETECT, Event::Lost { engine, sequence });
+            self.schedule(DETECTION_DELAY, Event::Lost { engine, sequence });
         }
-        self.schedule(LEASE, Event::LeaseEnd { engine });
+        self.schedule(LEASE_DURATION, Event::LeaseEnd { engine });
     }
 
-    /// The entry goes on from the last token over another route, and replays what was made.
+    /// Resumes the request after its last token over another route, which replays the generated
+    /// tokens.
     pub(crate) fn resume(&mut self, engine: usize, key: SequenceKey) {
         let Some(sequence) = self.sequences.remove(key) else {
             return;
@@ -46,7 +49,7 @@
         let time = MonotonicTime::from_micros(self.now);
         let server = &self.announced[engine].server;
         self.planners[sequence.entry].failed(time, sequence.flight, Some(server));
-        let lost_at = self.now - DETECT;
+        let lost_at = self.now - DETECTION_DELAY;
         self.route(Job {
             lost: Some((engine, lost_at)),
             ..sequence.job
--- a/crates/standins/examples/policies/fleet.rs
+++ b/crates/standins/examples/policies/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of the comparison: 40 engines of four kinds in three data centres.
+//! Fleet of the comparison: 40 engines of four kinds in three data centres.
 
 use std::time::Duration;
 
@@ -15,8 +15,9 @@
 /// Bytes of activations per token between stages.
 pub(crate) const ACTIVATION_BYTES: u32 = 16_384;
 
-/// A kind of engine: how many, where, which layers, how fast.
-pub(crate) struct KindFigures {
+/// Engines of one kind that serve the same layers: their number, place, rates and layers. `decode`
+/// is in tokens per second, `link` in bytes per second.
+pub(crate) struct EngineGroup {
     pub(crate) name: &'static str,
     data_centre: &'static str,
     pub(crate) count: u32,
@@ -25,8 +26,8 @@
     link: u64,
 }
 
-/// All kinds, by the layers that they hold.
-pub(crate) const KINDS: [KindFigures; 8] = [
+/// All engine groups; a kind can occur with several layer ranges.
+pub(crate) const KINDS: [EngineGroup; 8] = [
     kind("large", "d1", 4, (0, 32), 1_500, 12_500_000_000),
     kind("large", "d1", 4, (32, 64), 1_500, 12_500_000_000),
     kind("middle", "d1", 4, (0, 16), 1_000, 3_125_000_000),
@@ -44,8 +45,8 @@
     layers: (u32, u32),
     decode: u32,
     link: u64,
-) -> KindFigures {
-    KindFigures {
+) -> EngineGroup {
+    EngineGroup {
         name,
         data_centre,
         count,
@@ -55,31 +56,31 @@
     }
 }
 
-/// What the engines announce.
+/// Announcements of all engines.
 pub(crate) fn announcements() -> Vec<EngineAnnouncement> {
     let mut engines = Vec::new();
-    for (index, figures) in KINDS.iter().enumerate() {
-        for number in 0..figures.count {
+    for (index, group) in KINDS.iter().enumerate() {
+        for number in 0..group.count {
             engines.push(EngineAnnouncement {
-                server: format!("{}-{index}-{number}", figures.name).into(),
+                server: format!("{}-{index}-{number}", group.name).into(),
                 incarnation: Incarnation(1),
                 sequence: SequenceNumber(1),
-                kind: figures.name.into(),
-                data_centre: figures.data_centre.into(),
+                kind: group.name.into(),
+                data_centre: group.data_centre.into(),
                 model: "m".into(),
                 version: "v1".into(),
                 model_layers: LAYERS,
                 layers: LayerRange {
-                    first: figures.layers.0,
-                    end: figures.layers.1,
+                    first: group.layers.0,
+                    end: group.layers.1,
                 },
                 adapters: Vec::new(),
                 role: EngineRole::Both,
-                kv_capacity: TokenCount(u64::from(figures.decode) * 200),
-                prefill_rate: TokenRate(figures.decode * 12),
-                decode_rate: TokenRate(figures.decode),
+                kv_capacity: TokenCount(u64::from(group.decode) * 200),
+                prefill_rate: TokenRate(group.decode * 12),
+                decode_rate: TokenRate(group.decode),
                 step_floor: Duration::from_millis(4),
-                link_rate: ByteRate(figures.link),
+                link_rate: ByteRate(group.link),
                 activation_bytes: ACTIVATION_BYTES,
                 kv_bytes: 65_536,
             });
@@ -88,7 +89,7 @@
     engines
 }
 
-/// Links between the data centres, both ways.
+/// Links between the data centres, equal in both directions.
 pub(crate) fn links() -> [(&'static str, &'static str, LinkProperties); 3] {
     let link = |rate, micros| LinkProperties {
         rate: ByteRate(rate),
@@ -101,15 +102,15 @@
     ]
 }
 
-/// A planner that knows the whole fleet.
+/// Planner that has received the announcements of all engines.
 pub(crate) fn make_planner(
     settings: RoutingSettings,
     seed: u64,
     announced: &[EngineAnnouncement],
 ) -> FleetPlanner {
     let mut planner = FleetPlanner::new(settings, seed);
-    for (one, other, figures) in links() {
-        planner.set_link(&one.into(), &other.into(), figures);
+    for (one, other, link) in links() {
+        planner.set_link(&one.into(), &other.into(), link);
     }
     for engine in announced {
         if let Err(findings) = planner.announce(MonotonicTime::START, engine.clone()) {
--- a/crates/standins/examples/policies/main.rs
+++ b/crates/standins/examples/policies/main.rs
@@ -1,9 +1,9 @@
 //! Compares routing policies over 40 engines of four kinds against the max-flow bound.
 //!
-//! Drives nine planners, one per entry, with fake engine service times in virtual time: batched
-//! steps, links that differ a hundredfold, load reports that lag. Each policy meets the same
-//! requests, once with more of them than the engines can take (throughput) and once with Poisson
-//! arrivals at four fifths of the bound (latencies). Prints one table.
+//! Runs nine planners, one per entry, with simulated engines in virtual time: batched steps, link
+//! rates that differ by a factor of 100, and delayed load reports. Each policy gets the same
+//! requests, once with more requests than the engines can serve (throughput) and once with Poisson
+//! arrivals at 0.8 of the bound (latencies). Prints one table.
 
 mod cache;
 mod experiment;
@@ -44,7 +44,7 @@
     detail: bool,
 }
 
-/// Ends the program with a message.
+/// Prints a message and exits with 1.
 fn fail(message: &str) -> ! {
     eprintln!("{message}");
     std::process::exit(1)
@@ -81,7 +81,7 @@
         full.run(options.seconds);
         let rate = full.tokens as f64 / options.seconds as f64;
         if options.detail {
-            full.print_busy(options.seconds);
+            full.print_utilization(options.seconds);
         }
         let arrivals = LoadShape::Open(bound.flow * 0.8 / mean);
         let mut open = Experiment::new(policy, &options, arrivals);
@@ -101,18 +101,18 @@
             millis(&open.interval, 0.95),
         );
     }
-    print_death(&options, bound.flow);
+    print_crash(&options, bound.flow);
 }
 
-/// Kills one engine under the default policy, once with the engines full and once at four fifths of
-/// the bound, and compares what is lost with what the hardware lost.
-fn print_death(options: &Options, bound: f64) {
+/// Simulates the crash of one engine under the default policy, once with full engines and once at
+/// 0.8 of the bound, and prints the lost throughput beside the lost share of the bound.
+fn print_crash(options: &Options, bound: f64) {
     let victim = announcements()[options.victim].server.clone();
     let mut planner = make_planner(RoutingSettings::default(), options.seed, &announcements());
     let find = |planner: &FleetPlanner| planner.bound(&"m".into(), None, &VersionName::from("v1"));
     let before = find(&planner);
     planner.remove(&victim);
-    let left = find(&planner);
+    let after = find(&planner);
     let mean = f64::from(WorkloadMix::default().output_tokens);
     let shapes = [
         ("full", LoadShape::Closed(options.concurrency)),
@@ -120,8 +120,8 @@
     ];
     println!(
         "death of {victim}: {:.1}% of the bound is left by flow, {:.1}% by compute",
-        left.flow / before.flow * 100.0,
-        left.compute / before.compute * 100.0
+        after.flow / before.flow * 100.0,
+        after.compute / before.compute * 100.0
     );
     println!(
         "{:<5} {:>12} {:>8} | {:>8} {:>8} {:>8}",
@@ -130,7 +130,7 @@
     for (name, shape) in shapes {
         let run_with = |victim| {
             let mut run = Experiment::new(PolicyKind::default(), options, shape);
-            run.plan_death(victim, options.seconds);
+            run.schedule_crash(victim, options.seconds);
             run.run(options.seconds);
             run
         };
--- a/crates/standins/examples/policies/steps.rs
+++ b/crates/standins/examples/policies/steps.rs
@@ -1,24 +1,24 @@
-//! Steps of the fake engines, and the links between them.
+//! Steps of the simulated engines and the links between them.
 
 use crate::experiment::{Event, Experiment, WorkItem};
-use crate::failure::DETECT;
+use crate::failure::DETECTION_DELAY;
 use crate::fleet::{ACTIVATION_BYTES, links};
 
 const PREFILL_CHUNK: u32 = 1_024;
 
 impl Experiment {
     pub(crate) fn deliver(&mut self, engine: usize, item: WorkItem) {
-        if self.engines[engine].is_dead {
+        if self.engines[engine].is_crashed {
             let sequence = item.sequence;
-            self.schedule(DETECT, Event::Lost { engine, sequence });
+            self.schedule(DETECTION_DELAY, Event::Lost { engine, sequence });
             return;
         }
         let sequence = self.sequences.get(item.sequence);
         let is_resumed = sequence.is_some_and(|sequence| sequence.job.lost.is_some());
         let queues = &mut self.engines[engine];
         if item.prompt > 0 && is_resumed {
-            // A caller that has read half an answer goes before those that have not begun; it is
-            // sent with a high priority, which engines honour.
+            // A resumed request has a high priority, which engines honour: its caller already has
+            // part of the answer, so it runs before requests without any token.
             queues.prefill.push_front(item);
         } else if item.prompt > 0 {
             queues.prefill.push_back(item);
@@ -28,10 +28,11 @@
         self.begin_step(engine);
     }
 
-    /// One step works on all decode items and at least one prompt, up to the chunk.
+    /// Starts one step with all decode items, and prompts until their tokens reach the chunk size;
+    /// the last prompt may exceed it.
     fn begin_step(&mut self, index: usize) {
         let engine = &mut self.engines[index];
-        if engine.is_dead
+        if engine.is_crashed
             || engine.is_busy
             || (engine.decode.is_empty() && engine.prefill.is_empty())
         {
@@ -41,7 +42,7 @@
         let mut chunk = 0;
         while let Some(item) = engine.prefill.pop_front() {
             let sequence = self.sequences.get(item.sequence);
-            chunk += sequence.map_or(0, |sequence| sequence.fresh_tokens(item.stage));
+            chunk += sequence.map_or(0, |sequence| sequence.uncached_tokens(item.stage));
             batch.push(item);
             if chunk >= PREFILL_CHUNK {
                 break;
@@ -57,20 +58,20 @@
             let part = f64::from(run) / f64::from(announced.layers.len());
             largest = largest.max(part);
             seconds += if item.prompt > 0 {
-                let fresh = f64::from(sequence.fresh_tokens(item.stage));
-                announced.prefill_rate.seconds_for(fresh) * part
+                let tokens = f64::from(sequence.uncached_tokens(item.stage));
+                announced.prefill_rate.seconds_for(tokens) * part
             } else {
                 announced.decode_rate.seconds_for(1.0) * part
             };
         }
-        let useful = (seconds * 1e6) as u64;
+        let compute_micros = (seconds * 1e6) as u64;
         let seconds = seconds.max(announced.step_floor.as_secs_f64() * largest);
         engine.batch = batch;
         engine.is_busy = true;
         let micros = (seconds * 1e6) as u64;
         if self.now >= self.measured_from {
-            engine.worked += micros;
-            engine.useful += useful;
+            engine.step_micros += micros;
+            engine.compute_micros += compute_micros;
         }
         self.schedule(micros, Event::StepDone { engine: index });
     }
@@ -84,8 +85,8 @@
             };
             if item.prompt > 0 {
                 sequence.prefilled = item.stage + 1;
-                let fresh = u64::from(sequence.fresh_tokens(item.stage));
-                self.engines[index].figures.prefill.0 -= fresh;
+                let tokens = u64::from(sequence.uncached_tokens(item.stage));
+                self.engines[index].load.prefill.0 -= tokens;
             }
             let next = item.stage + 1;
             match sequence.engines.get(next).copied() {
@@ -103,16 +104,17 @@
         self.begin_step(index);
     }
 
-    /// Activations wait for the sender's link and for the link between data centres.
+    /// Schedules the delivery of activations after the link of the sender, and the link between
+    /// data centres if they differ, have transferred them.
     fn forward(&mut self, from: usize, engine: usize, item: WorkItem) {
         let (sender, receiver) = (&self.announced[from], &self.announced[engine]);
-        let fresh = match item.prompt {
+        let tokens = match item.prompt {
             0 => 1,
             _ => self.sequences[item.sequence]
-                .fresh_tokens(item.stage)
+                .uncached_tokens(item.stage)
                 .max(1),
         };
-        let bytes = u64::from(ACTIVATION_BYTES) * u64::from(fresh);
+        let bytes = u64::from(ACTIVATION_BYTES) * u64::from(tokens);
         let rate = sender.link_rate.0.min(receiver.link_rate.0);
         let start = self.engines[from].link_free.max(self.now);
         let mut done = start + bytes * 1_000_000 / rate;
--- a/crates/standins/examples/quickstart/main.rs
+++ b/crates/standins/examples/quickstart/main.rs
@@ -1,7 +1,7 @@
-//! Quickstart: one host with an embedded data folder, engines of mixed kinds, one checked draft.
+//! Quickstart: one host with a temporary data folder, engines of mixed kinds and one checked draft.
 //!
-//! Streams a real request to the terminal, then stays up with commands to try. With `--once` it
-//! exits 0 after one checked answer, and 1 if the answer is wrong.
+//! Streams the answer to the terminal, then prints commands to try and runs until Ctrl-C. With
+//! `--once` it exits with 0 after one correct answer, and with 1 if the answer is wrong.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     let expected = expected_answer(&weights, PROMPT, ANSWER_TOKENS);
     reply
         .check(&expected)
-        .map_err(|fault| format!("the answer is wrong: {fault}"))?;
+        .map_err(|error| format!("the answer is wrong: {error}"))?;
     println!(
         "\n\n{} tokens, each checked through all {} layers.",
         expected.len(),
@@ -137,17 +137,17 @@
     let caller = DraftCaller::new(entry, TOKEN);
     let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
     loop {
-        let mut shown = false;
+        let mut has_output = false;
         let reply = caller
             .draft("draft", PROMPT, ANSWER_TOKENS, |text| {
                 use std::io::Write;
-                shown = true;
+                has_output = true;
                 print!("{text}");
                 let _ = std::io::stdout().flush();
             })
             .await?;
-        // Until the engines have announced themselves the host truly refuses.
-        if reply.refusal.is_none() || shown || tokio::time::Instant::now() >= deadline {
+        // The host refuses drafts until the engines have announced themselves.
+        if reply.refusal.is_none() || has_output || tokio::time::Instant::now() >= deadline {
             return Ok(reply);
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -178,7 +178,7 @@
     Ok(loaded.settings)
 }
 
-/// Ports that were free a moment ago.
+/// Loopback addresses whose ports were free when checked.
 fn free_ports(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     let mut listeners = Vec::new();
     for _ in 0..count {
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -75,7 +75,8 @@
     /// Removes the sequence of `request`, unless a newer attempt uses it.
     ///
     /// The release of a replaced attempt can arrive when the next attempt already runs over the
-    /// same stages. Without the check of the attempt number it would delete that attempt's KV state.
+    /// same stages. Without the check of the attempt number it would delete that attempt's KV
+    /// state.
     pub(crate) fn release(&self, request: &str, attempt: u32) {
         let mut sequences = self.lock();
         let replaced = sequences
--- a/crates/standins/src/engine/sequence.rs
+++ b/crates/standins/src/engine/sequence.rs
@@ -107,7 +107,7 @@
         .open(&request.request, request.attempt, &weights, span);
     let mut state = sequence.lock().await;
     prepare(context, &mut state, request.attempt, &weights, stage)?;
-    // The last input runs again even if its KV state is cached, because its output is the next token.
+    // The last input runs again even if its KV state is cached: its output is the next token.
     let have = state.span.len().min(inputs.len().saturating_sub(1));
     state.span.truncate(have);
     state.downstream_have = state.downstream_have.min(have);
