--- a/crates/pollenctl/src/apply.rs
+++ b/crates/pollenctl/src/apply.rs
@@ -103,7 +103,7 @@
     let random = rustls::crypto::ring::default_provider().secure_random;
     random
         .fill(&mut bytes)
-        .map_err(|_| ToolFailure::failed("the system provides no random parse_numbers"))?;
+        .map_err(|_| ToolFailure::failed("the system provides no random numbers"))?;
     Ok(bytes.iter().fold(String::new(), |mut id, byte| {
         let _ = write!(id, "{byte:02x}");
         id
--- a/crates/standins/examples/policies/main.rs
+++ b/crates/standins/examples/policies/main.rs
@@ -105,7 +105,7 @@
 }
 
 /// Simulates the crash of one engine under the default policy, once with full engines and once at
-/// 0.8 of the bound, and prints the lost throughput beside the lost share of the bound.
+/// 0.8 of the bound, and prints the remaining throughput and the remaining share of the bound.
 fn print_crash(options: &Options, bound: f64) {
     let victim = announcements()[options.victim].server.clone();
     let mut planner = make_planner(RoutingSettings::default(), options.seed, &announcements());
