--- a/crates/daemon/src/fleet/worker.rs
+++ b/crates/daemon/src/fleet/worker.rs
@@ -75,7 +75,11 @@
 
     /// Renews a lease by a heartbeat without changes; false if the heartbeat contains a change or
     /// the server is unknown.
-    pub(crate) fn renew_worker(&self, now: MonotonicTime, announcement: &ServerAnnouncement) -> bool {
+    pub(crate) fn renew_worker(
+        &self,
+        now: MonotonicTime,
+        announcement: &ServerAnnouncement,
+    ) -> bool {
         let Ok(announce) = encode_announcement(announcement) else {
             return false;
         };
