--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -356,7 +356,7 @@
 {
     let ended = timeout_at(deadline, work).await;
     if ended.is_err() {
-        log::warn!(step = step; "step of the planned stop exceeded its time limit");
+        log::warn!(step = step; "planned stop runs out of time");
     }
     ended.is_ok()
 }
--- a/crates/daemon/src/relay/placer.rs
+++ b/crates/daemon/src/relay/placer.rs
@@ -278,7 +278,7 @@
                 self.record_refused(worker);
             }
         }
-        log::info!(server:% = worker.server, layers:% = place.layers, given_up:% = place.given_up, fencing:% = order.fencing, outcome = outcome_name(outcome); "engine answered a load order");
+        log::info!(server:% = worker.server, layers:% = place.layers, given_up:% = place.given_up, fencing:% = order.fencing, outcome = outcome_name(outcome); "engine ordered");
     }
 
     fn record_refused(&mut self, worker: &WorkerView) {
